--- a/tests/glenfold_lab/scale/test_lists.py
+++ b/tests/glenfold_lab/scale/test_lists.py
@@ -90,7 +90,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.forgotten = Balancer(self.balancer.s, seed=1)
+        self.forgotten = Balancer(self.balancer.settings, seed=1)
 
     def take(self, text: bytes) -> TakeIn:
         cost = super().take(text)
--- a/tests/glenfold_lab/test_model_relays.py
+++ b/tests/glenfold_lab/test_model_relays.py
@@ -156,7 +156,7 @@
     full = 3
     stage.servers.answer = lambda call: Over.BUSY if call.server == full else Over.UP
     assert all(stage.relay.stand(stage.exchange(client)) for client in range(40))
-    held = {number: set(known.holds) for number, known in stage.relay.dispatch.balancer.servers.items()}
+    held = {number: set(known.connections) for number, known in stage.relay.dispatch.balancer.servers.items()}
     stood = {
         number: {call.request for call in stage.servers.calls if call.server == number}
         for number in (1, 2, 4)
@@ -165,4 +165,4 @@
     assert stage.observed("taken") == [] and stage.relay.dispatch.next_timer_us is None
     stage.servers.answer = lambda call: Over.BUSY
     assert not stage.relay.stand(stage.exchange(40))
-    assert len(stage.relay.dispatch.balancer.held) == 40
+    assert len(stage.relay.dispatch.balancer.connections) == 40
--- a/tests/glenfold_lab/test_mutants.py
+++ b/tests/glenfold_lab/test_mutants.py
@@ -37,7 +37,7 @@
     def _start_call(self, exchange, server, deadline_us):
         super()._start_call(exchange, server, deadline_us)
         balancer = self.dispatch.balancer
-        tried = balancer.held[exchange.event.request].tried
+        tried = balancer.connections[exchange.event.request].tried
         if tried == [server]:
             ready = [number for number, one in balancer.servers.items() if one.listed.ready]
             tried.append(ready[ready[0] == server])
@@ -82,7 +82,7 @@
 
 
 class IgnoresTheColdRamp(Balancer):
-    def _warm_enough(self, held, known, at_home):
+    def _is_warm_enough(self, connection, server, at_home):
         return True
 
 
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -3,7 +3,7 @@
 import pytest
 from driver import SECOND, Gateway, listed, sends
 
-from linnetspread.choice import LEARNT_US, LONGEST_LIFE_US, SEEDS
+from linnetspread.choice import MAX_MEAN_LIFE_US, PRIOR_WEIGHT_US, SEEDS
 from linnetspread.interface import ListKind, Outcome, Tenant
 
 SERVERS = tuple(range(100, 108))
@@ -15,7 +15,7 @@
 
 def restart_all(gateway: Gateway) -> None:
     """Every server ends, with a reset for each connection there, and starts anew."""
-    for number in list(gateway.balancer.held):
+    for number in list(gateway.balancer.connections):
         gateway.answer(number, Outcome.RESET, done=True)
     started = gateway.now
     gateway.servers(ListKind.DELTA, *(listed(number, started_us=started) for number in SERVERS))
@@ -33,8 +33,10 @@
         gateway.open(key)
     restart_all(gateway)
     gateway.now += 10 * SECOND
-    assert gateway.balancer.fleet.now(gateway.now) < 1  # what the resets made of its guess for all servers
-    assert {gateway.balancer._slice(known) for known in gateway.balancer.servers.values()} == {1.0}
+    assert (
+        gateway.balancer.mean_slice.size_at(gateway.now) < 1
+    )  # what the resets made of its guess for all servers
+    assert {gateway.balancer._slice_size(known) for known in gateway.balancer.servers.values()} == {1.0}
     attempts = [sends(gateway.ask(key, returning=True)[1]) for key in range(1, 1_001)]
     placed = [(key, tried[0].server) for key, tried in enumerate(attempts, 1) if tried]
     assert len(placed) > 30
@@ -45,15 +47,15 @@
     gateway = warming()
     gateway.servers(ListKind.DELTA, listed(107, started_us=gateway.now))
     number = gateway.open(1)
-    gateway.balancer.fleet.size = 0.5
+    gateway.balancer.mean_slice.size = 0.5
     seen = gateway.where[number]
     for server in SERVERS:
         expected = 1.0 if server in (seen, 107) else pytest.approx(0.5)
-        assert gateway.balancer._slice(gateway.balancer.servers[server]) == expected
+        assert gateway.balancer._slice_size(gateway.balancer.servers[server]) == expected
 
 
 def filled(gateway: Gateway) -> float:
-    return gateway.balancer._filled(10 * SECOND)
+    return gateway.balancer._admitted_part(10 * SECOND)
 
 
 @pytest.mark.parametrize("life_s", [20, 60, 200])
@@ -71,7 +73,7 @@
 
 
 def test_before_anything_was_seen_a_connection_is_taken_to_last_as_long_as_any_site_may_have() -> None:
-    fresh, told = warming(), warming(tenants=(Tenant(1.0, 1e-9, 1e-9 * LONGEST_LIFE_US / SECOND),))
+    fresh, told = warming(), warming(tenants=(Tenant(1.0, 1e-9, 1e-9 * MAX_MEAN_LIFE_US / SECOND),))
     assert filled(fresh) == pytest.approx(filled(told), rel=0.01)
 
 
@@ -84,7 +86,7 @@
         gateway.servers(ListKind.FULL, listed(200))
     for number in numbers:
         gateway.answer(number, outcome, done=True)
-    assert gateway.balancer.ends == 0
+    assert gateway.balancer.ended_connections == 0
 
 
 def test_no_life_is_taken_to_be_longer_than_any_site_may_have() -> None:
@@ -100,11 +102,11 @@
     gateway = warming()
     for key in range(1, 101):
         gateway.answer(gateway.open(key, mid_flow=True), Outcome.CANCELLED, done=True)
-    assert gateway.balancer.ends == 0
+    assert gateway.balancer.ended_connections == 0
 
 
 def usual(gateway: Gateway) -> float:
-    return gateway.balancer.held[gateway.open()].usual
+    return gateway.balancer.connections[gateway.open()].usual_fraction
 
 
 def test_a_gateway_takes_no_more_than_its_usual_flow_for_new_clients() -> None:
@@ -123,9 +125,9 @@
 
 def test_the_usual_flow_is_learnt_where_no_shares_tell_it() -> None:
     gateway = warming()
-    assert gateway.balancer._flow() == 0
+    assert gateway.balancer._new_client_rate() == 0
     for key in range(1, 101):
         gateway.now += SECOND
         gateway.answer(gateway.open(key), Outcome.OK, done=True)
     seen_us = 100 * SECOND
-    assert gateway.balancer._flow() == pytest.approx(100 / (LEARNT_US + seen_us), rel=0.02)
+    assert gateway.balancer._new_client_rate() == pytest.approx(100 / (PRIOR_WEIGHT_US + seen_us), rel=0.02)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -45,7 +45,12 @@
                 seen.append(shared)
                 await client(shared, port)
                 balancer = shared.decisions.dispatch.balancer
-                while shared.ids or shared.unanswered or balancer.held or sum(balancer.by_tenant):
+                while (
+                    shared.ids
+                    or shared.unanswered
+                    or balancer.connections
+                    or sum(balancer.connections_by_tenant)
+                ):
                     await trio.lowlevel.checkpoint()
 
     trio.run(main, clock=clock)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -94,7 +94,7 @@
     if took_another:
         gateway.establish(gateway.ask(keys[1])[0])
     gateway.answer(number, Outcome.TIMEOUT)
-    assert bool(gateway.balancer.servers[102].strikes) != took_another
+    assert bool(gateway.balancer.servers[102].failures) != took_another
 
 
 def test_a_server_that_refuses_at_once_does_not_draw_traffic():
@@ -110,7 +110,7 @@
     """Notes of long messages on whatever stands at the server, once a second."""
     moved = []
     for _ in range(seconds):
-        there = [held for held in gateway.balancer.servers[server].holds.values() if not held.ended]
+        there = [held for held in gateway.balancer.servers[server].connections.values() if not held.finished]
         if there:
             moved += moves(gateway.note(there[0].event.request, NoticeKind.SLOW, 150.0))
         gateway.now += SECOND
@@ -129,10 +129,10 @@
 def test_a_jammed_server_gives_up_whole_groups():
     gateway = Gateway(tells_delay=True)
     opened = [gateway.open(50_000 + n, group=1 + n % 97) for n in range(300)]
-    held = gateway.balancer.held
+    held = gateway.balancer.connections
     there = [number for number in opened if gateway.where[number] == 102 and held[number].at_home]
     moved = set(jam(gateway, 102)) & set(there)
-    group_of = {number: gateway.balancer.held[number].event.group for number in there}
+    group_of = {number: gateway.balancer.connections[number].event.group for number in there}
     left = {group_of[number] for number in there if number not in moved}
     assert moved and left and not left & {group_of[number] for number in moved}
 
@@ -167,7 +167,9 @@
     gateway = Gateway()
     fill(gateway, 200)
     crowd = [gateway.ask(70_000 + n)[0] for n in range(60)]
-    assert not any(moves(gateway.establish(number, 400_000)) for number in crowd[: -choice.CROWD - 1])
+    assert not any(
+        moves(gateway.establish(number, 400_000)) for number in crowd[: -choice.MAX_OTHER_SETUPS - 1]
+    )
     assert all(server.slice.size == 1 for server in gateway.balancer.servers.values())
 
 
@@ -186,7 +188,7 @@
     for n in range(120):
         gateway.open(n + 1, request_class=n % 2)
     moved = jam(gateway, 100, 2)
-    worth = [gateway.balancer.held[number].event.request_class for number in moved]
+    worth = [gateway.balancer.connections[number].event.request_class for number in moved]
     assert len(moved) > 20 and worth.count(0) > 2 * worth.count(1)
 
 
@@ -200,7 +202,7 @@
     assert opened[3] in moved
     number, _ = gateway.ask(4, returning=True)
     assert gateway.balancer.moved_load[4] == 900_000.0
-    assert number not in gateway.balancer.held  # refused: there is no room for so heavy a one
+    assert number not in gateway.balancer.connections  # refused: there is no room for so heavy a one
 
 
 def test_a_storm_of_drops_does_not_send_its_clients_straight_back():
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetspread.choice import MOST_HOMES, SEEDS, Anchor, mix, part_of
+from linnetspread.choice import MAX_HOMES, SEEDS, Anchor, jump_hash, mix
 from linnetspread.interface import ListKind, NoticeKind, Outcome, Refuse, Request, ServerState, Tenant
 
 COUNTS = [1, 2, 20, 30, 40, 230]
@@ -142,7 +142,9 @@
 def test_a_tenant_within_its_share_is_not_taken_for_one_over_it(gateways):
     fleet = Fleet(gateways, tenants=(Tenant(0.9, 18.0, 540.0), Tenant(0.1, 2.0, 60.0)), tells_delay=True)
     held = [fleet.open(key, tenant=int(key % 10 == 0)) for key in range(1, 501)]
-    over = [gateway.balancer._over_quota(gateway.balancer.held[number]) for gateway, number, _ in held]
+    over = [
+        gateway.balancer._is_over_quota(gateway.balancer.connections[number]) for gateway, number, _ in held
+    ]
     assert sum(over) < 0.06 * len(over)
 
 
@@ -150,7 +152,9 @@
 def test_a_tenant_far_over_its_share_is_seen(gateways):
     fleet = Fleet(gateways, tenants=(Tenant(0.9, 18.0, 540.0), Tenant(0.1, 2.0, 60.0)))
     held = [fleet.open(key, tenant=1) for key in range(1, 501)]
-    over = [gateway.balancer._over_quota(gateway.balancer.held[number]) for gateway, number, _ in held]
+    over = [
+        gateway.balancer._is_over_quota(gateway.balancer.connections[number]) for gateway, number, _ in held
+    ]
     assert all(over)
 
 
@@ -159,7 +163,7 @@
     opened = [gateway.open(n) for n in range(1, 9)]
     for _ in range(6):  # everything it holds jams, again and again
         for number in opened:
-            if number in gateway.balancer.held and not gateway.balancer.held[number].ended:
+            if number in gateway.balancer.connections and not gateway.balancer.connections[number].finished:
                 gateway.note(number, NoticeKind.SLOW, 150.0)
         gateway.now += SECOND
     used = {gateway.where[number] for number in opened}
@@ -177,9 +181,9 @@
         gateway.servers(ListKind.DELTA, listed(1_000 + n), listed(999 + n, ServerState.GONE))
         gateway.open(n + 1)
     assert len(gateway.balancer.servers) < 90  # those listed, and those that still hold a connection
-    for number in list(gateway.balancer.held):
+    for number in list(gateway.balancer.connections):
         gateway.answer(number, Outcome.OK, done=True)
-    assert len(gateway.balancer.servers) == 6 and gateway.balancer.busy == 0
+    assert len(gateway.balancer.servers) == 6 and gateway.balancer.occupied_servers == 0
 
 
 def test_clients_of_a_broken_server_do_not_come_straight_back_before_the_list_names_it():
@@ -206,7 +210,7 @@
             if fleet.ask(key, group=group, returning=True)[2] == 104:
                 sent[key] = sent.get(key, 0) + 1
         fleet.wait(SECOND)
-    least = 0 if fleet.gateways[0].balancer.sparse else 5  # there it is one of the group's homes
+    least = 0 if fleet.gateways[0].balancer.is_sparse else 5  # there it is one of the group's homes
     assert least < len(sent) < 60  # not starved, not the whole group
     assert max(sent.values()) <= 5  # a turn lasts four seconds here
 
@@ -351,13 +355,13 @@
     opened = [fleet.open(key, group=key % 60 + 1)[2] for key in range(1, 451)]  # three quarters of the shares
     assert sum(server is None for server in opened) <= 450 // 20
     for gateway in fleet.gateways:
-        for number in list(gateway.balancer.held):
+        for number in list(gateway.balancer.connections):
             gateway.answer(number, Outcome.RESET, done=True)
     fleet.servers(*(listed(100 + n, ServerState.GONE) for n in range(6)))
     fleet.wait(10 * SECOND)
     for key in range(1, 451):
         fleet.open(key, group=key % 60 + 1, returning=True)
-    held = sum(len(gateway.balancer.held) for gateway in fleet.gateways)
+    held = sum(len(gateway.balancer.connections) for gateway in fleet.gateways)
     assert 0.8 * 240 <= held <= 240 + gateways  # four tenths of the shares
 
 
@@ -367,17 +371,17 @@
         gateway.open(key)
     gateway.now += 2 * SECOND
     taken = [gateway.open(key, mid_flow=True) for key in range(100, 120)]  # none of them is refused
-    assert 12 < gateway.balancer.sharers < 18  # 40 * 12 / 32
+    assert 12 < gateway.balancer.live_gateways < 18  # 40 * 12 / 32
     for number in taken:
         gateway.answer(number, Outcome.CANCELLED, done=True)  # their packets go elsewhere again
-    assert gateway.balancer.sharers == pytest.approx(40)
+    assert gateway.balancer.live_gateways == pytest.approx(40)
 
 
 def test_a_fresh_gateway_does_not_take_the_clients_that_come_back_to_it_for_those_of_the_dead():
     gateway = Gateway(servers=10, gateways=40, park_us=8 * SECOND, tenants=(Tenant(1.0, RATE, 600.0),))
     for key in range(1, 20):
         gateway.open(key, mid_flow=True)
-    assert gateway.balancer.sharers == 40
+    assert gateway.balancer.live_gateways == 40
 
 
 def test_refused_clients_of_many_gateways_do_not_come_back_together():
@@ -417,7 +421,7 @@
             later = sends(there.ask(key * 977, group=group, mid_flow=True)[1])
             found += [attempt.server for attempt in first] == [attempt.server for attempt in later]
             at |= {attempt.server for attempt in first}
-        assert {gateway.balancer.homes for gateway in fleet.gateways + late.gateways} == {homes}
+        assert {gateway.balancer.homes_per_group for gateway in fleet.gateways + late.gateways} == {homes}
         assert len(at) <= homes and found > 0.9 * len(fleet.gateways)
         fleet.wait(30 * SECOND)
         late.wait(30 * SECOND)
@@ -428,7 +432,7 @@
     """Fifty servers, and one more: at either side of the bound every client is found where it stands."""
     shares = (Tenant(1.0, 100.0, 10_100.0),)
     fleet, wider = (Fleet(200, servers=servers, tenants=shares) for servers in (50, 51))
-    assert [some.gateways[0].balancer.sparse for some in (fleet, wider)] == [False, True]
+    assert [some.gateways[0].balancer.is_sparse for some in (fleet, wider)] == [False, True]
     moved = {
         key
         for key in range(1, 201)
@@ -465,12 +469,12 @@
 
 @given(key=st.integers(0, (1 << 64) - 1), parts=st.integers(1, 64))
 def test_with_one_part_more_a_key_stays_or_goes_to_the_new_one(key, parts):
-    before, after = part_of(key, parts), part_of(key, parts + 1)
+    before, after = jump_hash(key, parts), jump_hash(key, parts + 1)
     assert 0 <= before < parts and after in (before, parts)
 
 
 def test_parts_are_alike_in_size():
-    sizes = Counter(part_of(mix(key), 5) for key in range(5_000))
+    sizes = Counter(jump_hash(mix(key), 5) for key in range(5_000))
     assert sorted(sizes) == [0, 1, 2, 3, 4] and min(sizes.values()) > 900
 
 
@@ -482,7 +486,7 @@
         homes.add(gateway.where[gateway.open(key * 977, group=7)])
     for key, gateway in enumerate(fleet.gateways[100:], 1):
         homes.add(gateway.where[gateway.open(key * 977, group=7, returning=True)])
-    assert len(homes) <= MOST_HOMES
+    assert len(homes) <= MAX_HOMES
 
 
 @pytest.mark.parametrize("flags", [{}, {"returning": True}, {"client_retry": True}])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -95,7 +95,7 @@
     actions = gateway.answer(number, Outcome.CONNECT_FAILED, done=True)
     assert not sends(actions) and not finals(actions)
     assert not gateway.timer(number)
-    assert not gateway.balancer.held
+    assert not gateway.balancer.connections
 
 
 def test_an_outcome_for_a_request_not_held_is_passed_over():
@@ -229,9 +229,9 @@
 def test_a_connection_open_at_the_start_is_held_without_a_send_until_its_end():
     gateway = Gateway(servers=3)
     assert gateway.give(Existing(Request(900, 0, key=5), 101)) == []
-    assert 900 in gateway.balancer.servers[101].holds
+    assert 900 in gateway.balancer.servers[101].connections
     assert gateway.give(Answer(900, 0, 101, Outcome.OK, done=True)) == []
-    assert not gateway.balancer.servers[101].holds
+    assert not gateway.balancer.servers[101].connections
 
 
 def test_a_list_that_must_be_asked_for_is_subscribed_and_asked_again_after_a_failure():
@@ -270,7 +270,7 @@
         self.out: list[int] = []
 
     def see(self, number: int, actions: list) -> None:
-        now, back = self.gateway.now, self.gateway.balancer.s.look_back_us
+        now, back = self.gateway.now, self.gateway.balancer.settings.look_back_us
         if sends(actions):
             self.out.append(number)
             if self.gateway.attempts[number]:
@@ -345,7 +345,7 @@
     for _ in range(300):
         gateway.now += SECOND
         assert finals(gateway.ask()[1])
-    assert len(gateway.balancer.taken) <= 3
+    assert len(gateway.balancer.request_times) <= 3
 
 
 def test_a_moot_attempt_is_given_back():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -181,7 +181,7 @@
             assert action.request not in ended
             ended.add(action.request)
         assert not {number for number in moves(actions)} - ended
-    assert sum(gateway.balancer.by_tenant) >= 0
+    assert sum(gateway.balancer.connections_by_tenant) >= 0
 
 
 def test_where_no_aim_is_told_no_delay_makes_a_jam() -> None:
@@ -189,7 +189,7 @@
     for elapsed in (1_000, 2_000, 3_000, 900_000):
         assert not moves(gateway.give(i.Established(gateway.open(elapsed=elapsed), 0, 100, elapsed)))
     known = gateway.balancer.servers[100]
-    assert known.slice.size == 1 and known.rest_until == 0
+    assert known.slice.size == 1 and known.backoff_until == 0
 
 
 def test_worth_may_be_told_of_no_class() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -152,7 +152,7 @@
     host = Host()
     host.answer(batch(1, 5, power_on(1), registry(1, 9), arrival(1, 4, 4))[8:])
     host.answer(batch(2, 6, record(100, struct.pack(">I", 1)), power_on(1), registry(1, 9))[8:])
-    assert host.instances[1].held == {}
+    assert host.instances[1].connections == {}
 
 
 def busy(instances: list[int]) -> bytes:
