--- a/linnetspread/choice.py
+++ b/linnetspread/choice.py
@@ -1,11 +1,13 @@
-"""Every decision of linnetspread. Its settings, events and actions are in linnetspread/interface.py.
+"""The placement decisions of linnetspread. Its settings, events and actions are in linnetspread/interface.py.
 
-The ordinary path: a connection lands where AnchorHash maps its client key, and every gateway builds the same
-map from the id-sorted ready list. Where clients come in groups that share work, the key is the group's: a
-server pays for a group once, however many of it are there. The exceptions are in `_choose` and what it calls.
+In the ordinary case a connection goes to the server to which AnchorHash maps its client key. Every gateway
+builds the same map from the ready list, sorted by server id. Where clients come in groups that share work,
+the key is that of the group: a server pays for the shared work once, however many members it serves. The
+exceptions to this are made by `Balancer._choose` and the methods that it calls.
 
-A gateway may hold thousands of connections or one for every ten servers. So what must add up over gateways is
-never counted here: it is a slice of the key space, the same keys at every gateway.
+A gateway may hold thousands of connections, or only one for every ten servers. Limits that must add up over
+all gateways are therefore never counted at one gateway. Each is a slice of the key space, and the slice has
+the same keys at every gateway.
 """
 
 import math
@@ -19,44 +21,55 @@
 
 MASK_64 = (1 << 64) - 1
 SEEDS = (0x9E3779B97F4A7C15, 0xC2B2AE3D27D4EB4F, 0x165667B19E3779F9)
-ANCHOR_BUCKETS = 1 << 15  # of the anchor, whatever the fleet: a bound at which it grew would move every key
-BUCKETS_PER_WEIGHT_UNIT = (
-    32  # that a server names, of listed weight: fine enough that shares follow the weights
-)
-WEIGHT_UNIT_DOUBLINGS = (
-    4  # of a unit, to the largest weight listed: a list's weights have no unit of their own
-)
-FALLBACK_SEEDS = 3  # seeds after the first
-MAX_HOMES = 5  # of a group in a sparse fleet with all listed power: each costs what it shares
-HOME_MULTIPLES = 1, 4, 8  # times that for the first of it here, the second, any further
-MAX_FAIR_SHARE_MULTIPLE = (
-    1.25  # a server over this multiple of its part of what is held here, and one, is crowded
-)
-SLICE_REGROWTH_PER_S = 0.02  # of its slice that a jammed server gets back in a second
-MAX_OTHER_SETUPS = 3  # set-ups under way here beside one that tells of its server's delay
-SHED_DIVISOR = 8  # of a server's connections, at a time, where no notes tell that it is jammed
-MAX_MOVED_LOADS = 1000  # moved clients whose load is kept until they come back
-MAX_MEAN_LIFE_US = 300e6  # mean, of a connection, that a site may have: taken where nothing is known yet
-PRIOR_WEIGHT_US = 60e6  # of own experience that weighs as much as what was taken before it
-NEW_CLIENT_BURST_FACTOR = 3  # times their usual rate that new clients may come
-COLD_BUDGET_PART = (
-    0.15  # of the calls that a cold server may get: the part that turns use, where these are many,
-)
-COLD_BUDGET_CHANCE_PART = (
-    0.75  # and by the root of their number: chance adds as many as the rule allows for it
-)
-RESUBSCRIBE_TOKEN = 1 << 60  # timer token; request ids stay far below
+# The number of buckets doesn't depend on the fleet: where it had to grow, every key would move.
+ANCHOR_BUCKETS = 1 << 15
+# A server claims this many buckets for each unit of its listed weight, enough for shares to follow weights.
+BUCKETS_PER_WEIGHT_UNIT = 32
+# The largest listed weight is up to 2 ** 4 weight units, as the weights of a list have no unit of their own.
+WEIGHT_UNIT_DOUBLINGS = 4
+# The number of further seeds that a key is tried with after the first.
+FALLBACK_SEEDS = 3
+# The number of servers (homes) of a group in a sparse fleet while all listed power is available. Each home
+# pays for the work that the group shares.
+MAX_HOMES = 5
+# Multiples of that number for the first client of a group at this gateway, the second, and all others.
+HOME_MULTIPLES = 1, 4, 8
+# A server is overloaded above this multiple of its fair share of the connections held here, plus one.
+MAX_FAIR_SHARE_MULTIPLE = 1.25
+# The part of its slice that an overloaded server gets back in a second.
+SLICE_REGROWTH_PER_S = 0.02
+# With more set-ups than this under way, the time of one says nothing about the delay of its server.
+MAX_OTHER_SETUPS = 3
+# At most about one eighth of a server's connections are moved at a time, where no notices report its delay.
+SHED_DIVISOR = 8
+# The number of moved clients whose load is kept until they come back.
+MAX_MOVED_LOADS = 1000
+# The longest mean life of connections that a site may have, assumed while nothing has been learnt yet.
+MAX_MEAN_LIFE_US = 300e6
+# Values assumed or configured in advance weigh as much as this much time of the gateway's own experience.
+PRIOR_WEIGHT_US = 60e6
+# New clients may come at up to this multiple of their usual rate.
+NEW_CLIENT_BURST_FACTOR = 3
+# Turns use this part of the calls that a cold server may get, where these are many, and ...
+COLD_BUDGET_PART = 0.15
+# ... this multiple of their square root besides: the rule allows as many more, for chance.
+COLD_BUDGET_CHANCE_PART = 0.75
+# A timer token of its own; request ids stay far below.
+RESUBSCRIBE_TOKEN = 1 << 60
 
 
 def mix(value: int) -> int:
-    """The finaliser of splitmix64: the same at every gateway and in every process."""
+    """Returns the finaliser of splitmix64, which is the same at every gateway and in every process."""
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK_64
     return value ^ (value >> 31)
 
 
 def jump_hash(key: int, parts: int) -> int:
-    """Jump consistent hash: with more parts, each key stays in its own or goes to one of the new."""
+    """Returns the part of a key by jump consistent hash.
+
+    When `parts` grows, each key keeps its part or goes to one of the new ones.
+    """
     part, next_part = 0, 0
     while next_part < parts:
         part, key = next_part, mix(key)
@@ -65,26 +78,36 @@
 
 
 def slice_position(server: int, value: int) -> float:
-    """Where a key or group stands in a server's slices: from 0 to 1, evenly, and elsewhere at each server."""
+    """Returns the position of a key or group in the slices of a server.
+
+    Positions are spread evenly from 0 to 1 and differ from server to server.
+    """
     return mix(mix(value ^ SEEDS[2]) ^ server) / (MASK_64 + 1)
 
 
 class Anchor:
-    """AnchorHash in which all gateways take removed buckets to have gone in one order, by number, the highest
-    first, whatever they saw themselves. So the set that a removed bucket sends its keys on to is told by the
-    ready list alone: the buckets below it, and the working ones above. A key that passes over what is not in
-    those sets comes to the first working bucket of its own sequence.
+    """AnchorHash with an order of removals that doesn't depend on the history of a gateway.
 
-    A server's id names its buckets, so many as its power says; of those that name the same, one owns it."""
+    All gateways take the removed buckets to have been removed in one order, by number, the highest first,
+    whatever each of them saw. The ready list alone therefore determines the set to which a removed bucket
+    passes its keys: the buckets below it, and the working ones above it. A key that skips every bucket
+    outside these sets ends at the first working bucket of its own sequence.
+
+    The id of a server determines the buckets that it claims, and its power their number. Of several servers
+    that claim the same bucket, one owns it.
+    """
 
     def __init__(self, servers: list[tuple[int, int]]) -> None:
         self.buckets_of: dict[int, list[int]] = {}
-        self.owner: dict[int, tuple[int, int]] = {}  # of working buckets: its draw for it, and the server
-        self.lower_claims: dict[int, tuple[tuple[int, int], ...]] = {}  # who named one with a lower draw
+        # For each working bucket, the claim of its owner: the owner's draw and its server id.
+        self.owner: dict[int, tuple[int, int]] = {}
+        # For a bucket that several servers claim, the claims with lower draws.
+        self.lower_claims: dict[int, tuple[tuple[int, int], ...]] = {}
         for server, count in servers:
             self.add(server, count)
 
     def add(self, server: int, count: int) -> None:
+        """Adds a server that claims `count` buckets."""
         value, named = mix(server ^ SEEDS[1]), dict[int, int]()
         while len(named) < count:
             value = mix(value + SEEDS[0] & MASK_64)
@@ -99,6 +122,7 @@
             self.owner[b] = claim
 
     def remove(self, server: int) -> None:
+        """Removes a server; each of its buckets goes to the next highest claim, if there is one."""
         for b in self.buckets_of.pop(server):
             claims = sorted((self.owner.pop(b), *self.lower_claims.pop(b, ())))
             claims = [claim for claim in claims if claim[1] != server]
@@ -108,6 +132,7 @@
                 self.lower_claims[b] = tuple(claims)
 
     def lookup(self, key: int, seed: int) -> int | None:
+        """Returns the server of a key under a seed, or None while there are no servers."""
         key = mix(key ^ seed)
         while self.owner:
             for draw in (key, key >> 16, key >> 32, key >> 48):
@@ -119,12 +144,13 @@
 
 @dataclass(slots=True)
 class Slice:
-    """The part of its keys that a server may hold: pressed while it jams, regrown with time."""
+    """The part of its keys that a server may hold, reduced while it is overloaded and regrown with time."""
 
     size: float = 1.0
     updated_at: int = 0
 
     def size_at(self, now: int) -> float:
+        """Returns the size, from 0 to 1, after the regrowth until `now`."""
         self.size = min(
             1.0, self.size + max(self.size, 0.1) * SLICE_REGROWTH_PER_S * (now - self.updated_at) / 1e6
         )
@@ -134,21 +160,28 @@
 
 @dataclass(slots=True)
 class Server:
-    """What this gateway knows of one server, from its list and its own traffic."""
+    """The state of one server, from its list entry and the gateway's own traffic."""
 
     listed: interface.ListedServer
-    power: float  # as its list says; what its cores are worth is told nowhere
-    connections: "dict[int, Connection]" = field(
-        default_factory=dict
-    )  # attempts out and connections, by request
-    failures: int = 0  # failures since the last success
+    # The power that its list entry gives; how fast its cores are is not reported anywhere.
+    power: float
+    # Open connections and requests with an attempt out, by request id.
+    connections: "dict[int, Connection]" = field(default_factory=dict)
+    # Failures since the last success.
+    failures: int = 0
+    # The time until which the server is ejected after a failure.
     ejected_until: int = 0
-    backoff_until: int = 0  # nothing new: it refused as full, or its messages take long
+    # The time until which the server gets nothing new, as it refused as full or its messages take long.
+    backoff_until: int = 0
     slice: Slice = field(default_factory=Slice)
+    # The time of the last reduction of the slice.
     reduced_at: int = 0
-    last_established_at: int = 0  # when it last took a connection
-    min_setup_us: int = 1 << 60  # set-up seen there
-    delay_us: float = 0.0  # of set-ups beyond that, the latest most
+    # The time at which the server last accepted a connection.
+    last_established_at: int = 0
+    # The shortest set-up seen at the server.
+    min_setup_us: int = 1 << 60
+    # The mean delay of set-ups beyond the shortest, in which the latest weigh most.
+    delay_us: float = 0.0
 
 
 @dataclass(slots=True)
@@ -158,62 +191,72 @@
     event: interface.Request
     deadline: int
     load: float
-    server: Server | None = None  # where its attempt is out or its connection stands
-    at_home: bool = True  # there by its client key, not by a further seed
+    # The server of its attempt that is out, or of the open connection.
+    server: Server | None = None
+    # Whether the server is the one of the client key, not of a further seed.
+    at_home: bool = True
     attempts: int = 0
     sent_at: int = 0
     established: bool = False
-    finished: bool = False  # final answer given; kept until the attempt's own answer comes
+    # Whether the final answer was given; the record stays until the answer of the attempt itself arrives.
+    finished: bool = False
     tried: list[int] = field(default_factory=list)
-    may_have_run_on: Server | None = None  # first server where it may have run
+    # The first server on which the request may have run.
+    may_have_run_on: Server | None = None
     may_have_run_at: int = 0
-    usual_fraction: float = 0.0  # how far it is one of the usual flow of new clients
+    # How far the client counts as part of the usual flow of new clients, from 0 to 1.
+    usual_fraction: float = 0.0
 
 
 class Balancer:
-    """One gateway's decisions. `handle` takes an event and returns the actions, in order."""
+    """The decisions of one gateway; `handle` takes an event and returns the actions, in order."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings = settings
-        self.rng = random.Random(seed)  # for waits only: the map must be the same at every gateway
+        # Randomness is for waiting times only, as the map must be the same at every gateway.
+        self.rng = random.Random(seed)
         self.anchor, self.weight_unit = Anchor([]), 1.0
         self.servers: dict[int, Server] = {}
-        self.listed_powers: list[float] = []  # powers of all that are ready or leave
-        self.ready_power = self.max_ready_power = 0.0  # now, and the most that ever was
-        self.available_power = 0.0  # of what is ready, cold servers by what they can do for certain
-        self.homes_per_group = (
-            MAX_HOMES  # by the part of the listed power that is there: alike at every gateway
-        )
-        self.next_power_check_at = 0  # when the latter has grown enough to be counted again
-        self.is_sparse, self.home_spread = (
-            False,
-            0.0,
-        )  # at the shares less than one of each server's is here; how far
+        # The powers of all servers that are ready or draining.
+        self.listed_powers: list[float] = []
+        # The power of all ready servers: the present one, and the largest seen so far.
+        self.ready_power = self.max_ready_power = 0.0
+        # The power of the ready servers, where a cold server counts with the part that it certainly has.
+        self.available_power = 0.0
+        # The number of homes follows the available part of the listed power; it is the same at every gateway.
+        self.homes_per_group = MAX_HOMES
+        # The time at which cold servers have warmed up enough to recompute the available power.
+        self.next_power_check_at = 0
+        # A fleet is sparse if, at the tenants' shares, a gateway has fewer connections than servers.
+        # `home_spread` is how far the fleet is beyond that bound, from 0 to 1.
+        self.is_sparse, self.home_spread = False, 0.0
         self.now = self.started_at = self.version = 0
-        self.live_gateways = float(settings.gateways)  # that are alive, as the clients they leave tell
-        self.occupied_servers = 0  # servers at which this gateway holds anything
-        self.mean_slice = Slice()  # mean over those: the best guess for a server it knows nothing of
+        # The number of gateways that are alive, estimated by the clients that the others leave behind.
+        self.live_gateways = float(settings.gateways)
+        # The number of servers at which this gateway holds a connection or attempt.
+        self.occupied_servers = 0
+        # The mean slice over the occupied servers: the best guess for a server that this gateway hasn't used.
+        self.mean_slice = Slice()
         self.connections: dict[int, Connection] = {}
-        self.setting_up: set[int] = set()  # of these, with an attempt out
-        self.request_times, self.extra_attempt_times = (
-            deque[int](),
-            deque[int](),
-        )  # times of requests and further attempts, of late
+        # The ids of connections with an attempt out.
+        self.setting_up: set[int] = set()
+        # The times of recent requests and of recent further attempts.
+        self.request_times, self.extra_attempt_times = deque[int](), deque[int]()
         self.actions: list[interface.Action] = []
         self.mean_load = [0.0] * len(settings.classes)
-        self.moved_load: dict[int, float] = {}  # of clients moved off a jammed server, the latest few
-        self.aim_us = settings.shortest_message_aim_us  # without one no delay tells of a jam
+        # The loads of the latest clients that were moved off an overloaded server.
+        self.moved_load: dict[int, float] = {}
+        # Without an aim (infinite) no delay counts as an overload.
+        self.aim_us = settings.shortest_message_aim_us
         self.quota, self.quota_per_us = settings.quota_connections, settings.quota_per_us
         self.connections_by_tenant = [0] * max(1, len(settings.tenants))
-        self.connection_time_us = self.ended_connections = (
-            0.0  # time that connections stood here; how many came to an end
-        )
-        self.new_client_tokens, self.tokens_updated_at = (
-            0.0,
-            0,
-        )  # for new clients at cold servers: what is left of the usual flow
+        # The sum of the times that connections were held here, and the number of connections that ended.
+        self.connection_time_us = self.ended_connections = 0.0
+        # The token bucket for new clients at cold servers: what remains of the usual flow.
+        self.new_client_tokens, self.tokens_updated_at = 0.0, 0
 
     def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
+        """Returns the actions that follow from an event at the time `now` (us), in order."""
         self.actions = [interface.Subscribe(True)] if self.settings.ask_for_list and not self.now else []
         self.connection_time_us += len(self.connections) * (now - self.now)
         self.now, self.started_at = now, self.started_at or now
@@ -230,18 +273,19 @@
                 interface.SetTimer(wait_us + self.rng.randrange(wait_us + 1), RESUBSCRIBE_TOKEN)
             )
             return
-        if 0 < event.version < self.version:  # an older list must not bring back what a newer one took away
+        # An older list must not bring back servers that a newer one removed.
+        if 0 < event.version < self.version:
             return
         self.version = event.version or self.version
         for line in event.servers:
             power = self._power_of(line)
             server = self.servers.setdefault(line.server, Server(line, power))
-            if (
-                power != server.power and line.server in self.anchor.buckets_of
-            ):  # put back with another number
+            # A server whose power changed is removed here and added again with another number of buckets.
+            if power != server.power and line.server in self.anchor.buckets_of:
                 self.anchor.remove(line.server)
             server.power = power
-            if line.started_us != server.listed.started_us:  # a new process: forget what the old one did
+            # The state of an old process doesn't apply to a new one.
+            if line.started_us != server.listed.started_us:
                 server.failures = server.ejected_until = server.backoff_until = 0
                 server.slice = Slice()
             server.listed = line
@@ -254,7 +298,7 @@
             self._forget_if_unused(server)
 
     def _update_anchor(self) -> None:
-        """Removals first, then additions, each in id order; the map is the same whatever came before."""
+        """Applies removals, then additions, each in id order; the map is the same after any history."""
         self.listed_powers = [server.power for server in self.servers.values() if server.listed.present]
         exponent = math.frexp(max(self.listed_powers, default=1.0))[1]
         if (unit := 2.0 ** (exponent - min(WEIGHT_UNIT_DOUBLINGS, max(1, exponent)))) != self.weight_unit:
@@ -283,20 +327,21 @@
         )
 
     def _power_of(self, line: interface.ListedServer) -> float:
-        return (
-            max(line.weight, 0.0) or 1.0 if self.settings.weighted else 1.0
-        )  # nothing learnt: the map goes by it
+        # The power must not depend on anything that a gateway learns, as the map is built from it.
+        return max(line.weight, 0.0) or 1.0 if self.settings.weighted else 1.0
 
     def _new_client_rate(self) -> float:
-        """New clients a microsecond that come here, as ends make room for them."""
+        """Returns the new clients per microsecond that come here, as ended connections make room for them."""
         configured = PRIOR_WEIGHT_US * self.quota_per_us / self.settings.gateways
         return (configured + max(0.0, self.ended_connections)) / (
             PRIOR_WEIGHT_US + self.now - self.started_at
         )
 
     def _take_usual_fraction(self) -> float:
-        """How far a client that says nothing of itself is one of the usual flow, from 0 to 1: where none says
-        that it comes back, a fleet that lost its servers is asked by all of them at once."""
+        """Takes a token and returns how far an unmarked client is part of the usual flow, from 0 to 1.
+
+        Where clients don't mark that they come back, all clients of lost servers arrive at once as new ones.
+        """
         capacity = max(1.0, self._new_client_rate() * self.settings.fall_us / 2)
         tokens = min(
             capacity,
@@ -319,7 +364,8 @@
         if self.now >= self.next_power_check_at:
             self._recompute_power()
         connection = Connection(event, self.now + event.expires_in_us, self._expected_load(event))
-        if event.unmarked and self.available_power < self.ready_power:  # some are cold
+        # The available power is below the ready power while some servers are cold.
+        if event.unmarked and self.available_power < self.ready_power:
             connection.usual_fraction = self._take_usual_fraction()
         self.ended_connections -= event.mid_flow
         if (
@@ -327,11 +373,10 @@
             and self.now - self.started_at > self.settings.park_us
             and len(self.connections) > 3
         ):
-            self.live_gateways *= len(self.connections) / (
-                len(self.connections) + 1
-            )  # a gateway is gone, and this its client
+            # A gateway went away, and this is one of its clients.
+            self.live_gateways *= len(self.connections) / (len(self.connections) + 1)
         self._register(connection)
-        # Whatever goes wrong below, this timer answers the request before its client gives up.
+        # This timer answers the request before its client gives up, whatever goes wrong afterwards.
         self.actions.append(
             interface.SetTimer(max(1, event.expires_in_us - self.settings.tick_us), event.request)
         )
@@ -364,7 +409,8 @@
     def _expected_load(self, event: interface.Request) -> float:
         if event.load_us is not None:
             return float(event.load_us)
-        if event.key in self.moved_load:  # it comes back as heavy as it left
+        # A moved client comes back with the load that it had.
+        if event.key in self.moved_load:
             return self.moved_load[event.key]
         return self.mean_load[min(event.request_class, len(self.mean_load) - 1)] or 50_000.0
 
@@ -377,9 +423,13 @@
         self._refuse_or_fail(connection) if choice is None else self._send(connection, *choice)
 
     def _has_room(self, connection: Connection) -> bool:
-        """Whether the fleet can bear one more. The shares are what all servers together can carry; when many
-        have left, the others would all jam at once, and without notes nobody would learn it. Each gateway
-        admits its part of what is left. In a sparse fleet parts differ too much by chance."""
+        """Returns whether the fleet can carry one more connection.
+
+        The tenants' shares are what all servers together can carry. When many servers have departed, the
+        others would all be overloaded at once, and without notices no gateway would learn of it. Each gateway
+        therefore admits its part of the remaining capacity. In a sparse fleet these parts differ too much by
+        chance, so that nothing is refused.
+        """
         if (
             connection.event.mid_flow
             or self.settings.tells_delay
@@ -392,7 +442,10 @@
         return len(self.connections) - 1 <= self.quota * part
 
     def _may_attempt(self, connection: Connection) -> bool:
-        """The ration of further attempts, where one is stated; the last of it is for what is worth most."""
+        """Returns whether limits, deadline and the budget of further attempts allow an attempt.
+
+        The last attempt of the budget, where there is one, is for requests of at least the mean worth.
+        """
         remaining = self._remaining_extra_attempts() if connection.attempts else math.inf
         if (
             connection.attempts >= self.settings.max_attempts
@@ -406,6 +459,7 @@
         )
 
     def _remaining_extra_attempts(self) -> float:
+        """Returns the further attempts that remain in the look-back; infinite where they aren't limited."""
         window_start = self.now - self.settings.look_back_us
         while self.request_times and self.request_times[0] <= window_start:
             self.request_times.popleft()
@@ -418,11 +472,15 @@
         )
         return remaining if self.settings.look_back_us else math.inf
 
-    # ---- the choice ----
+    # ---- the choice of a server ----
 
     def _choose(self, connection: Connection) -> tuple[Server, bool] | None:
-        """The first choice that the rules and its slices allow and that looks well, else the first that only
-        looks suspect, as the fault is then more likely here; rather than refuse, one that should rest."""
+        """Returns the server for the next attempt and whether it is the one of the key, or None.
+
+        This is the first candidate that the rules and slices allow and that is healthy. If there is none, it
+        is the first that is merely suspect, as the failure is then more likely at this gateway; then one that
+        should get nothing new for a while, which is better than a refusal.
+        """
         suspect = backing_off = waiting_for = None
         for server, at_home in self._candidates(connection.event):
             if server.listed.server in connection.tried or not self._is_allowed(connection, server):
@@ -432,13 +490,13 @@
                 and self._age_us(server) < self.settings.cold_us
                 or not self._is_warm_enough(connection, server, at_home)
             ):
-                waiting_for = (
-                    server  # for its turn there: another's turns would add to those of its own clients
-                )
+                # The client waits for its turn at this server. A turn at another cold server as well would
+                # add to the turns of that server's own clients.
+                waiting_for = server
                 continue
             if not self._is_within_slice(connection, server, at_home):
                 continue
-            # Mid-flow it would be reset anywhere else, however the server looks.
+            # A mid-flow connection would be reset by any other server, so health doesn't matter.
             if connection.event.mid_flow and connection.attempts == 0 or self._is_healthy(connection, server):
                 return server, at_home
             if server.failures < 2 and self.now >= server.backoff_until:
@@ -448,39 +506,43 @@
         return suspect or backing_off
 
     def _candidates(self, event: interface.Request) -> Iterator[tuple[Server, bool]]:
-        """The key's server, then those of the same key under further seeds: a group stays together there."""
+        """Yields the server of the key, then those of the key under further seeds; the flag marks the first.
+
+        All of a group have the same further servers, so that the group stays together there.
+        """
         key = event.shared_key
         if not self.ready_power:
             return
         spread = bool(event.group) and self.is_sparse
         part = parts = 0
         if spread:
-            group_size = (
-                sum(connection.event.group == key for connection in self.connections.values()) - 1
-            )  # few: the fleet is sparse
+            # The loop is over few connections, as the fleet is sparse.
+            group_size = sum(connection.event.group == key for connection in self.connections.values()) - 1
             parts = (
                 self.homes_per_group
                 * HOME_MULTIPLES[0 if event.mid_flow else min(group_size, len(HOME_MULTIPLES) - 1)]
             )
-            parts = round(
-                1 + (parts - 1) * self.home_spread
-            )  # one at the edge: no key moves where it is crossed
+            # There is one part at the bound of sparse fleets, so that no key moves where a fleet crosses it.
+            parts = round(1 + (parts - 1) * self.home_spread)
             part = jump_hash(key ^ event.key, parts)
         home = self.servers[self.anchor.lookup(key ^ mix(part), SEEDS[0]) or 0]
-        # A client comes back because its server broke or jams, and here nobody may know: the list is late.
-        # In a sparse fleet the next gateway looks at home all the same; elsewhere it is reset and comes back.
+        # A client comes back because its server failed or is overloaded. This gateway may not know that yet,
+        # as the list arrives late. In a sparse fleet the server of the key is tried all the same, as the next
+        # gateway looks for the connection there; in other fleets the client is reset then and comes back.
         home_is_usable = spread or not event.returning or self._age_us(home) < self.settings.cold_us
         if home_is_usable or any(connection.established for connection in home.connections.values()):
             yield home, True
-        for turn in range(
-            FALLBACK_SEEDS
-        ):  # of a spread group its other homes: each more would cost what it shares
+        # A spread group has its other homes as further servers: each new one would pay for the shared work.
+        for turn in range(FALLBACK_SEEDS):
             seed = SEEDS[0] if spread else SEEDS[1] + turn * SEEDS[2] & MASK_64
             other = mix((part + turn + 1) % max(parts, FALLBACK_SEEDS + 1)) if spread else 0
             yield self.servers[self.anchor.lookup(key ^ other, seed) or 0], False
 
     def _is_allowed(self, connection: Connection, server: Server) -> bool:
-        """The rules alone: ready, and a keyed request that may have run only where repeats are dropped."""
+        """Returns whether the rules allow the server, whatever its health.
+
+        The server must be ready. A keyed request that may have run goes only to servers that drop repeats.
+        """
         if not server.listed.ready:
             return False
         kind = self.settings.class_of(connection.event)
@@ -494,8 +556,11 @@
         return kind.scope.joins(server.listed, connection.may_have_run_on.listed)
 
     def _is_healthy(self, connection: Connection, server: Server) -> bool:
-        """Neither resting nor shunned, nor over its part of what this gateway holds: by loads, which differ
-        tenfold, one heavy client would be a crowd to a gateway with few, and groups would scatter."""
+        """Returns whether the server is neither backed off nor ejected nor over its part of the connections.
+
+        The part is of the connections held here, by number. Loads differ tenfold: counted by load, one heavy
+        client would overload a server in the eyes of a gateway with few clients, and groups would scatter.
+        """
         fair_share = len(self.connections) / (self.ready_power or 1.0) * server.power
         return (
             self.now >= max(server.backoff_until, server.ejected_until)
@@ -503,14 +568,17 @@
         )
 
     def _slice_size(self, server: Server) -> float:
-        """A server that this gateway has never seen at work is taken to be as full as those it has."""
+        """Returns the slice of a server; one that this gateway hasn't used counts as full as others."""
         own_size = server.slice.size_at(self.now)
         is_unseen = own_size == 1 and not server.connections and self._age_us(server) >= self.settings.cold_us
         return min(own_size, self.mean_slice.size_at(self.now)) if is_unseen else own_size
 
     def _is_within_slice(self, connection: Connection, server: Server, at_home: bool) -> bool:
-        """A jammed server first gives up whole groups that came by client key, as each that leaves takes its
-        shared work along; then, key by key, those that met there."""
+        """Returns whether the connection is within the slice of its keys that the server may hold.
+
+        An overloaded server first gives up whole groups that came by client key, as each group that leaves
+        takes its shared work along, and then, key by key, the connections that came under further seeds.
+        """
         size, event = self._slice_size(server), connection.event
         if size >= 1:
             return True
@@ -521,7 +589,7 @@
         return 1 - position < 2 * size
 
     def _value_per_load(self, connection: Connection) -> float:
-        """What it brings for its load, against the mean; beyond a tenant's share it is less."""
+        """Returns the worth per load, relative to the mean; it is lower beyond the share of the tenant."""
         mean = sum(self.mean_load) / len(self.mean_load) or connection.load
         merit = (
             self.settings.class_of(connection.event).worth
@@ -532,7 +600,10 @@
         return max(0.05, merit * (self.settings.over_share_worth if self._is_over_quota(connection) else 1.0))
 
     def _is_over_quota(self, connection: Connection) -> bool:
-        """With few connections here chance alone takes a tenant over its part: only clear excess counts."""
+        """Returns whether the tenant clearly exceeds its part of the connections.
+
+        With few connections here, chance alone takes a tenant a little over its part.
+        """
         part = self.settings.quota_of(connection.event) / self.settings.gateways
         return (
             part > 0
@@ -541,26 +612,32 @@
         )
 
     def _age_us(self, server: Server) -> int:
+        """Returns the time since the server's start; one without a start time counts as warm."""
         started = server.listed.started_us
         return max(0, self.now - started) if started else self.settings.cold_us
 
     def _is_warm_enough(self, connection: Connection, server: Server, at_home: bool) -> bool:
-        """A server that just started takes only a slice of the keys, however many gateways there are. New
-        clients come evenly: a slice as large as its present share fits. All others may come at once, and each
-        has its turn but once, or the same would come over and over."""
+        """Returns whether the server is warm, or the connection belongs to those that it may get while cold.
+
+        A server that just started gets only a slice of the keys, however many gateways there are. New clients
+        come evenly, so that a slice as large as the server's present share fits them. All others may come at
+        once, and each key has one turn only, or the same clients would come again and again.
+        """
         age, event = self._age_us(server), connection.event
         if age >= self.settings.cold_us:
             return True
         position = slice_position(server.listed.server, event.key or event.request)
+        # A connection that merely overflows from a fuller server is no reason to load a cold one.
         if not at_home and not connection.attempts and not event.returning:
-            return False  # it only spills from a fuller server: no reason to press a cold one
-        # Whole groups meet at one server, but in a sparse fleet: they come in clumps of several.
+            return False
+        # Except in a sparse fleet, a whole group goes to one server, so that several clients come together.
         new_client_part = (
             connection.usual_fraction
             * min(1.0, age / self.settings.fall_us)
             / (2 if event.group and not self.is_sparse else 1)
         )
-        if at_home and event.mid_flow:  # it may stand there since its turn
+        # A mid-flow connection may have been open there since its turn.
+        if at_home and event.mid_flow:
             return position < self._admitted_part(age)
         is_usual = at_home and position < self.settings.warmth(age) * new_client_part
         return is_usual or self._admitted_part(age - self.settings.fall_us) <= position < self._admitted_part(
@@ -568,9 +645,12 @@
         )
 
     def _admitted_part(self, age: int) -> float:
-        """The part of its keys that a server has had time for since it started. The fewer calls it may get
-        within a fall's time, the more the rule leaves to chance, and the larger a part of them may be used.
-        Without shares the life of connections is learnt from those that stood here and how many ended."""
+        """Returns the part of its keys that a server has had time to accept since it started.
+
+        The fewer calls the server may get within `fall_us`, the more the rule allows for chance, and the
+        larger is the part of them that may be used. Without tenants' shares the mean life of connections is
+        learnt from the time that connections were held here and how many of them ended.
+        """
         learnt_life_us = (PRIOR_WEIGHT_US + self.connection_time_us) / (
             PRIOR_WEIGHT_US / MAX_MEAN_LIFE_US + max(0.0, self.ended_connections)
         )
@@ -594,11 +674,11 @@
         remaining = timeout = connection.deadline - self.now
         if connection.attempts:
             self.extra_attempt_times.append(self.now)
-        if (
-            connection.attempts + 1 < self.settings.max_attempts and self._remaining_extra_attempts() >= 1
-        ):  # leave room for another attempt
+        # Half of the time remains for another attempt.
+        if connection.attempts + 1 < self.settings.max_attempts and self._remaining_extra_attempts() >= 1:
             timeout = remaining // 2
-        if server.failures:  # one at a time to test it, until one succeeds
+        # Attempts test a server that failed one at a time, until one of them succeeds.
+        if server.failures:
             server.ejected_until = self.now + timeout
         connection.at_home, connection.attempts, connection.sent_at = (
             at_home,
@@ -616,7 +696,7 @@
         may_refuse = (
             connection.may_have_run_on is None or self.settings.class_of(connection.event).refusable_after_run
         )
-        # Those refused together must not come back together.
+        # The wait is random, as clients that are refused together must not come back together.
         mean_wait_us = (
             min(self.settings.max_retry_after_us * 2 // 3, 1_000_000) if self.settings.may_retry_after else 0
         )
@@ -629,7 +709,7 @@
         self._finish(connection.event.request)
 
     def _finish(self, request: int) -> None:
-        """Nothing more is sent for it; an attempt still out is counted until its answer comes."""
+        """Ends the handling of a request; an attempt that is still out counts until its answer arrives."""
         connection = self.connections.get(request)
         if connection is None or connection.finished:
             return
@@ -638,7 +718,7 @@
         if connection.server is None:
             del self.connections[request]
 
-    # ---- what comes back ----
+    # ---- outcomes, notices and timers ----
 
     def _on_established(self, event: interface.Established) -> None:
         connection = self.connections.get(event.request)
@@ -665,11 +745,12 @@
             self.extra_attempt_times.remove(connection.sent_at)
         if not event.outcome.never_ran and connection.may_have_run_on is None:
             connection.may_have_run_on, connection.may_have_run_at = server, self.now - event.elapsed_us
+        # The client of an open connection that was cancelled went to a new gateway.
         if (
             connection.established
             and event.outcome is interface.Outcome.CANCELLED
             and not connection.finished
-        ):  # to a new gateway
+        ):
             self.live_gateways = min(
                 self.settings.gateways,
                 self.live_gateways * len(self.connections) / max(1, len(self.connections) - 1),
@@ -683,21 +764,20 @@
             self._place(connection)
 
     def _update_health(self, server: Server, outcome: interface.Outcome, connection: Connection) -> None:
-        """Health from own traffic: a failure shuns a server for a second, further ones for longer."""
+        """Updates the health from own traffic: a failure ejects a server for 1 s, further ones for longer."""
         if (
             outcome is interface.Outcome.FULL
             or outcome is interface.Outcome.TIMEOUT
             and server.last_established_at > connection.sent_at
         ):
-            server.backoff_until = max(server.backoff_until, self.now + 200_000)  # slow or full, not gone
-        elif (
-            outcome is interface.Outcome.RESET and connection.established
-        ):  # dropped by a server that holds too much
+            # The server is slow or full, but works.
+            server.backoff_until = max(server.backoff_until, self.now + 200_000)
+        elif outcome is interface.Outcome.RESET and connection.established:
+            # A server that holds too much dropped the connection.
             server.backoff_until = max(server.backoff_until, self.now + 1_000_000)
             self._reduce_slice(server, 0.7)
-            if (
-                not self.settings.tells_delay
-            ):  # no note has come before it, and the next would be dropped as well
+            # Without notices nothing announced the reset, and the next connections would be dropped as well.
+            if not self.settings.tells_delay:
                 self._shed(server)
         elif outcome.failed and not (outcome is interface.Outcome.RESET and connection.event.mid_flow):
             if not server.failures:
@@ -720,8 +800,12 @@
             self._on_slow(connection.server, event.amount * 1000)
 
     def _on_set_up(self, server: Server, took_us: int) -> None:
-        """Where no notes tell of delay: what a set-up takes beyond the quickest there it has waited behind
-        other work, as messages do; but one alone may be slow, and a crowd keeps this gateway busy as well."""
+        """Infers the delay of a server from the time of a set-up, where no notices report it.
+
+        The time beyond the shortest set-up there was spent waiting behind other work, as messages do. A
+        single set-up may be slow for other reasons, so a mean is used; many set-ups at a time say nothing, as
+        they keep this gateway busy as well.
+        """
         if len(self.setting_up) > MAX_OTHER_SETUPS:
             return
         server.min_setup_us = min(server.min_setup_us, took_us)
@@ -730,14 +814,18 @@
             self._on_slow(server, server.delay_us)
 
     def _on_slow(self, server: Server, took_us: float) -> None:
-        """Messages take long there: nothing new; past the aim nobody is served, so some must leave. The
-        deeper the pile of work, the more: it has to be worked off besides what still comes in."""
+        """Backs off from a server whose messages take long, and moves clients off it beyond the aim.
+
+        Beyond the aim no client is served in time, so some must leave. The longer the delay, the more leave,
+        as the queued work has to be done besides the work that still arrives.
+        """
         server.backoff_until = self.now + 1_500_000 if took_us > self.aim_us / 3 else 0
         if took_us > self.aim_us:
             self._reduce_slice(server, 0.7 - 0.3 * min(1.0, took_us / 1e6))
             self._shed(server)
 
     def _reduce_slice(self, server: Server, keep: float) -> None:
+        """Reduces the slice of an overloaded server to the part `keep`, at most once in 900 ms."""
         if self.now - server.reduced_at < 900_000:
             return
         before = self._slice_size(server)
@@ -753,11 +841,11 @@
         )
 
     def _shed(self, server: Server) -> None:
-        """Moves what is outside the slice: every gateway that gets such notes picks by the same order."""
+        """Moves connections outside the slice; all gateways with such notices choose in the same order."""
         groups_met = {
             connection.event.group for connection in server.connections.values() if not connection.at_home
         } - {0}
-        # What is inferred from set-ups may be wrong, and those that leave press the servers they go to.
+        # A delay that is inferred from set-ups may be wrong, and clients that leave load other servers.
         max_moves = (
             len(server.connections)
             if self.settings.tells_delay
@@ -766,9 +854,8 @@
         for connection in list(server.connections.values()):
             if not max_moves:
                 return
-            at_home = (
-                connection.at_home and connection.event.group not in groups_met
-            )  # a group that stays keeps all of its own
+            # A group with members under further seeds is judged as these are, so that it stays together.
+            at_home = connection.at_home and connection.event.group not in groups_met
             if (
                 connection.established
                 and not connection.finished
