--- a/glenfold/config/platform.py
+++ b/glenfold/config/platform.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from linnetspread import interface as i
-from linnetspread.wire import Fault, read_settings
+from linnetspread.wire import Problem, read_settings
 
 Address = tuple[str, int]
 
@@ -85,7 +85,7 @@
     cores: float = 1.0  # the part of a core that this process may use
     known: dict[str, Any] = field(default_factory=dict)  # in discovery's form; checked where that is read
     split_groups: bool = False  # whether a large group is placed in parts
-    faults: tuple[Fault, ...] = ()  # in the settings, where a default stands for what they say
+    faults: tuple[Problem, ...] = ()  # in the settings, where a default stands for what they say
     parents: Parents | None = None  # in place of `discovery`, which is the first of them then
 
 
@@ -146,10 +146,10 @@
     return places
 
 
-def settings_of(settings: dict[str, Any]) -> tuple[i.Settings, tuple[Fault, ...]]:
+def settings_of(settings: dict[str, Any]) -> tuple[i.Settings, tuple[Problem, ...]]:
     """Of that JSON object, with what is faulty in it. Whatever it says: no line of the protocol tells what a
     message takes."""
-    faults: list[Fault] = []
+    faults: list[Problem] = []
     read = replace(read_settings("\n".join(_flat(settings, "")), faults), tells_delay=False)
     return read, tuple((f"settings.{key}", fault) for key, fault in faults)
 
--- a/linnetspread/adapter.py
+++ b/linnetspread/adapter.py
@@ -10,7 +10,7 @@
 HEADER = struct.Struct(">II")
 
 
-def _read(stream: BinaryIO, size: int) -> bytes:
+def _read_exactly(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if len(data) < size:
         raise wire.BrokenFrame("the input ends within a frame")
@@ -47,11 +47,11 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     host = Host()
-    while head := source.read(HEADER.size):
-        if len(head) < HEADER.size:
+    while header := source.read(HEADER.size):
+        if len(header) < HEADER.size:
             raise wire.BrokenFrame("the input ends within a header")
-        number, size = HEADER.unpack(head)
-        sink.write(wire.write_reply(number, host.answer(_read(source, size))))
+        number, size = HEADER.unpack(header)
+        sink.write(wire.write_reply(number, host.answer(_read_exactly(source, size))))
         sink.flush()
 
 
--- a/linnetspread/interface.py
+++ b/linnetspread/interface.py
@@ -24,9 +24,9 @@
     ZONE = auto()
     CELL = auto()
 
-    def joins(self, one: "ListedServer", other: "ListedServer") -> bool:
+    def joins(self, first: "ListedServer", second: "ListedServer") -> bool:
         """Whether these two drop each other's repeats."""
-        same_zone, same_cell = one.zone == other.zone, one.cell == other.cell
+        same_zone, same_cell = first.zone == second.zone, first.cell == second.cell
         return self is DedupScope.ALL or same_zone and (self is DedupScope.ZONE or same_cell)
 
 
--- a/linnetspread/wire.py
+++ b/linnetspread/wire.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from linnetspread import interface as i
+from linnetspread import interface
 
 MAX_DELAY_US = 0xFFFFFFFF
 
@@ -18,7 +18,7 @@
 @dataclass(frozen=True, slots=True)
 class PowerOn:
     seed: int
-    settings: i.Settings
+    settings: interface.Settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,177 +26,194 @@
     pass
 
 
-Incoming = i.Event | PowerOn | Kill
+Incoming = interface.Event | PowerOn | Kill
 
-BATCH = struct.Struct(">QI")
-RECORD = struct.Struct(">BI")
-LIST = struct.Struct(">IBII")
-ENTRY = struct.Struct(">IHBHBfQ")
+BATCH_HEADER = struct.Struct(">QI")
+RECORD_HEADER = struct.Struct(">BI")
+SERVER_LIST = struct.Struct(">IBII")
+LIST_ENTRY = struct.Struct(">IHBHBfQ")
 REQUEST = struct.Struct(">IQIQQBBHI")
 EXISTING = struct.Struct(">IQBHQIIQBI")
 ESTABLISHED = struct.Struct(">IQBII")
 ANSWER = struct.Struct(">IQBIHIBB")
 NOTICE = struct.Struct(">IQBIBf")
-PROBED = struct.Struct(">IHIIB")
-HEARD = struct.Struct(">IIH")
+PROBE_RESULT = struct.Struct(">IHIIB")
+PEER_MESSAGE = struct.Struct(">IIH")
 POWER_ON = struct.Struct(">IQI")
 ID = struct.Struct(">I")
 ID_U64 = struct.Struct(">IQ")
 
 OUTCOMES = {
-    10: i.Outcome.OK,
-    20: i.Outcome.ERROR,
-    30: i.Outcome.FULL,
-    40: i.Outcome.TIMEOUT,
-    50: i.Outcome.CONNECT_FAILED,
-    60: i.Outcome.RESET,
-    70: i.Outcome.CANCELLED,
-    80: i.Outcome.MOOT,
+    10: interface.Outcome.OK,
+    20: interface.Outcome.ERROR,
+    30: interface.Outcome.FULL,
+    40: interface.Outcome.TIMEOUT,
+    50: interface.Outcome.CONNECT_FAILED,
+    60: interface.Outcome.RESET,
+    70: interface.Outcome.CANCELLED,
+    80: interface.Outcome.MOOT,
 }
-LIST_KINDS = {0: i.ListKind.DELTA, 1: i.ListKind.FULL, 2: i.ListKind.CACHED, 3: i.ListKind.FAILED}
-STATES = {0: i.ServerState.GONE, 1: i.ServerState.READY, 2: i.ServerState.DRAINING}
-NOTICES = {1: i.NoticeKind.LOAD, 2: i.NoticeKind.SLOW}
+LIST_KINDS = {
+    0: interface.ListKind.DELTA,
+    1: interface.ListKind.FULL,
+    2: interface.ListKind.CACHED,
+    3: interface.ListKind.FAILED,
+}
+STATES = {0: interface.ServerState.GONE, 1: interface.ServerState.READY, 2: interface.ServerState.DRAINING}
+NOTICE_KINDS = {1: interface.NoticeKind.LOAD, 2: interface.NoticeKind.SLOW}
 SEMANTICS = {
-    "repeatable": i.Semantics.REPEATABLE,
-    "by_key": i.Semantics.BY_KEY,
-    "once": i.Semantics.ONCE,
+    "repeatable": interface.Semantics.REPEATABLE,
+    "by_key": interface.Semantics.BY_KEY,
+    "once": interface.Semantics.ONCE,
+}
+WEIGHT_MODES = {"none": False, "nominal": True, "rough": True, "live": False}
+SCOPES = {
+    "all": interface.DedupScope.ALL,
+    "zone": interface.DedupScope.ZONE,
+    "cell": interface.DedupScope.CELL,
 }
-WEIGHTS = {"none": False, "nominal": True, "rough": True, "live": False}
-SCOPES = {"all": i.DedupScope.ALL, "zone": i.DedupScope.ZONE, "cell": i.DedupScope.CELL}
 
 
 # ---- settings ----------------------------------------------------------------------------------
 
 
-Fault = tuple[str, str]  # a key, and what is amiss with its value
-MOST = 1e15  # in whatever unit
-FLAGS = {"true": True, "1": True, "false": False, "0": False}
+Problem = tuple[str, str]  # a key, and what is amiss with its value
+MAX_NUMBER = 1e15  # in whatever unit
+FLAG_WORDS = {"true": True, "1": True, "false": False, "0": False}
 T = TypeVar("T")
 
 
-class _Pairs:
+class _SettingsText:
     """The settings text as a mapping. What is missing takes the default; so does what is no such value, or
-    out of its range, and that is put down in `faults`."""
+    out of its range, and that is put down in `problems`."""
 
-    def __init__(self, text: str, faults: list[Fault]) -> None:
+    def __init__(self, text: str, problems: list[Problem]) -> None:
         pairs = (line.split("=", 1) for line in text.splitlines() if "=" in line)
         self.values = {name.strip(): value.strip() for name, value in pairs}
-        self.tables = {name[:at] for name in self.values for at, sign in enumerate(name) if sign == "."}
-        self.faults = faults
+        self.tables = {name[:end] for name in self.values for end, char in enumerate(name) if char == "."}
+        self.problems = problems
 
-    def _fault(self, name: str, fault: str) -> None:
-        if (name, fault) not in self.faults:
-            self.faults.append((name, fault))
+    def _report_problem(self, name: str, problem: str) -> None:
+        if (name, problem) not in self.problems:
+            self.problems.append((name, problem))
 
     def _text(self, name: str) -> str | None:
-        for at, sign in enumerate(name):
-            if sign == "." and self.values.get(name[:at]):
-                self._fault(name[:at], "is not an object")
+        for end, char in enumerate(name):
+            if char == "." and self.values.get(name[:end]):
+                self._report_problem(name[:end], "is not an object")
         if name in self.tables:
-            self._fault(name, "is not a single value")
+            self._report_problem(name, "is not a single value")
             return None
         return self.values.get(name)
 
-    def _read(self, name: str, text: str, default: float, least: float, most: float) -> float:
+    def _read(self, name: str, text: str, default: float, min_value: float, max_value: float) -> float:
         try:
             value = float(text)
         except ValueError:
             value = math.nan
-        if least <= value <= most:  # nan is not
+        if min_value <= value <= max_value:  # nan is not
             return value
-        self._fault(name, f"{text[:40]!r} is not a number from {least:g} to {most:g}")
+        self._report_problem(name, f"{text[:40]!r} is not a number from {min_value:g} to {max_value:g}")
         return default
 
-    def number(self, name: str, default: float, least: float = 0.0, most: float = MOST) -> float:
+    def number(
+        self, name: str, default: float, min_value: float = 0.0, max_value: float = MAX_NUMBER
+    ) -> float:
         text = self._text(name)
-        return default if text is None else self._read(name, text, default, least, most)
+        return default if text is None else self._read(name, text, default, min_value, max_value)
 
-    def whole(self, name: str, default: int, least: int = 0) -> int:
-        return int(self.number(name, default, least))
+    def integer(self, name: str, default: int, min_value: int = 0) -> int:
+        return int(self.number(name, default, min_value))
 
     def one_of(self, name: str, words: Mapping[str, T], default: T) -> T:
         text = self._text(name)
         if not text or text.lower() in words:
             return words[text.lower()] if text else default
-        self._fault(name, f"{text[:40]!r} is not one of {', '.join(words)}")
+        self._report_problem(name, f"{text[:40]!r} is not one of {', '.join(words)}")
         return default
 
     def flag(self, name: str) -> bool:
-        return self.one_of(name, FLAGS, False)
+        return self.one_of(name, FLAG_WORDS, False)
 
     def numbers(self, name: str) -> list[float]:
         texts = filter(None, (self._text(name) or "").split(","))
-        return [self._read(f"{name}.{n}", text, 0.0, 0.0, MOST) for n, text in enumerate(texts)]
+        return [self._read(f"{name}.{n}", text, 0.0, 0.0, MAX_NUMBER) for n, text in enumerate(texts)]
 
     def items(self, name: str) -> range:
         """Of a list of objects."""
         if self.values.get(name):
-            self._fault(name, "is not a list of objects")
-        return range(self.whole(f"{name}.count", 0))
+            self._report_problem(name, "is not a list of objects")
+        return range(self.integer(f"{name}.count", 0))
 
-    def needs(self, name: str) -> str:
+    def require(self, name: str) -> str:
         if name not in self.values and name not in self.tables:
-            self._fault(name, "is missing")
+            self._report_problem(name, "is missing")
         return name
 
 
-def _at(values: list[float], index: int) -> float:
+def _value_at(values: list[float], index: int) -> float:
     return values[index] if index < len(values) else 0.0
 
 
-def read_settings(text: str, faults: list[Fault] | None = None) -> i.Settings:
+def read_settings(text: str, problems: list[Problem] | None = None) -> interface.Settings:
     """Unknown names are passed over; missing ones take the defaults of Settings, as do faulty values, which
-    are added to `faults`."""
-    pairs, base, plain = _Pairs(text, [] if faults is None else faults), i.Settings(), i.RequestClass()
+    are added to `problems`."""
+    pairs, defaults, class_defaults = (
+        _SettingsText(text, [] if problems is None else problems),
+        interface.Settings(),
+        interface.RequestClass(),
+    )
     aims = pairs.numbers("extra.message_aim_us")
     classes = tuple(
-        i.RequestClass(
-            aim_us=pairs.whole(f"classes.{n}.aim_us", plain.aim_us),
-            deadline_us=pairs.whole(pairs.needs(f"classes.{n}.hard_limit_us"), plain.deadline_us, 1),
-            semantics=pairs.one_of(f"classes.{n}.semantics", SEMANTICS, plain.semantics),
-            scope=pairs.one_of(f"classes.{n}.group", SCOPES, plain.scope),
-            window_us=pairs.whole(f"classes.{n}.window_us", plain.window_us),
-            worth=pairs.number(f"classes.{n}.worth", plain.worth),
-            message_aim_us=_at(aims, n),
+        interface.RequestClass(
+            aim_us=pairs.integer(f"classes.{n}.aim_us", class_defaults.aim_us),
+            deadline_us=pairs.integer(
+                pairs.require(f"classes.{n}.hard_limit_us"), class_defaults.deadline_us, 1
+            ),
+            semantics=pairs.one_of(f"classes.{n}.semantics", SEMANTICS, class_defaults.semantics),
+            scope=pairs.one_of(f"classes.{n}.group", SCOPES, class_defaults.scope),
+            window_us=pairs.integer(f"classes.{n}.window_us", class_defaults.window_us),
+            worth=pairs.number(f"classes.{n}.worth", class_defaults.worth),
+            message_aim_us=_value_at(aims, n),
         )
         for n in pairs.items("classes")
     )
     quotas = pairs.numbers("extra.tenant_quota_connections")
     tenants = tuple(
-        i.Tenant(
+        interface.Tenant(
             portion=pairs.number(f"accounts.{n}.portion", 1.0),
             quota_per_s=pairs.number(f"accounts.{n}.quota_per_s", 0.0),
-            quota_connections=_at(quotas, n),
+            quota_connections=_value_at(quotas, n),
         )
         for n in pairs.items("accounts")
     )
-    return i.Settings(
-        gateways=pairs.whole("replicas_of_me", base.gateways, 1),
-        slot=pairs.whole("slot_no", base.slot),
-        zone=pairs.whole("az", base.zone),
-        tick_us=pairs.whole("period_us", base.tick_us),
-        classes=classes or base.classes,
+    return interface.Settings(
+        gateways=pairs.integer("replicas_of_me", defaults.gateways, 1),
+        slot=pairs.integer("slot_no", defaults.slot),
+        zone=pairs.integer("az", defaults.zone),
+        tick_us=pairs.integer("period_us", defaults.tick_us),
+        classes=classes or defaults.classes,
         tenants=tenants,
         kinds=tuple(filter(None, pairs.values.get("kinds", "").split(","))),
-        weighted=pairs.one_of("weights", WEIGHTS, False),
+        weighted=pairs.one_of("weights", WEIGHT_MODES, False),
         ask_for_list=pairs.one_of("registry_mode", {"push": False, "ask": True}, False),
         pass_through=pairs.one_of("extra.mode", {"proxy": False, "pass": True}, False),
         tells_delay=pairs.flag("extra.tells_delay"),
-        park_us=pairs.whole("extra.park_us", base.park_us),
-        over_share_worth=pairs.number("over_share_worth", base.over_share_worth, most=1.0),
-        cold_share=pairs.number("invariants.cold_share", base.cold_share, most=1.0),
-        cold_us=max(1, pairs.whole("invariants.cold_us", base.cold_us)),
-        fall_multiple=pairs.number("invariants.fall_multiple", base.fall_multiple),
-        fall_us=pairs.whole("invariants.fall_us", base.fall_us),
-        drain_grace_us=pairs.whole("invariants.stop_sending_within_us", base.drain_grace_us),
-        answer_slack_us=pairs.whole("invariants.answer_slack_us", base.answer_slack_us),
-        ask_within_us=pairs.whole("invariants.ask_within_us", base.ask_within_us),
-        max_attempts=pairs.whole("ceilings.max_attempts", base.max_attempts, 1),
-        spare_attempts=pairs.number("invariants.spare_attempts", base.spare_attempts),
-        extra_per_request=pairs.number("invariants.extra_per_request", base.extra_per_request),
-        look_back_us=pairs.whole("invariants.look_back_us", base.look_back_us),
-        connect_timeout_us=pairs.whole("ceilings.connect_timeout_us", base.connect_timeout_us, 1),
-        max_retry_after_us=pairs.whole("ceilings.max_retry_after_us", base.max_retry_after_us),
+        park_us=pairs.integer("extra.park_us", defaults.park_us),
+        over_share_worth=pairs.number("over_share_worth", defaults.over_share_worth, max_value=1.0),
+        cold_share=pairs.number("invariants.cold_share", defaults.cold_share, max_value=1.0),
+        cold_us=max(1, pairs.integer("invariants.cold_us", defaults.cold_us)),
+        fall_multiple=pairs.number("invariants.fall_multiple", defaults.fall_multiple),
+        fall_us=pairs.integer("invariants.fall_us", defaults.fall_us),
+        drain_grace_us=pairs.integer("invariants.stop_sending_within_us", defaults.drain_grace_us),
+        answer_slack_us=pairs.integer("invariants.answer_slack_us", defaults.answer_slack_us),
+        ask_within_us=pairs.integer("invariants.ask_within_us", defaults.ask_within_us),
+        max_attempts=pairs.integer("ceilings.max_attempts", defaults.max_attempts, 1),
+        spare_attempts=pairs.number("invariants.spare_attempts", defaults.spare_attempts),
+        extra_per_request=pairs.number("invariants.extra_per_request", defaults.extra_per_request),
+        look_back_us=pairs.integer("invariants.look_back_us", defaults.look_back_us),
+        connect_timeout_us=pairs.integer("ceilings.connect_timeout_us", defaults.connect_timeout_us, 1),
+        max_retry_after_us=pairs.integer("ceilings.max_retry_after_us", defaults.max_retry_after_us),
         may_retry_after=pairs.flag("ceilings.retry_after"),
         may_cancel=pairs.flag("ceilings.cancel"),
         may_probe=pairs.flag("ceilings.probes"),
@@ -209,38 +226,42 @@
 
 
 def _request(
-    number: int, expires: int, key: int, group: int, bits: int, cls: int, tenant: int, load: int
-) -> i.Request:
-    return i.Request(
+    number: int, expires: int, key: int, group: int, flags: int, request_class: int, tenant: int, load: int
+) -> interface.Request:
+    return interface.Request(
         request=number,
         expires_in_us=expires,
         key=key,
         group=group,
-        request_class=cls,
+        request_class=request_class,
         tenant=tenant,
-        load_us=load if bits & 1 else None,
-        client_retry=bool(bits & 2),
-        mid_flow=bool(bits & 8),
-        returning=bool(bits & 16),
+        load_us=load if flags & 1 else None,
+        client_retry=bool(flags & 2),
+        mid_flow=bool(flags & 8),
+        returning=bool(flags & 16),
     )
 
 
-def _report(body: bytes, at: int, count: int) -> tuple[float, ...]:
-    return struct.unpack_from(f">{count}f", body, at)
+def _report(body: bytes, offset: int, count: int) -> tuple[float, ...]:
+    return struct.unpack_from(f">{count}f", body, offset)
 
 
-def _read_list(body: bytes) -> i.ServerList | None:
-    _, how, version, count = LIST.unpack_from(body)
-    if len(body) < LIST.size + count * ENTRY.size:
+def _read_list(body: bytes) -> interface.ServerList | None:
+    _, kind, version, count = SERVER_LIST.unpack_from(body)
+    if len(body) < SERVER_LIST.size + count * LIST_ENTRY.size:
         raise BrokenFrame("a server list is shorter than its count says")
-    if how not in LIST_KINDS:
+    if kind not in LIST_KINDS:
         return None
     lines = []
     for n in range(count):
-        server, zone, kind, cell, state, weight, started = ENTRY.unpack_from(body, LIST.size + n * ENTRY.size)
+        server, zone, server_kind, cell, state, weight, started = LIST_ENTRY.unpack_from(
+            body, SERVER_LIST.size + n * LIST_ENTRY.size
+        )
         if state in STATES:
-            lines.append(i.ListedServer(server, STATES[state], weight, zone, kind, cell, started))
-    return i.ServerList(LIST_KINDS[how], version, tuple(lines))
+            lines.append(
+                interface.ListedServer(server, STATES[state], weight, zone, server_kind, cell, started)
+            )
+    return interface.ServerList(LIST_KINDS[kind], version, tuple(lines))
 
 
 def _read_event(code: int, body: bytes) -> Incoming | None:
@@ -253,56 +274,62 @@
     if code == 20:
         return _read_list(body)
     if code == 30:
-        _, number, expires, key, group, bits, cls, tenant, load = REQUEST.unpack_from(body)
-        return _request(number, expires, key, group, bits, cls, tenant, load)
+        _, number, expires, key, group, flags, request_class, tenant, load = REQUEST.unpack_from(body)
+        return _request(number, expires, key, group, flags, request_class, tenant, load)
     if code == 40:
         _, number, attempt, elapsed, server = ESTABLISHED.unpack_from(body)
-        return i.Established(number, attempt, server, elapsed)
+        return interface.Established(number, attempt, server, elapsed)
     if code == 50:
         _, number, attempt, server, status, elapsed, done, count = ANSWER.unpack_from(body)
-        outcome = OUTCOMES.get(status, i.Outcome.UNKNOWN)
+        outcome = OUTCOMES.get(status, interface.Outcome.UNKNOWN)
         report = _report(body, ANSWER.size, count)
-        return i.Answer(number, attempt, server, outcome, elapsed, bool(done), report)
+        return interface.Answer(number, attempt, server, outcome, elapsed, bool(done), report)
     if code == 60:
-        return i.ClientLeft(ID_U64.unpack_from(body)[1])
+        return interface.ClientLeft(ID_U64.unpack_from(body)[1])
     if code == 70:
-        return i.Timer(ID_U64.unpack_from(body)[1])
+        return interface.Timer(ID_U64.unpack_from(body)[1])
     if code == 80:
-        _, status, elapsed, server, count = PROBED.unpack_from(body)
-        report = _report(body, PROBED.size, count)
-        return i.ProbeResult(server, OUTCOMES.get(status, i.Outcome.UNKNOWN), elapsed, report)
+        _, status, elapsed, server, count = PROBE_RESULT.unpack_from(body)
+        report = _report(body, PROBE_RESULT.size, count)
+        return interface.ProbeResult(server, OUTCOMES.get(status, interface.Outcome.UNKNOWN), elapsed, report)
     if code == 90:
-        _, sender, size = HEARD.unpack_from(body)
-        return i.PeerMessage(sender, body[HEARD.size : HEARD.size + size])
+        _, sender, size = PEER_MESSAGE.unpack_from(body)
+        return interface.PeerMessage(sender, body[PEER_MESSAGE.size : PEER_MESSAGE.size + size])
     if code == 100:
         return Kill()
     if code == 110:
-        _, number, cls, tenant, key, expires, load, group, bits, server = EXISTING.unpack_from(body)
-        return i.Existing(_request(number, expires, key, group, bits, cls, tenant, load), server)
+        _, number, request_class, tenant, key, expires, load, group, flags, server = EXISTING.unpack_from(
+            body
+        )
+        return interface.Existing(
+            _request(number, expires, key, group, flags, request_class, tenant, load), server
+        )
     if code == 120:
-        _, number, attempt, server, what, amount = NOTICE.unpack_from(body)
-        return i.Notice(number, attempt, server, NOTICES.get(what, i.NoticeKind.UNKNOWN), amount)
+        _, number, attempt, server, kind, amount = NOTICE.unpack_from(body)
+        return interface.Notice(
+            number, attempt, server, NOTICE_KINDS.get(kind, interface.NoticeKind.UNKNOWN), amount
+        )
     return None
 
 
 def read_batch(frame: bytes) -> tuple[int, list[tuple[int, Incoming]]]:
     """The clock, and each record's instance and event; records of unknown codes are passed over."""
     try:
-        now, count = BATCH.unpack_from(frame)
-        at, events = BATCH.size, []
+        now, count = BATCH_HEADER.unpack_from(frame)
+        offset, events = BATCH_HEADER.size, []
         for _ in range(count):
-            code, size = RECORD.unpack_from(frame, at)
-            at += RECORD.size
-            body = frame[at : at + size]
+            code, size = RECORD_HEADER.unpack_from(frame, offset)
+            offset += RECORD_HEADER.size
+            body = frame[offset : offset + size]
             if len(body) < size:
                 raise BrokenFrame("a record is longer than its frame")
-            at += size
+            offset += size
             event = _read_event(code, body)
             if event is not None:
                 events.append((ID.unpack_from(body)[0], event))
     except struct.error as error:
         raise BrokenFrame(f"a record is too short: {error}") from error
-    if at != len(frame):
+    if offset != len(frame):
         raise BrokenFrame("a frame is longer than its records")
     return now, events
 
@@ -311,7 +338,7 @@
 
 
 def _record(code: int, body: bytes) -> bytes:
-    return RECORD.pack(code, len(body)) + body
+    return RECORD_HEADER.pack(code, len(body)) + body
 
 
 def _text(instance: int, text: str) -> bytes:
@@ -323,33 +350,33 @@
     return _record(10, _text(instance, text))
 
 
-def write_action(instance: int, action: i.Action) -> bytes:
+def write_action(instance: int, action: interface.Action) -> bytes:
     match action:
-        case i.Attempt(request, server, timeout):
+        case interface.Attempt(request, server, timeout):
             return _record(120, struct.pack(">IQII", instance, request, server, max(1, timeout)))
-        case i.SetTimer(delay, token):
+        case interface.SetTimer(delay, token):
             return _record(60, struct.pack(">IIQ", instance, min(max(delay, 0), MAX_DELAY_US), token))
-        case i.Refuse(request, wait):
-            return _record(40, struct.pack(">IQI", instance, request, wait))
-        case i.Fail(request):
+        case interface.Refuse(request, retry_after_us):
+            return _record(40, struct.pack(">IQI", instance, request, retry_after_us))
+        case interface.Fail(request):
             return _record(110, ID_U64.pack(instance, request))
-        case i.Cancel(request, attempt):
+        case interface.Cancel(request, attempt):
             return _record(70, struct.pack(">IQB", instance, request, attempt))
-        case i.Move(request):
+        case interface.Move(request):
             return _record(50, ID_U64.pack(instance, request))
-        case i.Log(text):
+        case interface.Log(text):
             return _record(90, _text(instance, text))
-        case i.Subscribe(on):
+        case interface.Subscribe(on):
             return _record(80, struct.pack(">IB", instance, on))
-        case i.FetchList():
+        case interface.FetchList():
             return _record(20, ID.pack(instance))
-        case i.Probe(server):
+        case interface.Probe(server):
             return _record(130, struct.pack(">II", instance, server))
-        case i.CloseIdle(server):
+        case interface.CloseIdle(server):
             return _record(30, struct.pack(">II", instance, server))
-        case i.Tell(peer, data):
-            to = 0xFFFFFFFF if peer is None else peer
-            return _record(100, struct.pack(">IIH", instance, to, len(data)) + data)
+        case interface.Tell(peer, data):
+            receiver = 0xFFFFFFFF if peer is None else peer
+            return _record(100, struct.pack(">IIH", instance, receiver, len(data)) + data)
 
 
 def write_reply(number: int, records: list[bytes]) -> bytes:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
 from glenfold.config import ConfigError, read_again
 from glenfold.config.platform import settings_of
 from glenfold.daemon import platform
-from linnetspread import interface as i
+from linnetspread import interface
 from linnetspread.wire import read_settings
 
 FAULTY: list[tuple[str, Any]] = [
@@ -85,10 +85,10 @@
 
 KINDS = st.lists(
     st.builds(
-        i.RequestClass,
+        interface.RequestClass,
         deadline_us=st.sampled_from([1, 400_000, 90 * SECOND]),
-        semantics=st.sampled_from(i.Semantics),
-        scope=st.sampled_from(i.DedupScope),
+        semantics=st.sampled_from(interface.Semantics),
+        scope=st.sampled_from(interface.DedupScope),
         window_us=st.sampled_from([0, 2 * SECOND]),
         worth=st.sampled_from([0.0, 1.0, 9.0]),
         message_aim_us=st.sampled_from([0.0, 50.0, 60_000.0]),
@@ -97,14 +97,16 @@
     max_size=5,
 )
 TENANTS = st.lists(
-    st.builds(i.Tenant, st.just(1.0), st.sampled_from([0.0, 0.1, 4.0]), st.sampled_from([0.0, 1.0, 500.0])),
+    st.builds(
+        interface.Tenant, st.just(1.0), st.sampled_from([0.0, 0.1, 4.0]), st.sampled_from([0.0, 1.0, 500.0])
+    ),
     max_size=3,
 )
 SERVERS = st.lists(
     st.builds(
         listed,
         st.integers(1, 6),
-        st.sampled_from(i.ServerState),
+        st.sampled_from(interface.ServerState),
         weight=st.sampled_from([0.0, 1.0, 900.0]),
         zone=st.integers(0, 2),
         kind=st.integers(0, 3),
@@ -113,16 +115,16 @@
     max_size=6,
 )
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["ask", "up", "timer", "slow", "list", *i.Outcome]), st.integers(0, 9)),
+    st.tuples(st.sampled_from(["ask", "up", "timer", "slow", "list", *interface.Outcome]), st.integers(0, 9)),
     max_size=30,
 )
 
 
 @given(KINDS, TENANTS, SERVERS, STEPS, st.booleans(), st.sampled_from([1, 230]), st.sampled_from([1, SECOND]))
 def test_whatever_the_settings_each_request_has_one_attempt_out_at_most_and_one_answer(
-    kinds: list[i.RequestClass],
-    tenants: list[i.Tenant],
-    servers: list[i.ListedServer],
+    kinds: list[interface.RequestClass],
+    tenants: list[interface.Tenant],
+    servers: list[interface.ListedServer],
     steps: list[tuple[Any, int]],
     told: bool,
     gateways: int,
@@ -138,13 +140,13 @@
         gateways=gateways,
         cold_us=cold_us,
     )
-    gateway.servers(i.ListKind.FULL, *servers)
-    asked: dict[int, i.RequestClass] = {}
+    gateway.servers(interface.ListKind.FULL, *servers)
+    asked: dict[int, interface.RequestClass] = {}
     out, ran, ended = set[int](), set[int](), set[int]()
     for what, n in steps:
         gateway.now += n * 100_000
         number = n % len(asked) + 1 if asked else 0
-        actions: list[i.Action] = []
+        actions: list[interface.Action] = []
         if what == "ask":
             number = gateway.next_request
             asked[number] = kinds[n % len(kinds)]
@@ -158,24 +160,26 @@
                 expires_in_us=asked[number].deadline_us,
             )[1]
         elif what == "list":
-            actions = gateway.servers(i.ListKind.DELTA, *servers[:n])
+            actions = gateway.servers(interface.ListKind.DELTA, *servers[:n])
         elif what == "timer" and number:
             actions = gateway.timer(number)
         elif what == "up" and number in out:
             ended.add(number)  # it stands: nothing more is owed to it than its end
             actions = gateway.establish(number, n * 100_000)
         elif what == "slow" and number in out:
-            actions = gateway.note(number, i.NoticeKind.SLOW, n * 100.0)
-        elif isinstance(what, i.Outcome) and number in out:
+            actions = gateway.note(number, interface.NoticeKind.SLOW, n * 100.0)
+        elif isinstance(what, interface.Outcome) and number in out:
             out.remove(number)
             if not what.never_ran:
                 ran.add(number)
-            actions = gateway.answer(number, what, done=number in ended or what is i.Outcome.OK)
-            if what is i.Outcome.OK:
+            actions = gateway.answer(number, what, done=number in ended or what is interface.Outcome.OK)
+            if what is interface.Outcome.OK:
                 ended.add(number)
         for action in sends(actions):
             assert action.request not in out | ended
-            assert action.request not in ran or asked[action.request].semantics is not i.Semantics.ONCE
+            assert (
+                action.request not in ran or asked[action.request].semantics is not interface.Semantics.ONCE
+            )
             out.add(action.request)
         for action in finals(actions):
             assert action.request not in ended
@@ -185,16 +189,16 @@
 
 
 def test_where_no_aim_is_told_no_delay_makes_a_jam() -> None:
-    gateway = Gateway(servers=1, classes=(i.RequestClass(),))
+    gateway = Gateway(servers=1, classes=(interface.RequestClass(),))
     for elapsed in (1_000, 2_000, 3_000, 900_000):
-        assert not moves(gateway.give(i.Established(gateway.open(elapsed=elapsed), 0, 100, elapsed)))
+        assert not moves(gateway.give(interface.Established(gateway.open(elapsed=elapsed), 0, 100, elapsed)))
     known = gateway.balancer.servers[100]
     assert known.slice.size == 1 and known.backoff_until == 0
 
 
 def test_worth_may_be_told_of_no_class() -> None:
-    gateway = Gateway(servers=1, classes=(i.RequestClass(worth=0.0, message_aim_us=60_000.0),))
-    gateway.note(gateway.open(), i.NoticeKind.SLOW, 500.0)
+    gateway = Gateway(servers=1, classes=(interface.RequestClass(worth=0.0, message_aim_us=60_000.0),))
+    gateway.note(gateway.open(), interface.NoticeKind.SLOW, 500.0)
     gateway.balancer.servers[100].slice.size = 0.5
     assert gateway.ask(returning=True)[1]
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,7 @@
 
 import pytest
 
-from linnetspread import interface as i
-from linnetspread import wire
+from linnetspread import interface, wire
 from linnetspread.adapter import Host
 
 SETTINGS = "\n".join(
@@ -69,28 +68,28 @@
     assert now == 0x805C5A
     assert events[0] == (
         3,
-        i.Request(0x674AB5D3A91C4, 0x3A980, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, load_us=0x2EE0),
+        interface.Request(0x674AB5D3A91C4, 0x3A980, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, load_us=0x2EE0),
     )
-    assert events[1:] == [(3, i.Timer(0x4D)), (5, i.ClientLeft(0x601260E6F2B19))]
+    assert events[1:] == [(3, interface.Timer(0x4D)), (5, interface.ClientLeft(0x601260E6F2B19))]
 
 
 def test_the_examples_of_the_wire_are_written():
     written = [
         (
-            i.Attempt(0x674AB5D3A91C4, 0x3124A07, 80_000),
+            interface.Attempt(0x674AB5D3A91C4, 0x3124A07, 80_000),
             "7800000014 00000003 000674ab5d3a91c4 03124a07 00013880",
         ),
-        (i.SetTimer(500_000, 77), "3c00000010 00000003 0007a120 000000000000004d"),
-        (i.Refuse(0x601260E6F2B19, 250_000), "2800000010 00000003 000601260e6f2b19 0003d090"),
-        (i.Fail(0x601260E6F2B19), "6e0000000c 00000003 000601260e6f2b19"),
-        (i.Cancel(0x674AB5D3A91C4, 0), "460000000d 00000003 000674ab5d3a91c4 00"),
-        (i.Move(0x674AB5D3A91C4), "320000000c 00000003 000674ab5d3a91c4"),
-        (i.Log("two servers known"), "5a00000017 00000003 0011 74776f2073657276657273206b6e6f776e"),
-        (i.Subscribe(True), "5000000005 00000003 01"),
-        (i.FetchList(), "1400000004 00000003"),
-        (i.Probe(0x2C9011F2), "8200000008 00000003 2c9011f2"),
-        (i.CloseIdle(0x2C9011F2), "1e00000008 00000003 2c9011f2"),
-        (i.Tell(None, b"hi 7"), "640000000e 00000003 ffffffff 0004 68692037"),
+        (interface.SetTimer(500_000, 77), "3c00000010 00000003 0007a120 000000000000004d"),
+        (interface.Refuse(0x601260E6F2B19, 250_000), "2800000010 00000003 000601260e6f2b19 0003d090"),
+        (interface.Fail(0x601260E6F2B19), "6e0000000c 00000003 000601260e6f2b19"),
+        (interface.Cancel(0x674AB5D3A91C4, 0), "460000000d 00000003 000674ab5d3a91c4 00"),
+        (interface.Move(0x674AB5D3A91C4), "320000000c 00000003 000674ab5d3a91c4"),
+        (interface.Log("two servers known"), "5a00000017 00000003 0011 74776f2073657276657273206b6e6f776e"),
+        (interface.Subscribe(True), "5000000005 00000003 01"),
+        (interface.FetchList(), "1400000004 00000003"),
+        (interface.Probe(0x2C9011F2), "8200000008 00000003 2c9011f2"),
+        (interface.CloseIdle(0x2C9011F2), "1e00000008 00000003 2c9011f2"),
+        (interface.Tell(None, b"hi 7"), "640000000e 00000003 ffffffff 0004 68692037"),
     ]
     for action, text in written:
         assert wire.write_action(3, action).hex() == text.replace(" ", "")
@@ -100,16 +99,16 @@
 def test_settings_take_defaults_and_skip_unknown_names():
     read = wire.read_settings(SETTINGS)
     assert (read.gateways, read.slot, read.weighted, read.pass_through) == (2, 1, True, True)
-    assert read.max_attempts == i.Settings().max_attempts
-    assert read.classes[0].semantics is i.Semantics.REPEATABLE
-    assert wire.read_settings("") == i.Settings()
+    assert read.max_attempts == interface.Settings().max_attempts
+    assert read.classes[0].semantics is interface.Semantics.REPEATABLE
+    assert wire.read_settings("") == interface.Settings()
 
 
 def test_unknown_codes_and_values_are_passed_over():
     unknown = record(99, struct.pack(">I", 3))
     strange = record(50, struct.pack(">IQBIHIBB", 3, 5, 0, 9, 77, 1, 0, 0))
     _, events = wire.read_batch(batch(1, 5, unknown, strange)[8:])
-    assert len(events) == 1 and events[0][1].outcome is i.Outcome.UNKNOWN
+    assert len(events) == 1 and events[0][1].outcome is interface.Outcome.UNKNOWN
 
 
 def test_a_good_run_answers_every_batch_and_exits_cleanly():
