--- a/linnetspread/__init__.py
+++ b/linnetspread/__init__.py
@@ -1,4 +1,4 @@
-"""linnetspread: the decisions of a balancer for long-lived connections."""
+"""linnetspread: the placement decisions of a load balancer for long-lived connections."""
 
 from linnetspread.choice import Balancer
 
--- a/linnetspread/adapter.py
+++ b/linnetspread/adapter.py
@@ -1,4 +1,7 @@
-"""Joins the decision module to the wire: many instances, sharing nothing, on one standard input."""
+"""Connects the decision module to the wire.
+
+Many independent instances are served over one standard input and output.
+"""
 
 import struct
 import sys
@@ -18,18 +21,19 @@
 
 
 class Host:
-    """The instances of one process."""
+    """The decision instances of one process, by number."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
 
     def answer(self, frame: bytes) -> list[bytes]:
+        """Returns the records of the actions that follow from the events of a frame."""
         now, events = wire.read_batch(frame)
         records: list[bytes] = []
         for instance, event in events:
             try:
                 records += self._handle(now, instance, event)
-            except Exception as error:  # one instance's fault must not take the others with it
+            except Exception as error:  # The failure of one instance must not end the others.
                 self.instances.pop(instance, None)
                 records.append(wire.write_fatal(instance, f"{type(error).__name__}: {error}"))
         return records
@@ -46,6 +50,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Replies to each frame until the input ends."""
     host = Host()
     while header := source.read(HEADER.size):
         if len(header) < HEADER.size:
@@ -56,6 +61,7 @@
 
 
 def main() -> int:
+    """Serves standard input; returns 1 after a broken frame, else 0."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.BrokenFrame as error:
--- a/linnetspread/wire.py
+++ b/linnetspread/wire.py
@@ -1,4 +1,4 @@
-"""The codec: binary records of the wire to and from the types of interface.py. No decisions here."""
+"""The codec between the binary records of the wire and the types of interface.py; it makes no decisions."""
 
 import math
 import struct
@@ -12,18 +12,20 @@
 
 
 class BrokenFrame(Exception):
-    """The bytes are not a frame of this wire."""
+    """Raised when bytes are not a valid frame of the wire."""
 
 
 @dataclass(frozen=True, slots=True)
 class PowerOn:
+    """Starts an instance, or starts it anew, with a seed for its random waits."""
+
     seed: int
     settings: interface.Settings
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    pass
+    """Ends an instance without any further action."""
 
 
 Incoming = interface.Event | PowerOn | Kill
@@ -77,15 +79,20 @@
 # ---- settings ----------------------------------------------------------------------------------
 
 
-Problem = tuple[str, str]  # a key, and what is amiss with its value
-MAX_NUMBER = 1e15  # in whatever unit
+# A key of the settings, and what is wrong with its value.
+Problem = tuple[str, str]
+# The largest number that a setting may have, whatever its unit.
+MAX_NUMBER = 1e15
 FLAG_WORDS = {"true": True, "1": True, "false": False, "0": False}
 T = TypeVar("T")
 
 
 class _SettingsText:
-    """The settings text as a mapping. What is missing takes the default; so does what is no such value, or
-    out of its range, and that is put down in `problems`."""
+    """The settings text as a mapping from names to values.
+
+    A missing value takes its default. So does a value of the wrong type or out of its range, which is added
+    to `problems` as well.
+    """
 
     def __init__(self, text: str, problems: list[Problem]) -> None:
         pairs = (line.split("=", 1) for line in text.splitlines() if "=" in line)
@@ -111,11 +118,14 @@
             value = float(text)
         except ValueError:
             value = math.nan
-        if min_value <= value <= max_value:  # nan is not
+        # NaN fails both comparisons.
+        if min_value <= value <= max_value:
             return value
         self._report_problem(name, f"{text[:40]!r} is not a number from {min_value:g} to {max_value:g}")
         return default
 
+    # Each reader below returns the value of a name, or the default if it is missing or faulty.
+
     def number(
         self, name: str, default: float, min_value: float = 0.0, max_value: float = MAX_NUMBER
     ) -> float:
@@ -140,12 +150,13 @@
         return [self._read(f"{name}.{n}", text, 0.0, 0.0, MAX_NUMBER) for n, text in enumerate(texts)]
 
     def items(self, name: str) -> range:
-        """Of a list of objects."""
+        """Returns the indexes of a list of objects."""
         if self.values.get(name):
             self._report_problem(name, "is not a list of objects")
         return range(self.integer(f"{name}.count", 0))
 
     def require(self, name: str) -> str:
+        """Returns the name, and reports a problem if the settings lack it."""
         if name not in self.values and name not in self.tables:
             self._report_problem(name, "is missing")
         return name
@@ -156,8 +167,11 @@
 
 
 def read_settings(text: str, problems: list[Problem] | None = None) -> interface.Settings:
-    """Unknown names are passed over; missing ones take the defaults of Settings, as do faulty values, which
-    are added to `problems`."""
+    """Returns the settings of a text with lines `name=value`.
+
+    Unknown names are ignored. Missing and faulty values take the defaults of Settings, and the faulty ones
+    are added to `problems`.
+    """
     pairs, defaults, class_defaults = (
         _SettingsText(text, [] if problems is None else problems),
         interface.Settings(),
@@ -313,7 +327,10 @@
 
 
 def read_batch(frame: bytes) -> tuple[int, list[tuple[int, Incoming]]]:
-    """The clock, and each record's instance and event; records of unknown codes are passed over."""
+    """Returns the clock (us) and, for each record, its instance and event.
+
+    Records of unknown codes are ignored. Raises BrokenFrame if the frame is malformed.
+    """
     try:
         now, count = BATCH_HEADER.unpack_from(frame)
         offset, events = BATCH_HEADER.size, []
@@ -347,10 +364,12 @@
 
 
 def write_fatal(instance: int, text: str) -> bytes:
+    """Returns the record that reports the failure of an instance."""
     return _record(10, _text(instance, text))
 
 
 def write_action(instance: int, action: interface.Action) -> bytes:
+    """Returns the record of an action."""
     match action:
         case interface.Attempt(request, server, timeout):
             return _record(120, struct.pack(">IQII", instance, request, server, max(1, timeout)))
@@ -380,5 +399,6 @@
 
 
 def write_reply(number: int, records: list[bytes]) -> bytes:
+    """Returns the reply to the batch of this number."""
     body = b"".join(records)
     return struct.pack(">III", number, len(records), len(body)) + body
