--- a/tests/test_anchor.py
+++ b/tests/test_anchor.py
@@ -5,7 +5,7 @@
 from linnetspread.choice import SEEDS, Anchor, mix
 
 KEYS = [mix(n) for n in range(1, 501)]
-fixed = settings(derandomize=True, max_examples=40, deadline=None)
+deterministic = settings(derandomize=True, max_examples=40, deadline=None)
 fleets = st.dictionaries(st.integers(0, 2**32 - 1), st.integers(80, 200), min_size=2, max_size=20)
 
 
@@ -13,45 +13,45 @@
     return Anchor(sorted(fleet.items()))
 
 
-def table(anchor: Anchor) -> list[int | None]:
+def servers_of_keys(anchor: Anchor) -> list[int | None]:
     return [anchor.lookup(key, SEEDS[0]) for key in KEYS]
 
 
-@fixed
+@deterministic
 @given(fleets, st.data())
 def test_a_removal_moves_only_the_removed_servers_keys(fleet, data):
-    anchor, gone = build(fleet), data.draw(st.sampled_from(sorted(fleet)))
-    before = table(anchor)
-    anchor.remove(gone)
-    after = table(anchor)
-    assert gone not in after
-    assert all(a == b for a, b in zip(before, after, strict=True) if b is not None and a != gone)
+    anchor, removed = build(fleet), data.draw(st.sampled_from(sorted(fleet)))
+    before = servers_of_keys(anchor)
+    anchor.remove(removed)
+    after = servers_of_keys(anchor)
+    assert removed not in after
+    assert all(a == b for a, b in zip(before, after, strict=True) if b is not None and a != removed)
 
 
-@fixed
+@deterministic
 @given(fleets, st.integers(0, 2**32 - 1), st.integers(80, 200))
 def test_an_addition_moves_keys_only_to_the_new_server(fleet, new, count):
     fleet.pop(new, None)
     anchor = build(fleet)
-    before = table(anchor)
+    before = servers_of_keys(anchor)
     anchor.add(new, count)
-    assert all(b in (a, new) for a, b in zip(before, table(anchor), strict=True))
+    assert all(b in (a, new) for a, b in zip(before, servers_of_keys(anchor), strict=True))
 
 
-@fixed
+@deterministic
 @given(fleets, st.lists(st.tuples(st.integers(0, 2**32 - 1), st.integers(80, 200)), max_size=20), st.data())
-def test_a_gateway_that_starts_late_maps_as_one_that_saw_every_change(fleet, further, data):
+def test_a_gateway_that_starts_late_builds_the_map_of_one_that_saw_every_change(fleet, additions, data):
     """Half of a release replaced while gateways restart: whoever stands is found by all of them."""
     anchor = build(fleet)
-    for server, count in further:
+    for server, count in additions:
         if data.draw(st.booleans()) and anchor.buckets_of:
-            gone = data.draw(st.sampled_from(sorted(anchor.buckets_of)))
-            anchor.remove(gone)
-            del fleet[gone]
+            removed = data.draw(st.sampled_from(sorted(anchor.buckets_of)))
+            anchor.remove(removed)
+            del fleet[removed]
         if server not in fleet:
             anchor.add(server, count)
             fleet[server] = count
-    assert table(anchor) == table(build(fleet))
+    assert servers_of_keys(anchor) == servers_of_keys(build(fleet))
 
 
 def test_shares_follow_the_bucket_counts():
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -1,7 +1,7 @@
 """What one gateway lets into servers that just started. tests/test_cold_fleet.py tells the fault."""
 
 import pytest
-from driver import SECOND, Gateway, listed, sends
+from driver import SECOND, Gateway, attempts_in, listed
 
 from linnetspread.choice import MAX_MEAN_LIFE_US, PRIOR_WEIGHT_US, SEEDS
 from linnetspread.interface import ListKind, Outcome, Tenant
@@ -9,7 +9,7 @@
 SERVERS = tuple(range(100, 108))
 
 
-def warming(**changes: object) -> Gateway:
+def warming_gateway(**changes: object) -> Gateway:
     return Gateway(8, cold_us=20 * SECOND, cold_share=0.15, fall_multiple=3.0, **changes)
 
 
@@ -27,8 +27,8 @@
     return server
 
 
-def test_connections_that_broke_at_the_end_of_servers_close_no_cold_one() -> None:
-    gateway = warming(tenants=(Tenant(1.0, 20.0, 600.0),))
+def test_resets_by_servers_that_end_do_not_shrink_the_slices_of_cold_servers() -> None:
+    gateway = warming_gateway(tenants=(Tenant(1.0, 20.0, 600.0),))
     for key in range(1, 101):
         gateway.open(key)
     restart_all(gateway)
@@ -36,51 +36,54 @@
     assert (
         gateway.balancer.mean_slice.size_at(gateway.now) < 1
     )  # what the resets made of its guess for all servers
-    assert {gateway.balancer._slice_size(known) for known in gateway.balancer.servers.values()} == {1.0}
-    attempts = [sends(gateway.ask(key, returning=True)[1]) for key in range(1, 1_001)]
+    assert {gateway.balancer._slice_size(server) for server in gateway.balancer.servers.values()} == {1.0}
+    attempts = [attempts_in(gateway.request(key, returning=True)[1]) for key in range(1, 1_001)]
     placed = [(key, tried[0].server) for key, tried in enumerate(attempts, 1) if tried]
     assert len(placed) > 30
     assert all(server == home(gateway, key) for key, server in placed)
 
 
-def test_a_guess_for_servers_never_seen_holds_for_warm_ones_still() -> None:
-    gateway = warming()
+def test_the_mean_slice_still_applies_to_warm_servers_that_were_never_used() -> None:
+    gateway = warming_gateway()
     gateway.servers(ListKind.DELTA, listed(107, started_us=gateway.now))
     number = gateway.open(1)
     gateway.balancer.mean_slice.size = 0.5
-    seen = gateway.where[number]
+    seen = gateway.server_of[number]
     for server in SERVERS:
         expected = 1.0 if server in (seen, 107) else pytest.approx(0.5)
         assert gateway.balancer._slice_size(gateway.balancer.servers[server]) == expected
 
 
-def filled(gateway: Gateway) -> float:
+def admitted_part(gateway: Gateway) -> float:
     return gateway.balancer._admitted_part(10 * SECOND)
 
 
 @pytest.mark.parametrize("life_s", [20, 60, 200])
-def test_without_shares_turns_come_as_fast_as_connections_were_seen_to_end(life_s: int) -> None:
-    gateway, told = warming(), warming(tenants=(Tenant(1.0, 100 / life_s, 100.0),))
-    slowest = filled(gateway)
+def test_without_shares_turns_follow_the_observed_life_of_connections(life_s: int) -> None:
+    gateway, configured = warming_gateway(), warming_gateway(tenants=(Tenant(1.0, 100 / life_s, 100.0),))
+    slowest = admitted_part(gateway)
     numbers = [gateway.open(key) for key in range(1, 101)]
     for second in range(5 * life_s):  # 100 stand all the time: one ends each hundredth of a life
         gateway.now += SECOND
         for _ in range(100 * (second + 1) // life_s - 100 * second // life_s):
             gateway.answer(numbers.pop(0), Outcome.OK, done=True)
             numbers.append(gateway.open(1_000 + len(gateway.attempts)))
-    assert slowest < filled(gateway)
-    assert filled(gateway) == pytest.approx(filled(told), rel=0.15)
+    assert slowest < admitted_part(gateway)
+    assert admitted_part(gateway) == pytest.approx(admitted_part(configured), rel=0.15)
 
 
-def test_before_anything_was_seen_a_connection_is_taken_to_last_as_long_as_any_site_may_have() -> None:
-    fresh, told = warming(), warming(tenants=(Tenant(1.0, 1e-9, 1e-9 * MAX_MEAN_LIFE_US / SECOND),))
-    assert filled(fresh) == pytest.approx(filled(told), rel=0.01)
+def test_without_experience_connections_are_assumed_to_last_the_longest_mean_life() -> None:
+    fresh, configured = (
+        warming_gateway(),
+        warming_gateway(tenants=(Tenant(1.0, 1e-9, 1e-9 * MAX_MEAN_LIFE_US / SECOND),)),
+    )
+    assert admitted_part(fresh) == pytest.approx(admitted_part(configured), rel=0.01)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CANCELLED])
-def test_ends_that_a_server_or_the_front_made_tell_no_life(outcome: Outcome) -> None:
+def test_ends_caused_by_a_server_or_the_front_do_not_count_towards_the_mean_life(outcome: Outcome) -> None:
     """A reset is the server's end, and a server that is gone from the list has sent its clients away."""
-    gateway = warming()
+    gateway = warming_gateway()
     numbers = [gateway.open(key) for key in range(1, 101)]
     if outcome is Outcome.CANCELLED:
         gateway.servers(ListKind.FULL, listed(200))
@@ -89,42 +92,44 @@
     assert gateway.balancer.ended_connections == 0
 
 
-def test_no_life_is_taken_to_be_longer_than_any_site_may_have() -> None:
-    gateway = warming()
-    fresh = filled(gateway)
+def test_the_learnt_life_stays_within_the_longest_mean_life() -> None:
+    gateway = warming_gateway()
+    fresh = admitted_part(gateway)
     gateway.open(1)
     gateway.now += 1_000 * SECOND
     gateway.open(2)
-    assert filled(gateway) == fresh
+    assert admitted_part(gateway) == fresh
 
 
-def test_packets_that_come_from_another_gateway_make_up_for_those_that_went() -> None:
-    gateway = warming()
+def test_arrivals_from_another_gateway_offset_departures_to_one() -> None:
+    gateway = warming_gateway()
     for key in range(1, 101):
         gateway.answer(gateway.open(key, mid_flow=True), Outcome.CANCELLED, done=True)
     assert gateway.balancer.ended_connections == 0
 
 
-def usual(gateway: Gateway) -> float:
+def usual_fraction(gateway: Gateway) -> float:
     return gateway.balancer.connections[gateway.open()].usual_fraction
 
 
-def test_a_gateway_takes_no_more_than_its_usual_flow_for_new_clients() -> None:
+def test_only_the_usual_flow_counts_as_new_clients() -> None:
     """Nobody says that it comes back: the first may be new, but a hundred within a second are not."""
-    gateway = warming(gateways=10, tenants=(Tenant(1.0, 20.0, 6_000.0),))  # two new ones a second here
+    gateway = warming_gateway(
+        gateways=10, tenants=(Tenant(1.0, 20.0, 6_000.0),)
+    )  # two new ones a second here
     gateway.servers(ListKind.DELTA, listed(107, started_us=gateway.now + 60 * SECOND))  # cold till the end
-    first, *others = [usual(gateway) for _ in range(100)]
+    first, *others = [usual_fraction(gateway) for _ in range(100)]
     assert first == 1 and sum(others) <= 2
     gateway.now += 20 * SECOND
-    evenly = []
+    spread_out = []
     for _ in range(100):
         gateway.now += SECOND // 2
-        evenly.append(usual(gateway))
-    assert sum(evenly) > 90
+        spread_out.append(usual_fraction(gateway))
+    assert sum(spread_out) > 90
 
 
-def test_the_usual_flow_is_learnt_where_no_shares_tell_it() -> None:
-    gateway = warming()
+def test_without_shares_the_usual_flow_is_learnt() -> None:
+    gateway = warming_gateway()
     assert gateway.balancer._new_client_rate() == 0
     for key in range(1, 101):
         gateway.now += SECOND
--- a/tests/test_cold_turns.py
+++ b/tests/test_cold_turns.py
@@ -31,14 +31,14 @@
     [Case("steady", 0.4, back_per_s=300.0), Case("rush of all", 1.0)],
     ids=lambda case: case.name,
 )
-def test_no_cold_server_of_a_sparse_fleet_is_sent_more_than_it_bears(case):
+def test_no_cold_server_of_a_sparse_fleet_is_sent_more_than_it_can_carry(case):
     cold = cold_turns.play(case, gateways=200, servers=50, seed=1)
     assert len(cold) == 25
     assert sum(server.total for server in cold) > 0
     assert max(server.fullest for server in cold) <= 1
 
 
-def test_a_rush_of_all_clients_late_in_the_warm_up_pushes_no_cold_server_over():
+def test_a_rush_of_all_clients_late_in_the_warm_up_overloads_no_cold_server():
     """All clients of the shares come back at once, 10 s after half of the servers started. A cold server was
     sent up to 1.77 times what it bears (seeds 1 to 8), and fell.
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(("at_s", "gateways", "servers", "group_size"), RUSHES)
-def test_no_moment_size_or_group_of_a_rush_pushes_a_cold_server_over(
+def test_a_rush_overloads_no_cold_server_at_any_time_fleet_size_or_group_size(
     at_s, gateways, servers, group_size, monkeypatch
 ):
     monkeypatch.setattr(cold_turns, "GROUP_SIZE", group_size)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
 @pytest.mark.parametrize("at_s", [0.0, 10.0])
-def test_where_all_servers_start_anew_refused_clients_that_come_again_push_none_over(gateways, at_s):
+def test_refused_clients_that_retry_overload_no_server_where_all_servers_restarted(gateways, at_s):
     """With no warm server left the turns at four servers added up to four times those of one: 29 to 38 of 50
     servers fell in each play of this case, and all of them where the clients came after 10 s."""
     everyone = Case("all anew", 1.0, rush_at_s=at_s, all_anew=True)
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from driver import SECOND, Gateway, listed, moves, sends
+from driver import SECOND, Gateway, attempts_in, listed, moved_requests
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -26,7 +26,7 @@
             Gateway(servers, gateways=gateways, slot=slot, seed=slot, **(values | changes))
             for slot in range(gateways)
         ]
-        self.chance = random.Random(5)
+        self.rng = random.Random(5)
         self.number = 0
 
     def servers(self, *lines: object) -> None:
@@ -37,21 +37,21 @@
         for gateway in self.gateways:
             gateway.now += us
 
-    def ask(self, key: int, **more: object) -> tuple[Gateway, int, int | None]:
+    def request(self, key: int, **fields: object) -> tuple[Gateway, int, int | None]:
         self.number += 1
-        gateway = self.chance.choice(self.gateways)
-        actions = gateway.give(Request(self.number, 3 * SECOND, key, **more))  # type: ignore[arg-type]
-        attempts = sends(actions)
+        gateway = self.rng.choice(self.gateways)
+        actions = gateway.handle(Request(self.number, 3 * SECOND, key, **fields))  # type: ignore[arg-type]
+        attempts = attempts_in(actions)
         return gateway, self.number, attempts[0].server if attempts else None
 
-    def open(self, key: int, **more: object) -> tuple[Gateway, int, int | None]:
-        gateway, number, server = self.ask(key, **more)
+    def open(self, key: int, **fields: object) -> tuple[Gateway, int, int | None]:
+        gateway, number, server = self.request(key, **fields)
         if server is not None:
             gateway.establish(number)
         return gateway, number, server
 
 
-def chance(calls: float) -> float:
+def allowance_for_chance(calls: float) -> float:
     """By how many calls a cold server's budget may be exceeded before it falls."""
     return 2 * math.sqrt(calls) + 2
 
@@ -62,13 +62,13 @@
 
 @pytest.mark.parametrize("gateways", COUNTS)
 @pytest.mark.parametrize("flag", ["returning", "mid_flow", "client_retry"])
-def test_a_rush_of_returning_clients_does_not_push_a_cold_server_over(gateways, flag):
+def test_a_rush_of_returning_clients_does_not_overload_a_cold_server(gateways, flag):
     fleet = Fleet(gateways)
     started = fleet.gateways[0].now
     fleet.servers(*(listed(n, started_us=started) for n in (100, 101, 102, 103)))  # four restart at once
     sent = dict.fromkeys((100, 101, 102, 103), 0)
     for key in range(1, int(RATE * LIFE_S) + 1):  # every client of the deployment, within two seconds
-        _, _, server = fleet.ask(key, **{flag: True})
+        _, _, server = fleet.request(key, **{flag: True})
         if server in sent:
             sent[server] += 1
         fleet.wait(2 * SECOND * 10 // (10 * int(RATE * LIFE_S)))
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
-def test_without_shares_a_rush_does_not_push_a_half_warm_server_over(gateways):
+def test_without_shares_a_rush_does_not_overload_a_half_warm_server(gateways):
     """Nothing tells how long connections last. Here it is 120 s, six times the warm-up: ten servers of sixty
     clients take five new ones a second, and all 600 clients come back within two seconds."""
     fleet = Fleet(gateways, tenants=())
@@ -85,21 +85,21 @@
     fleet.wait(10 * SECOND)
     sent = Counter()
     for key in range(1, 601):
-        sent[fleet.ask(key, returning=True)[2]] += 1
+        sent[fleet.request(key, returning=True)[2]] += 1
         fleet.wait(2 * SECOND // 600)
     budget = 3 * (0.15 + 0.85 / 2) * 5 / 10 * 2
-    assert max(sent[100 + n] for n in range(4)) <= budget + chance(budget)  # where it falls
+    assert max(sent[100 + n] for n in range(4)) <= budget + allowance_for_chance(budget)  # where it falls
     assert sum(sent[100 + n] for n in range(4)) <= 4 * budget
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
-def test_a_cold_server_is_neither_pushed_over_nor_starved_by_new_clients(gateways):
+def test_a_cold_server_is_neither_overloaded_nor_starved_by_new_clients(gateways):
     fleet = Fleet(gateways)
     started = fleet.gateways[0].now
     fleet.servers(listed(200, started_us=started))
     times = []
     for n in range(int(RATE) * 20):
-        _, _, server = fleet.ask(10_000 + 7 * n)
+        _, _, server = fleet.request(10_000 + 7 * n)
         if server == 200:
             times.append(n / RATE)
         fleet.wait(int(SECOND / RATE))
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
-def test_replacements_in_waves_are_spared_each_and_spills_stay_off_them(gateways):
+def test_returning_clients_and_overflow_stay_off_servers_replaced_in_waves(gateways):
     fleet = Fleet(gateways)
     key, spilled_to_cold = 0, 0
     for wave in range(3):
@@ -119,7 +119,7 @@
         fresh = 0
         for _ in range(60):
             key += 1
-            _, _, server = fleet.ask(key, returning=True)
+            _, _, server = fleet.request(key, returning=True)
             fresh += server == new
             spilled_to_cold += server in range(300, 300 + wave)
         assert fresh == 0
@@ -128,18 +128,18 @@
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
-def test_a_jam_takes_about_the_same_part_of_a_servers_keys_whatever_the_number_of_gateways(gateways):
+def test_an_overload_moves_about_the_same_part_of_the_keys_for_any_number_of_gateways(gateways):
     fleet = Fleet(gateways)
     opened = [fleet.open(key, group=key % 50 + 1) for key in range(1, 1_001)]
     there = [(gateway, number) for gateway, number, server in opened if server == 104]
     moved = 0
     for gateway, number in there:
-        moved += len(moves(gateway.note(number, NoticeKind.SLOW, 120.0)))
+        moved += len(moved_requests(gateway.notice(number, NoticeKind.SLOW, 120.0)))
     assert 0.3 < moved / len(there) < 0.7
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
-def test_a_tenant_within_its_share_is_not_taken_for_one_over_it(gateways):
+def test_a_tenant_within_its_share_does_not_count_as_over_it(gateways):
     fleet = Fleet(gateways, tenants=(Tenant(0.9, 18.0, 540.0), Tenant(0.1, 2.0, 60.0)), tells_delay=True)
     held = [fleet.open(key, tenant=int(key % 10 == 0)) for key in range(1, 501)]
     over = [
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3])
-def test_a_tenant_far_over_its_share_is_seen(gateways):
+def test_a_tenant_far_over_its_share_is_recognised(gateways):
     fleet = Fleet(gateways, tenants=(Tenant(0.9, 18.0, 540.0), Tenant(0.1, 2.0, 60.0)))
     held = [fleet.open(key, tenant=1) for key in range(1, 501)]
     over = [
@@ -158,19 +158,20 @@
     assert all(over)
 
 
-def test_a_gateway_that_never_saw_a_server_takes_it_to_be_as_full_as_the_others():
+def test_a_server_never_used_counts_as_full_as_the_others():
     gateway = Gateway(servers=40)
     opened = [gateway.open(n) for n in range(1, 9)]
     for _ in range(6):  # everything it holds jams, again and again
         for number in opened:
             if number in gateway.balancer.connections and not gateway.balancer.connections[number].finished:
-                gateway.note(number, NoticeKind.SLOW, 150.0)
+                gateway.notice(number, NoticeKind.SLOW, 150.0)
         gateway.now += SECOND
-    used = {gateway.where[number] for number in opened}
+    used = {gateway.server_of[number] for number in opened}
     home = [(key, gateway.balancer.anchor.lookup(key, 0x9E3779B97F4A7C15)) for key in range(100, 400)]
     never_seen = [(key, server) for key, server in home if server not in used]
     left_home = sum(
-        sends(gateway.ask(key, group=key % 9 + 1)[1])[0].server != server for key, server in never_seen
+        attempts_in(gateway.request(key, group=key % 9 + 1)[1])[0].server != server
+        for key, server in never_seen
     )
     assert left_home > len(never_seen) // 4
 
@@ -193,12 +194,12 @@
     struck = [(key, gateway, number) for key, (gateway, number, server) in tried if server == 104]
     for _, gateway, number in struck:
         gateway.answer(number, Outcome.RESET, done=True)
-    back = sum(fleet.ask(key, group=key % 50 + 1, returning=True)[2] == 104 for key, _, _ in struck)
+    back = sum(fleet.request(key, group=key % 50 + 1, returning=True)[2] == 104 for key, _, _ in struck)
     assert len(struck) > 30 and back <= len(struck) // 8
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
-def test_a_group_that_comes_back_again_and_again_does_not_push_a_cold_server_over(gateways):
+def test_a_group_that_returns_again_and_again_does_not_overload_a_cold_server(gateways):
     fleet = Fleet(gateways)
     started = fleet.gateways[0].now
     anchor = fleet.gateways[0].balancer.anchor
@@ -207,7 +208,7 @@
     sent: dict[int, int] = {}
     for _ in range(19):  # a hundred clients, each second, at whatever gateway the front gives them
         for key in range(1, 101):
-            if fleet.ask(key, group=group, returning=True)[2] == 104:
+            if fleet.request(key, group=group, returning=True)[2] == 104:
                 sent[key] = sent.get(key, 0) + 1
         fleet.wait(SECOND)
     least = 0 if fleet.gateways[0].balancer.is_sparse else 5  # there it is one of the group's homes
@@ -215,70 +216,70 @@
     assert max(sent.values()) <= 5  # a turn lasts four seconds here
 
 
-class Unscanned(dict):  # type: ignore[type-arg]
+class ScanCounter(dict):  # type: ignore[type-arg]
     """The servers by number; looking through all of them is counted."""
 
     scans = 0
 
     def __iter__(self):  # type: ignore[no-untyped-def]
-        Unscanned.scans += 1
+        ScanCounter.scans += 1
         return super().__iter__()
 
     def values(self):  # type: ignore[no-untyped-def]
-        Unscanned.scans += 1
+        ScanCounter.scans += 1
         return super().values()
 
     def items(self):  # type: ignore[no-untyped-def]
-        Unscanned.scans += 1
+        ScanCounter.scans += 1
         return super().items()
 
 
-def test_a_request_and_its_outcomes_cost_a_few_lookups_and_no_look_through_the_fleet(monkeypatch):
+def test_a_request_and_its_outcomes_cost_a_few_lookups_and_no_scan_of_the_fleet(monkeypatch):
     gateway = Gateway(servers=400)
-    gateway.balancer.servers = Unscanned(gateway.balancer.servers)
+    gateway.balancer.servers = ScanCounter(gateway.balancer.servers)
     lookups = []
-    plain = Anchor.lookup
+    uncounted = Anchor.lookup
 
     def counted(self, key, seed):  # type: ignore[no-untyped-def]
         lookups.append(key)
-        return plain(self, key, seed)
+        return uncounted(self, key, seed)
 
     monkeypatch.setattr(Anchor, "lookup", counted)
-    Unscanned.scans = 0
+    ScanCounter.scans = 0
     for key in range(1, 201):
-        number, actions = gateway.ask(key, returning=key % 2 == 0)
-        if sends(actions) and sends(gateway.answer(number, Outcome.FULL)):
+        number, actions = gateway.request(key, returning=key % 2 == 0)
+        if attempts_in(actions) and attempts_in(gateway.answer(number, Outcome.FULL)):
             gateway.establish(number)
-            gateway.note(number, NoticeKind.SLOW, 150.0)
-    assert Unscanned.scans == 0 and len(lookups) <= 200 * 2 * 4
+            gateway.notice(number, NoticeKind.SLOW, 150.0)
+    assert ScanCounter.scans == 0 and len(lookups) <= 200 * 2 * 4
     gateway.servers(ListKind.DELTA, listed(100, ServerState.DRAINING))
-    assert Unscanned.scans > 0  # only a change of the list may
+    assert ScanCounter.scans > 0  # only a change of the list may
 
 
-def test_hung_servers_while_half_of_the_gateways_restart_with_an_old_list():
+def test_hung_servers_are_avoided_while_half_of_the_gateways_restart_with_an_old_list():
     fleet = Fleet(10)
     for slot in range(5):  # back with nothing but the last list
         fleet.gateways[slot] = Gateway(10, gateways=10, slot=slot)
     for key in range(1, 301):
-        gateway, number, server = fleet.ask(key, mid_flow=key % 2 == 0)
+        gateway, number, server = fleet.request(key, mid_flow=key % 2 == 0)
         tries = 0
         while server in (100, 101) and tries < 4:  # they accept and never answer
             gateway.now += 400_000
-            attempts = sends(gateway.answer(number, Outcome.TIMEOUT))
+            attempts = attempts_in(gateway.answer(number, Outcome.TIMEOUT))
             server = attempts[0].server if attempts else None
             tries += 1
         assert server is not None and server not in (100, 101)
 
 
-def test_a_zone_restarts_while_others_jam_and_a_drain_is_on():
+def test_a_zone_restarts_while_others_are_overloaded_and_a_server_drains():
     fleet = Fleet(3, tells_delay=True)
     opened = [fleet.open(key, group=key % 20 + 1) for key in range(1, 301)]
     for gateway, number, server in opened:
         if server in (102, 103, 104):
-            gateway.note(number, NoticeKind.SLOW, 400.0)
+            gateway.notice(number, NoticeKind.SLOW, 400.0)
     back = [listed(n, started_us=fleet.gateways[0].now) for n in (105, 106, 107)]
     fleet.servers(listed(109, ServerState.DRAINING), *back)
-    where = [fleet.ask(key, group=key % 20 + 1, returning=True)[2] for key in range(1, 301)]
+    where = [fleet.request(key, group=key % 20 + 1, returning=True)[2] for key in range(1, 301)]
     assert 109 not in where
     assert sum(server in (105, 106, 107) for server in where) <= 6
     assert sum(server in (100, 101, 108) for server in where) > 100  # those that can, serve
@@ -289,9 +290,9 @@
     fleet.servers(*(listed(200 + n, started_us=fleet.gateways[0].now) for n in range(12)))
     served = 0
     for key in range(1, 301):
-        gateway, number, server = fleet.ask(key, tenant=int(key % 3 == 0))
+        gateway, number, server = fleet.request(key, tenant=int(key % 3 == 0))
         if server == 100:  # it refuses at once
-            attempts = sends(gateway.answer(number, Outcome.FULL))
+            attempts = attempts_in(gateway.answer(number, Outcome.FULL))
             server = attempts[0].server if attempts else None
         served += server is not None and server != 100
     assert served > 200
@@ -301,26 +302,26 @@
 def test_a_restart_under_the_same_id_is_cold_again_and_warms_up(gateways):
     fleet = Fleet(gateways, servers=2)
     fleet.servers(listed(100, started_us=fleet.gateways[0].now))
-    early = sum(fleet.ask(key, mid_flow=True)[2] == 100 for key in range(1, 101))
+    early = sum(fleet.request(key, mid_flow=True)[2] == 100 for key in range(1, 101))
     fleet.wait(21 * SECOND)
-    late = sum(fleet.ask(key)[2] == 100 for key in range(101, 201))
+    late = sum(fleet.request(key)[2] == 100 for key in range(101, 201))
     assert early == 0 and late > 30
 
 
-def test_one_heavy_client_is_no_crowd_but_many_clients_are():
+def test_one_heavy_client_does_not_overload_a_server_but_many_clients_do():
     gateway = Gateway(servers=14, gateways=40)
     home = gateway.balancer.anchor.lookup(7, SEEDS[0])
     heavy = gateway.open(1, group=7)
-    gateway.note(heavy, NoticeKind.LOAD, 500_000.0)
-    assert gateway.where[heavy] == home
-    assert gateway.where[gateway.open(2, group=7)] == home  # its group stays together
+    gateway.notice(heavy, NoticeKind.LOAD, 500_000.0)
+    assert gateway.server_of[heavy] == home
+    assert gateway.server_of[gateway.open(2, group=7)] == home  # its group stays together
     for key in range(3, 20):
         gateway.open(key, group=7)
-    assert {gateway.where[number] for number in range(1, 20)} > {home}
+    assert {gateway.server_of[number] for number in range(1, 20)} > {home}
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
-def test_keys_follow_what_servers_can_do(gateways):
+def test_keys_follow_the_power_of_servers(gateways):
     fleet = Fleet(gateways, servers=0, weighted=True, tells_delay=True)
     fleet.servers(*(listed(100 + n, weight=(4.0, 2.4)[n % 2]) for n in range(10)))
     strong = [fleet.open(key)[2] % 2 == 0 for key in range(1, 2_001)]
@@ -339,18 +340,18 @@
     assert 0.6 < sum(home % 2 for home in homes[0]) / 4_000 < 0.73  # two thirds
 
 
-def test_the_name_of_a_kind_tells_nothing():
+def test_the_name_of_a_server_kind_does_not_affect_the_map():
     maps = []
     for names in (("small-fast", "mid-slow"), ("c8", "m2")):
         gateway = Gateway(servers=0, kinds=names, weighted=True)
         gateway.servers(ListKind.FULL, *(listed(100 + n, weight=2.0, kind=n % 2) for n in range(8)))
-        maps.append({known.power for known in gateway.balancer.servers.values()})
+        maps.append({server.power for server in gateway.balancer.servers.values()})
         maps.append({n: gateway.balancer.anchor.buckets_of[n] for n in sorted(gateway.balancer.servers)})
     assert maps[0] == {2.0} and maps[:2] == maps[2:]
 
 
 @pytest.mark.parametrize("gateways", [2, 40])
-def test_what_the_ready_servers_cannot_carry_is_refused_at_once_and_no_more_than_that(gateways):
+def test_only_what_the_ready_servers_cannot_carry_is_refused_and_at_once(gateways):
     fleet = Fleet(gateways)
     opened = [fleet.open(key, group=key % 60 + 1)[2] for key in range(1, 451)]  # three quarters of the shares
     assert sum(server is None for server in opened) <= 450 // 20
@@ -365,7 +366,7 @@
     assert 0.8 * 240 <= held <= 240 + gateways  # four tenths of the shares
 
 
-def test_the_part_of_one_that_is_left_grows_as_clients_of_the_dead_come_to_it():
+def test_the_part_of_a_live_gateway_grows_as_clients_of_failed_gateways_arrive():
     gateway = Gateway(servers=10, gateways=40, park_us=SECOND, tenants=(Tenant(1.0, RATE, 600.0),))
     for key in range(1, 13):
         gateway.open(key)
@@ -377,7 +378,7 @@
     assert gateway.balancer.live_gateways == pytest.approx(40)
 
 
-def test_a_fresh_gateway_does_not_take_the_clients_that_come_back_to_it_for_those_of_the_dead():
+def test_a_new_gateway_does_not_count_returning_clients_as_those_of_failed_gateways():
     gateway = Gateway(servers=10, gateways=40, park_us=8 * SECOND, tenants=(Tenant(1.0, RATE, 600.0),))
     for key in range(1, 20):
         gateway.open(key, mid_flow=True)
@@ -389,7 +390,7 @@
     waits = sorted(
         action.retry_after_us
         for gateway in fleet.gateways
-        for action in gateway.ask()[1]
+        for action in gateway.request()[1]
         if isinstance(action, Refuse)
     )
     assert len(waits) == 40 and waits[0] >= 500_000 and waits[-1] <= 1_500_000
@@ -401,14 +402,14 @@
     return Fleet(200, servers=50, tenants=(Tenant(1.0, 100.0, 4_000.0),))
 
 
-def test_a_group_that_is_large_in_the_fleet_and_small_at_each_gateway_stands_on_several_servers():
+def test_a_group_that_is_large_in_the_fleet_and_small_at_each_gateway_uses_several_servers():
     fleet = large_fleet()
     at = Counter(fleet.open(key * 977, group=7)[2] for key in range(1, 201))
     assert max(at.values()) <= 200 // 4 and 5 <= len(at) <= 25  # it pays for itself once at each
 
 
 @pytest.mark.parametrize(("cold", "homes"), [(0, 5), (8, 4), (25, 3), (40, 2)])
-def test_a_group_has_fewer_homes_while_power_is_missing_and_alike_at_every_gateway(cold, homes):
+def test_a_group_has_fewer_homes_while_power_is_missing_and_the_same_at_every_gateway(cold, homes):
     fleet, late = large_fleet(), large_fleet()
     for group in (7, 8):
         started = fleet.gateways[0].now
@@ -417,8 +418,8 @@
             some.servers(*lines)
         at, found = set(), 0
         for key, (here, there) in enumerate(zip(fleet.gateways, late.gateways, strict=True), 1):
-            first = sends(here.ask(key * 977, group=group, client_retry=True)[1])
-            later = sends(there.ask(key * 977, group=group, mid_flow=True)[1])
+            first = attempts_in(here.request(key * 977, group=group, client_retry=True)[1])
+            later = attempts_in(there.request(key * 977, group=group, mid_flow=True)[1])
             found += [attempt.server for attempt in first] == [attempt.server for attempt in later]
             at |= {attempt.server for attempt in first}
         assert {gateway.balancer.homes_per_group for gateway in fleet.gateways + late.gateways} == {homes}
@@ -436,16 +437,16 @@
     moved = {
         key
         for key in range(1, 201)
-        if fleet.open(key * 977, group=key % 50 + 1)[2] != wider.ask(key * 977, group=key % 50 + 1)[2]
+        if fleet.open(key * 977, group=key % 50 + 1)[2] != wider.request(key * 977, group=key % 50 + 1)[2]
     }
     assert len(moved) < 200 // 10  # the keys of the new server alone
 
 
 def test_a_client_of_a_group_with_one_home_has_other_servers_to_go_to():
     gateway = Fleet(200, servers=51, tenants=(Tenant(1.0, 100.0, 10_100.0),)).gateways[0]
-    number, actions = gateway.ask(977, group=7)
-    tried = [sends(actions)[0].server]
-    while actions := sends(gateway.answer(number, Outcome.CONNECT_FAILED)):
+    number, actions = gateway.request(977, group=7)
+    tried = [attempts_in(actions)[0].server]
+    while actions := attempts_in(gateway.answer(number, Outcome.CONNECT_FAILED)):
         tried.append(actions[0].server)
     assert len(set(tried)) == len(tried) >= 3
 
@@ -454,7 +455,7 @@
     fleet = large_fleet()
     placed = {key: fleet.open(key * 977, group=key % 300 + 1)[2] for key in range(1, 1_001)}
     found = sum(
-        fleet.ask(key * 977, group=key % 300 + 1, mid_flow=True)[2] == server
+        fleet.request(key * 977, group=key % 300 + 1, mid_flow=True)[2] == server
         for key, server in placed.items()
     )
     assert found > 0.9 * len(placed)
@@ -473,31 +474,31 @@
     assert 0 <= before < parts and after in (before, parts)
 
 
-def test_parts_are_alike_in_size():
+def test_parts_are_of_similar_size():
     sizes = Counter(jump_hash(mix(key), 5) for key in range(5_000))
     assert sorted(sizes) == [0, 1, 2, 3, 4] and min(sizes.values()) > 900
 
 
-def test_who_comes_back_in_a_large_fleet_goes_to_another_home_of_its_group():
+def test_a_returning_client_of_a_large_fleet_goes_to_another_home_of_its_group():
     fleet = large_fleet()
     gateways = fleet.gateways[:100]
     homes = set()
     for key, gateway in enumerate(gateways, 1):  # one client of the group at each
-        homes.add(gateway.where[gateway.open(key * 977, group=7)])
+        homes.add(gateway.server_of[gateway.open(key * 977, group=7)])
     for key, gateway in enumerate(fleet.gateways[100:], 1):
-        homes.add(gateway.where[gateway.open(key * 977, group=7, returning=True)])
+        homes.add(gateway.server_of[gateway.open(key * 977, group=7, returning=True)])
     assert len(homes) <= MAX_HOMES
 
 
 @pytest.mark.parametrize("flags", [{}, {"returning": True}, {"client_retry": True}])
-def test_whoever_stands_in_a_large_fleet_is_found_by_a_gateway_that_has_just_started(flags):
+def test_a_new_gateway_finds_every_open_connection_of_a_large_fleet(flags):
     fleet = large_fleet()
     late = large_fleet().gateways
     for key, (gateway, other) in enumerate(zip(fleet.gateways, late, strict=True), 1):
-        server = gateway.where[gateway.open(key * 977, group=key % 9 + 1, **flags)]
-        assert sends(other.ask(key * 977, group=key % 9 + 1, mid_flow=True)[1])[0].server == server
+        server = gateway.server_of[gateway.open(key * 977, group=key % 9 + 1, **flags)]
+        assert attempts_in(other.request(key * 977, group=key % 9 + 1, mid_flow=True)[1])[0].server == server
 
 
 def test_a_gateway_with_several_times_its_part_of_the_clients_refuses_none_in_a_large_fleet():
     gateway = large_fleet().gateways[0]  # 20 connections would be its part of the shares
-    assert all(sends(gateway.ask(key * 977, group=key % 300 + 1)[1]) for key in range(1, 101))
+    assert all(attempts_in(gateway.request(key * 977, group=key % 300 + 1)[1]) for key in range(1, 101))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -598,7 +598,7 @@
     for turn in range(12):  # the same load everywhere
         for server in keys:
             opened[server].append(gateway.open(keys[server][turn]))
-    at_home = sum(gateway.where[number] == 100 for number in opened[100])
+    at_home = sum(gateway.server_of[number] == 100 for number in opened[100])
     # 12 connections are within a strong server's part of 48, and far beyond a weak one's.
     assert (at_home == 12) == stays
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 import pytest
 import relaying
-from driver import SECOND, Gateway, finals, listed, moves, sends
+from driver import SECOND, Gateway, attempts_in, final_answers, listed, moved_requests
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -17,7 +17,7 @@
 from linnetspread import interface
 from linnetspread.wire import read_settings
 
-FAULTY: list[tuple[str, Any]] = [
+FAULTY_SETTINGS: list[tuple[str, Any]] = [
     ("classes.0.hard_limit_us", "soon"),
     ("classes.0.hard_limit_us", -1),
     ("classes.0.hard_limit_us", None),
@@ -45,7 +45,7 @@
 ]
 
 
-def told(key: str, value: Any) -> dict[str, Any]:
+def settings_with(key: str, value: Any) -> dict[str, Any]:
     """Sound settings but for that one value."""
     settings = json.loads(json.dumps(relaying.SETTINGS))
     settings["classes"].append({"name": "two", "hard_limit_us": 900})
@@ -58,28 +58,28 @@
     return settings
 
 
-@pytest.mark.parametrize(("key", "value"), FAULTY)
-def test_a_faulty_setting_is_told_by_its_key_and_a_default_stands_for_it(key: str, value: Any) -> None:
-    settings, faults = settings_of(told(key, value))
-    assert f"settings.{key}" in [faulty for faulty, _ in faults]
-    assert {faulty.startswith(f"settings.{key}") for faulty, _ in faults} == {True}
+@pytest.mark.parametrize(("key", "value"), FAULTY_SETTINGS)
+def test_a_faulty_setting_is_reported_by_its_key_and_replaced_by_a_default(key: str, value: Any) -> None:
+    settings, problems = settings_of(settings_with(key, value))
+    assert f"settings.{key}" in [key_of_problem for key_of_problem, _ in problems]
+    assert {key_of_problem.startswith(f"settings.{key}") for key_of_problem, _ in problems} == {True}
     Gateway(classes=settings.classes, tenants=settings.tenants).open(1)
     assert all(0 < kind.deadline_us < math.inf for kind in settings.classes) and settings.max_attempts > 0
 
 
-def test_sound_settings_have_no_faults_whoever_wrote_them() -> None:
-    assert settings_of(told("replicas_of_me", 3))[1] == ()
-    assert settings_of(told("invariants", {"cold_us": 0}))[0].cold_us == 1  # warm at once
+def test_valid_settings_have_no_problems() -> None:
+    assert settings_of(settings_with("replicas_of_me", 3))[1] == ()
+    assert settings_of(settings_with("invariants", {"cold_us": 0}))[0].cold_us == 1  # warm at once
 
 
-def test_a_name_brings_no_setting_of_its_own() -> None:
+def test_a_line_break_in_a_name_adds_no_setting() -> None:
     for end in "\n\r\x0b\x1c\x85\u2028":
-        settings, _ = settings_of(told("classes.1.name", f"two{end}classes.0.worth=9"))
+        settings, _ = settings_of(settings_with("classes.1.name", f"two{end}classes.0.worth=9"))
         assert [kind.worth for kind in settings.classes] == [1.0, 1.0]
 
 
 @given(st.text(alphabet="classe.0ount=hard_limit_us\n,-19einfnantrue", max_size=120))
-def test_no_settings_text_breaks_the_reading(text: str) -> None:
+def test_no_settings_text_makes_the_reader_raise(text: str) -> None:
     read_settings("classes.count=2\nclasses.0." + text)
 
 
@@ -121,12 +121,12 @@
 
 
 @given(KINDS, TENANTS, SERVERS, STEPS, st.booleans(), st.sampled_from([1, 230]), st.sampled_from([1, SECOND]))
-def test_whatever_the_settings_each_request_has_one_attempt_out_at_most_and_one_answer(
+def test_with_any_settings_each_request_has_at_most_one_attempt_out_and_one_answer(
     kinds: list[interface.RequestClass],
     tenants: list[interface.Tenant],
     servers: list[interface.ListedServer],
     steps: list[tuple[Any, int]],
-    told: bool,
+    flags_on: bool,
     gateways: int,
     cold_us: int,
 ) -> None:
@@ -134,9 +134,9 @@
         0,
         classes=tuple(kinds),
         tenants=tuple(tenants),
-        weighted=told,
-        tells_delay=told,
-        pass_through=told,
+        weighted=flags_on,
+        tells_delay=flags_on,
+        pass_through=flags_on,
         gateways=gateways,
         cold_us=cold_us,
     )
@@ -150,7 +150,7 @@
         if what == "ask":
             number = gateway.next_request
             asked[number] = kinds[n % len(kinds)]
-            actions = gateway.ask(
+            actions = gateway.request(
                 n,
                 group=n % 3,
                 request_class=n % len(kinds),
@@ -167,7 +167,7 @@
             ended.add(number)  # it stands: nothing more is owed to it than its end
             actions = gateway.establish(number, n * 100_000)
         elif what == "slow" and number in out:
-            actions = gateway.note(number, interface.NoticeKind.SLOW, n * 100.0)
+            actions = gateway.notice(number, interface.NoticeKind.SLOW, n * 100.0)
         elif isinstance(what, interface.Outcome) and number in out:
             out.remove(number)
             if not what.never_ran:
@@ -175,35 +175,37 @@
             actions = gateway.answer(number, what, done=number in ended or what is interface.Outcome.OK)
             if what is interface.Outcome.OK:
                 ended.add(number)
-        for action in sends(actions):
+        for action in attempts_in(actions):
             assert action.request not in out | ended
             assert (
                 action.request not in ran or asked[action.request].semantics is not interface.Semantics.ONCE
             )
             out.add(action.request)
-        for action in finals(actions):
+        for action in final_answers(actions):
             assert action.request not in ended
             ended.add(action.request)
-        assert not {number for number in moves(actions)} - ended
+        assert not {number for number in moved_requests(actions)} - ended
     assert sum(gateway.balancer.connections_by_tenant) >= 0
 
 
-def test_where_no_aim_is_told_no_delay_makes_a_jam() -> None:
+def test_without_an_aim_no_delay_counts_as_an_overload() -> None:
     gateway = Gateway(servers=1, classes=(interface.RequestClass(),))
     for elapsed in (1_000, 2_000, 3_000, 900_000):
-        assert not moves(gateway.give(interface.Established(gateway.open(elapsed=elapsed), 0, 100, elapsed)))
-    known = gateway.balancer.servers[100]
-    assert known.slice.size == 1 and known.backoff_until == 0
+        assert not moved_requests(
+            gateway.handle(interface.Established(gateway.open(elapsed=elapsed), 0, 100, elapsed))
+        )
+    server = gateway.balancer.servers[100]
+    assert server.slice.size == 1 and server.backoff_until == 0
 
 
-def test_worth_may_be_told_of_no_class() -> None:
+def test_all_classes_may_have_a_worth_of_zero() -> None:
     gateway = Gateway(servers=1, classes=(interface.RequestClass(worth=0.0, message_aim_us=60_000.0),))
-    gateway.note(gateway.open(), interface.NoticeKind.SLOW, 500.0)
+    gateway.notice(gateway.open(), interface.NoticeKind.SLOW, 500.0)
     gateway.balancer.servers[100].slice.size = 0.5
-    assert gateway.ask(returning=True)[1]
+    assert gateway.request(returning=True)[1]
 
 
-def test_at_a_start_the_fault_is_logged_and_at_a_reload_a_new_one_changes_nothing(
+def test_a_faulty_setting_is_logged_at_the_start_and_a_new_one_is_refused_at_a_reload(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     served = []
@@ -211,15 +213,17 @@
     async def serve(config: Any) -> None:
         served.append(config)
 
-    relaying.write(tmp_path, settings=told("classes.0.hard_limit_us", "soon"))
+    relaying.write(tmp_path, settings=settings_with("classes.0.hard_limit_us", "soon"))
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     monkeypatch.setattr(platform, "serve", serve)
     assert platform.main() == 0
     out, err = capfd.readouterr()
     assert "WARNING configuration: settings.classes.0.hard_limit_us: 'soon' is not a" in err and not out
     environment = {"LB_CONFIG": str(tmp_path / "config.json")}
-    relaying.write(tmp_path, discovery="127.0.0.1:8", settings=told("classes.0.hard_limit_us", "soon"))
+    relaying.write(
+        tmp_path, discovery="127.0.0.1:8", settings=settings_with("classes.0.hard_limit_us", "soon")
+    )
     assert read_again(environment, served[0])[0].discovery == ("127.0.0.1", 8)  # nothing new is amiss
-    relaying.write(tmp_path, settings=told("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
+    relaying.write(tmp_path, settings=settings_with("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
     with pytest.raises(ConfigError, match=r"^settings\.classes\.0\.semantics: 'twice' is not one of"):
         read_again(environment, served[0])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -39,12 +39,12 @@
     return record(10, struct.pack(">IQI", instance, 7, len(text)) + text.encode())
 
 
-def registry(instance: int, *servers: int) -> bytes:
+def list_record(instance: int, *servers: int) -> bytes:
     lines = b"".join(struct.pack(">IHBHBfQ", s, 0, 0, 0, 1, 1.0, 0) for s in servers)
     return record(20, struct.pack(">IBII", instance, 2, 1, len(servers)) + lines)
 
 
-def arrival(instance: int, call: int, key: int) -> bytes:
+def request_record(instance: int, call: int, key: int) -> bytes:
     return record(30, struct.pack(">IQIQQBBHI", instance, call, 2_000_000, key, 0, 0, 0, 0, 0))
 
 
@@ -104,15 +104,17 @@
     assert wire.read_settings("") == interface.Settings()
 
 
-def test_unknown_codes_and_values_are_passed_over():
+def test_unknown_codes_and_values_are_ignored():
     unknown = record(99, struct.pack(">I", 3))
-    strange = record(50, struct.pack(">IQBIHIBB", 3, 5, 0, 9, 77, 1, 0, 0))
-    _, events = wire.read_batch(batch(1, 5, unknown, strange)[8:])
+    unknown_outcome = record(50, struct.pack(">IQBIHIBB", 3, 5, 0, 9, 77, 1, 0, 0))
+    _, events = wire.read_batch(batch(1, 5, unknown, unknown_outcome)[8:])
     assert len(events) == 1 and events[0][1].outcome is interface.Outcome.UNKNOWN
 
 
 def test_a_good_run_answers_every_batch_and_exits_cleanly():
-    data = batch(1, 5, power_on(3), registry(3, 9, 8)) + batch(2, 9, arrival(3, 44, 5)) + batch(3, 10)
+    data = (
+        batch(1, 5, power_on(3), list_record(3, 9, 8)) + batch(2, 9, request_record(3, 44, 5)) + batch(3, 10)
+    )
     done = run(data)
     assert done.returncode == 0 and done.stderr == b""
     assert done.stdout[:12] == struct.pack(">III", 1, 0, 0)
@@ -131,33 +133,33 @@
         batch(1, 5, record(10, struct.pack(">IQI", 1, 7, 900) + b"a=1")),
     ],
 )
-def test_a_broken_frame_ends_the_process_with_one_plain_line(data):
+def test_a_broken_frame_ends_the_process_with_one_error_line(data):
     done = run(data)
     assert done.returncode != 0
     assert done.stderr.startswith(b"linnetspread: broken frame: ") and done.stderr.count(b"\n") == 1
 
 
-def test_an_exception_is_that_instances_failure_alone(monkeypatch):
+def test_an_exception_ends_only_its_instance(monkeypatch):
     host = Host()
-    host.answer(batch(1, 5, power_on(1), power_on(2), registry(1, 9), registry(2, 9))[8:])
+    host.answer(batch(1, 5, power_on(1), power_on(2), list_record(1, 9), list_record(2, 9))[8:])
     monkeypatch.setattr(host.instances[1], "handle", lambda now, event: 1 // 0)
-    records = host.answer(batch(2, 6, arrival(1, 4, 4), arrival(2, 5, 5))[8:])
+    records = host.answer(batch(2, 6, request_record(1, 4, 4), request_record(2, 5, 5))[8:])
     assert records[0][0] == 10 and b"ZeroDivisionError" in records[0]
     assert any(data[0] == 120 for data in records[1:])
-    assert host.answer(batch(3, 7, arrival(1, 6, 6))[8:]) == []
+    assert host.answer(batch(3, 7, request_record(1, 6, 6))[8:]) == []
 
 
-def test_kill_forgets_everything_and_a_fresh_start_follows():
+def test_kill_discards_the_state_and_the_instance_can_start_again():
     host = Host()
-    host.answer(batch(1, 5, power_on(1), registry(1, 9), arrival(1, 4, 4))[8:])
-    host.answer(batch(2, 6, record(100, struct.pack(">I", 1)), power_on(1), registry(1, 9))[8:])
+    host.answer(batch(1, 5, power_on(1), list_record(1, 9), request_record(1, 4, 4))[8:])
+    host.answer(batch(2, 6, record(100, struct.pack(">I", 1)), power_on(1), list_record(1, 9))[8:])
     assert host.instances[1].connections == {}
 
 
-def busy(instances: list[int]) -> bytes:
-    data = batch(1, 5, *(power_on(n) for n in instances), *(registry(n, 9, 8, 7, 300) for n in instances))
+def busy_input(instances: list[int]) -> bytes:
+    data = batch(1, 5, *(power_on(n) for n in instances), *(list_record(n, 9, 8, 7, 300) for n in instances))
     for turn in range(2, 30):
-        data += batch(turn, turn * 10_000, *(arrival(n, turn, turn * 7919) for n in instances))
+        data += batch(turn, turn * 10_000, *(request_record(n, turn, turn * 7919) for n in instances))
     return data
 
 
@@ -178,8 +180,8 @@
 
 
 def test_actions_do_not_depend_on_processes_or_the_hash_seed():
-    together = run(busy([1, 2, 3]), "1").stdout
+    together = run(busy_input([1, 2, 3]), "1").stdout
     for instance in (1, 2, 3):
-        alone = run(busy([instance]), "2").stdout
+        alone = run(busy_input([instance]), "2").stdout
         assert replies(together, instance) == replies(alone, instance)
         assert len(replies(alone, instance)) > 28
