--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""A hand-driven gateway for tests: no clock, no wire, no simulator."""
+"""A gateway for tests that is driven event by event, without a clock, wire or simulator."""
 
 from linnetspread.choice import Balancer
 from linnetspread.interface import (
@@ -40,6 +40,8 @@
 
 
 class Gateway:
+    """One gateway's decisions with a clock that the test sets; it starts with `servers` ready servers."""
+
     def __init__(self, servers: int = 5, start: int = 10 * SECOND, seed: int = 1, **changes: object) -> None:
         self.now = start
         self.balancer = Balancer(settings(**changes), seed)
@@ -50,6 +52,7 @@
             self.servers(ListKind.CACHED, *(listed(100 + n) for n in range(servers)))
 
     def handle(self, event: Event) -> list[Action]:
+        """Handles an event now, and keeps the attempt number and server of each request that is sent."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             if isinstance(action, Attempt):
@@ -74,6 +77,7 @@
         return self.handle(Established(request, self.attempts[request], self.server_of[request], elapsed))
 
     def open(self, key: int = 0, elapsed: int = 5_000, **fields: object) -> int:
+        """Requests a connection and establishes it; returns the request id."""
         number, _ = self.request(key, **fields)
         self.establish(number, elapsed)
         return number
--- a/tests/test_anchor.py
+++ b/tests/test_anchor.py
@@ -41,7 +41,10 @@
 @deterministic
 @given(fleets, st.lists(st.tuples(st.integers(0, 2**32 - 1), st.integers(80, 200)), max_size=20), st.data())
 def test_a_gateway_that_starts_late_builds_the_map_of_one_that_saw_every_change(fleet, additions, data):
-    """Half of a release replaced while gateways restart: whoever stands is found by all of them."""
+    """Guards against open connections that restarted gateways don't find.
+
+    This would happen after half of the servers were replaced while gateways restart.
+    """
     anchor = build(fleet)
     for server, count in additions:
         if data.draw(st.booleans()) and anchor.buckets_of:
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -1,4 +1,7 @@
-"""What one gateway lets into servers that just started. tests/test_cold_fleet.py tells the fault."""
+"""What one gateway admits to servers that just started.
+
+The fault behind these tests is described in tests/test_cold_fleet.py.
+"""
 
 import pytest
 from driver import SECOND, Gateway, attempts_in, listed
@@ -14,7 +17,7 @@
 
 
 def restart_all(gateway: Gateway) -> None:
-    """Every server ends, with a reset for each connection there, and starts anew."""
+    """Restarts every server; each of its connections ends with a reset."""
     for number in list(gateway.balancer.connections):
         gateway.answer(number, Outcome.RESET, done=True)
     started = gateway.now
@@ -33,9 +36,8 @@
         gateway.open(key)
     restart_all(gateway)
     gateway.now += 10 * SECOND
-    assert (
-        gateway.balancer.mean_slice.size_at(gateway.now) < 1
-    )  # what the resets made of its guess for all servers
+    # The resets reduced the mean slice.
+    assert gateway.balancer.mean_slice.size_at(gateway.now) < 1
     assert {gateway.balancer._slice_size(server) for server in gateway.balancer.servers.values()} == {1.0}
     attempts = [attempts_in(gateway.request(key, returning=True)[1]) for key in range(1, 1_001)]
     placed = [(key, tried[0].server) for key, tried in enumerate(attempts, 1) if tried]
@@ -63,7 +65,8 @@
     gateway, configured = warming_gateway(), warming_gateway(tenants=(Tenant(1.0, 100 / life_s, 100.0),))
     slowest = admitted_part(gateway)
     numbers = [gateway.open(key) for key in range(1, 101)]
-    for second in range(5 * life_s):  # 100 stand all the time: one ends each hundredth of a life
+    # 100 connections are open all the time, and one ends each hundredth of the mean life.
+    for second in range(5 * life_s):
         gateway.now += SECOND
         for _ in range(100 * (second + 1) // life_s - 100 * second // life_s):
             gateway.answer(numbers.pop(0), Outcome.OK, done=True)
@@ -82,7 +85,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CANCELLED])
 def test_ends_caused_by_a_server_or_the_front_do_not_count_towards_the_mean_life(outcome: Outcome) -> None:
-    """A reset is the server's end, and a server that is gone from the list has sent its clients away."""
+    """A reset is caused by the server, and a server that left the list has sent its clients away."""
     gateway = warming_gateway()
     numbers = [gateway.open(key) for key in range(1, 101)]
     if outcome is Outcome.CANCELLED:
@@ -113,11 +116,11 @@
 
 
 def test_only_the_usual_flow_counts_as_new_clients() -> None:
-    """Nobody says that it comes back: the first may be new, but a hundred within a second are not."""
-    gateway = warming_gateway(
-        gateways=10, tenants=(Tenant(1.0, 20.0, 6_000.0),)
-    )  # two new ones a second here
-    gateway.servers(ListKind.DELTA, listed(107, started_us=gateway.now + 60 * SECOND))  # cold till the end
+    """Clients don't mark that they come back: the first may be new, but a hundred in a second are not."""
+    # By the shares two new clients come to this gateway in a second.
+    gateway = warming_gateway(gateways=10, tenants=(Tenant(1.0, 20.0, 6_000.0),))
+    # This server stays cold until the end of the test.
+    gateway.servers(ListKind.DELTA, listed(107, started_us=gateway.now + 60 * SECOND))
     first, *others = [usual_fraction(gateway) for _ in range(100)]
     assert first == 1 and sum(others) <= 2
     gateway.now += 20 * SECOND
--- a/tests/test_cold_turns.py
+++ b/tests/test_cold_turns.py
@@ -1,4 +1,4 @@
-"""The model of benchmarks/cold_turns.py counts as the rule says, and the decisions keep the rule in it."""
+"""The model of benchmarks/cold_turns.py counts calls as the rule does, and the decisions keep the rule."""
 
 import math
 
@@ -39,14 +39,18 @@
 
 
 def test_a_rush_of_all_clients_late_in_the_warm_up_overloads_no_cold_server():
-    """All clients of the shares come back at once, 10 s after half of the servers started. A cold server was
+    """Guards against the overload of cold servers by a rush late in the warm-up.
+
+    All clients of the shares come back at once, 10 s after half of the servers started. A cold server was
     sent up to 1.77 times what it bears (seeds 1 to 8), and fell.
 
-    Each client looks at four servers, and at each cold one it had a turn of two windows of the settings. The
-    turns at home alone came to 0.8 to 0.9 of N: 221 to 241 calls by seed. Clients that were turned away there
-    had three more turns, which added 95 to 108, 39 to 51 and 16 to 25 calls, so that the mean over all cold
-    servers was 14.0 to 16.4 where N is 10.7. Now a client has one turn, at the first cold server it looks at,
-    of one window, and all turns together take as much of N as the rule's room for chance bears."""
+    Each client has four candidate servers, and at each cold one it had a turn of two windows of the settings.
+    The turns at the server of the key alone came to 0.8 to 0.9 of N: 221 to 241 calls by seed. Clients that
+    were turned away there had three more turns, which added 95 to 108, 39 to 51 and 16 to 25 calls, so that
+    the mean over all cold servers was 14.0 to 16.4 where N is 10.7. Now a client has one turn of one window,
+    at its first cold candidate, and all turns together use as much of N as the rule's allowance for chance
+    can absorb.
+    """
     late = Case("rush after 10 s, the whole shares", 1.0, rush_at_s=10.0)
     cold = cold_turns.play(late, gateways=200, servers=50, seed=1)
     assert max(server.fullest for server in cold) <= 1
@@ -75,8 +79,11 @@
 @pytest.mark.parametrize("gateways", [2, 20, 200])
 @pytest.mark.parametrize("at_s", [0.0, 10.0])
 def test_refused_clients_that_retry_overload_no_server_where_all_servers_restarted(gateways, at_s):
-    """With no warm server left the turns at four servers added up to four times those of one: 29 to 38 of 50
-    servers fell in each play of this case, and all of them where the clients came after 10 s."""
+    """Guards against turns at several cold servers, which add up where no warm server remains.
+
+    The turns at four servers came to four times those at one: 29 to 38 of 50 servers failed in each run of
+    this case, and all of them where the clients came after 10 s.
+    """
     everyone = Case("all anew", 1.0, rush_at_s=at_s, all_anew=True)
     cold = cold_turns.play(everyone, gateways=gateways, servers=50, seed=11)
     assert len(cold) == 50
@@ -85,8 +92,11 @@
 
 @pytest.mark.parametrize(("at_s", "seed"), [(0.0, 1), (0.0, 2), (10.0, 1), (10.0, 8)])
 def test_a_rush_of_whole_groups_of_a_dense_fleet_pushes_no_cold_server_over(at_s, seed):
-    """Where few gateways hold many clients each, a group of eight stands at one server, and the hash gives
-    some servers 1.8 times their part of them. Seeds 2 and 8 send one of 25 cold servers 4 % too much."""
+    """Guards against the overload of cold servers by whole groups.
+
+    Where few gateways have many clients each, a group of eight is at one server, and the hash gives some
+    servers 1.8 times their part of the groups. Seeds 2 and 8 send one of 25 cold servers 4 % too much.
+    """
     rush = Case("rush", 1.0, rush_at_s=at_s)
     cold = cold_turns.play(rush, gateways=2, servers=50, seed=seed)
     assert max(server.fullest for server in cold) <= 1
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Each failure that was found once, with the module driven alone."""
+"""Failures that were found once, each reproduced on the decision module alone."""
 
 import pathlib
 from dataclasses import replace
@@ -78,18 +78,21 @@
         number, actions = gateway.request()
         while attempts_in(actions):
             actions = gateway.answer(number, Outcome.TIMEOUT)
-    assert not attempts_in(gateway.request()[1])  # refused at once, not left to time out
+    # The request is refused at once, not left to time out.
+    assert not attempts_in(gateway.request()[1])
     gateway.now += 9 * SECOND
-    assert attempts_in(gateway.request()[1])  # then one tests it
+    # After that time one request tests a server.
+    assert attempts_in(gateway.request()[1])
 
 
 @pytest.mark.parametrize("took_another", [False, True])
 def test_a_timeout_is_no_failure_if_the_server_accepted_another_connection_meanwhile(accepted_another):
-    """When many come at once all servers are slow: shunned for it, all of them refuse everybody."""
+    """Guards against ejecting all servers when many clients come at once and make all of them slow."""
     gateway = Gateway()
     keys = [key_for(gateway, 102, after=n * 1000) for n in range(2)]
     number, actions = gateway.request(keys[0])
-    assert attempts_in(actions)[0].timeout_us == 1.5 * SECOND  # half of what is left
+    # The timeout is half of the remaining time.
+    assert attempts_in(actions)[0].timeout_us == 1.5 * SECOND
     gateway.now += 1000
     if accepted_another:
         gateway.establish(gateway.request(keys[1])[0])
@@ -107,7 +110,7 @@
 
 
 def overload(gateway: Gateway, server: int, seconds: int = 1) -> list[int]:
-    """Notes of long messages on whatever stands at the server, once a second."""
+    """Sends a notice of slow messages at the server once a second; returns the requests that are moved."""
     moved = []
     for _ in range(seconds):
         there = [held for held in gateway.balancer.servers[server].connections.values() if not held.finished]
@@ -138,13 +141,14 @@
 
 
 def test_a_group_stays_at_one_server_while_the_server_is_not_overloaded():
-    """A server pays for each group that it holds any of: scattered by client, all servers pay for all."""
+    """Guards against groups that are scattered by client, so that every server pays for every group."""
     gateway = Gateway()
     where: dict[int, set[int]] = {}
     for n in range(200):
         number = gateway.open(50_000 + n, group=1 + n % 40)
         where.setdefault(1 + n % 40, set()).add(gateway.server_of[number])
-    assert sum(len(servers) for servers in where.values()) < 2 * len(where)  # of the five that there are
+    # There are five servers.
+    assert sum(len(servers) for servers in where.values()) < 2 * len(where)
 
 
 @pytest.mark.parametrize("tells_delay", [False, True])
@@ -154,16 +158,21 @@
     there = {number for number in opened if gateway.server_of[number] == 102}
     moved: set[int] = set()
     for _ in range(2):
-        assert not moved  # one slow set-up alone says nothing
+        # One slow set-up alone does not count as delay.
+        assert not moved
         number, _ = gateway.request(key_for(gateway, 102, after=60_000))
         moved |= set(moved_requests(gateway.establish(number, 155_000)))
     assert bool(moved & there) != tells_delay
-    assert len(moved) <= len(there) / 8 + 2  # inferred, not told: a few leave at a time, not all at once
+    # The delay is inferred, so that a few clients leave at a time, not all at once.
+    assert len(moved) <= len(there) / 8 + 2
     assert (place(gateway, key_for(gateway, 102, after=90_000)) == 102) == tells_delay
 
 
 def test_slow_set_ups_in_a_burst_of_clients_do_not_count_as_delay():
-    """After a restart all clients come at once; taken for jams, that refused them for many seconds."""
+    """Guards against slow set-ups after a restart, when all clients come at once, counting as overload.
+
+    The clients were refused for many seconds.
+    """
     gateway = Gateway()
     fill(gateway, 200)
     burst = [gateway.request(70_000 + n)[0] for n in range(60)]
@@ -177,14 +186,16 @@
     gateway = Gateway()
     for server in range(100, 105):
         number = gateway.open(key_for(gateway, server))
-        gateway.notice(number, NoticeKind.SLOW, 50.0)  # over a third of the aim, and under it
+        # The delay is over a third of the aim and below the aim.
+        gateway.notice(number, NoticeKind.SLOW, 50.0)
     assert attempts_in(gateway.request(70_000)[1])
 
 
 def test_under_further_seeds_the_class_worth_least_leaves_first():
     low, high = replace(REPEATABLE, worth=1.0), replace(REPEATABLE, worth=5.0)
     gateway = Gateway(servers=1, classes=(low, high))
-    gateway.balancer.servers[100].slice.size = 0.5  # keeps nothing by client key, all that meets there
+    # The server keeps no connection by client key, and all those under further seeds.
+    gateway.balancer.servers[100].slice.size = 0.5
     for n in range(120):
         gateway.open(n + 1, request_class=n % 2)
     moved = overload(gateway, 100, 2)
@@ -194,7 +205,8 @@
 
 def test_a_moved_client_comes_back_with_the_load_that_it_had():
     gateway = Gateway(servers=1)
-    gateway.balancer.servers[100].slice.size = 0.5  # keeps nothing by client key, all that meets there
+    # The server keeps no connection by client key, and all those under further seeds.
+    gateway.balancer.servers[100].slice.size = 0.5
     opened = [gateway.open(n + 1) for n in range(40)]
     gateway.notice(opened[3], NoticeKind.LOAD, 900_000.0)
     gateway.balancer.servers[100].slice.size = 0.3
@@ -202,7 +214,8 @@
     assert opened[3] in moved
     number, _ = gateway.request(4, returning=True)
     assert gateway.balancer.moved_load[4] == 900_000.0
-    assert number not in gateway.balancer.connections  # refused: there is no room for so heavy a one
+    # The request is refused, as the server has no room for this load.
+    assert number not in gateway.balancer.connections
 
 
 def test_clients_dropped_by_a_server_are_not_sent_straight_back_to_it():
@@ -250,7 +263,7 @@
     gateway = Gateway(servers=2)
     number, _ = gateway.request(key_for(gateway, 100))
     gateway.answer(number, Outcome.FULL)
-    # A key whose further seeds all come to the full server as well is left with it.
+    # A key whose further seeds all lead to the full server as well has no other server.
     assert sum(place(gateway, 1_000 + n) == 101 for n in range(30)) >= 24
 
 
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""What must add up over all gateways, from one to 230 of them and the same traffic."""
+"""Limits that must add up over all gateways, tested with 1 to 230 gateways and the same traffic."""
 
 import math
 import random
@@ -13,11 +13,12 @@
 from linnetspread.interface import ListKind, NoticeKind, Outcome, Refuse, Request, ServerState, Tenant
 
 COUNTS = [1, 2, 20, 30, 40, 230]
-LIFE_S, RATE = 30, 20.0  # of all clients: connections last so long, so many new ones come a second
+# The life of connections, and the new connections per second of all clients.
+LIFE_S, RATE = 30, 20.0
 
 
 class Fleet:
-    """Several gateways of one deployment; a request goes to one of them by chance."""
+    """Several gateways of one deployment; each request goes to a random one."""
 
     def __init__(self, gateways: int, servers: int = 10, **changes: object) -> None:
         tenant = Tenant(1.0, RATE, RATE * LIFE_S)
@@ -52,11 +53,11 @@
 
 
 def allowance_for_chance(calls: float) -> float:
-    """By how many calls a cold server's budget may be exceeded before it falls."""
+    """Returns by how many calls a cold server's budget may be exceeded before the server fails."""
     return 2 * math.sqrt(calls) + 2
 
 
-# what one of ten equal servers takes when warm, in connections a second, by the tenants' shares
+# The connections per second that one of ten equal servers can take when warm, by the tenants' shares.
 WARM_RATE = RATE / 10
 
 
@@ -65,9 +66,11 @@
 def test_a_rush_of_returning_clients_does_not_overload_a_cold_server(gateways, flag):
     fleet = Fleet(gateways)
     started = fleet.gateways[0].now
-    fleet.servers(*(listed(n, started_us=started) for n in (100, 101, 102, 103)))  # four restart at once
+    # Four servers restart at once.
+    fleet.servers(*(listed(n, started_us=started) for n in (100, 101, 102, 103)))
     sent = dict.fromkeys((100, 101, 102, 103), 0)
-    for key in range(1, int(RATE * LIFE_S) + 1):  # every client of the deployment, within two seconds
+    # Every client of the deployment comes back within two seconds.
+    for key in range(1, int(RATE * LIFE_S) + 1):
         _, _, server = fleet.request(key, **{flag: True})
         if server in sent:
             sent[server] += 1
@@ -77,8 +80,11 @@
 
 @pytest.mark.parametrize("gateways", COUNTS)
 def test_without_shares_a_rush_does_not_overload_a_half_warm_server(gateways):
-    """Nothing tells how long connections last. Here it is 120 s, six times the warm-up: ten servers of sixty
-    clients take five new ones a second, and all 600 clients come back within two seconds."""
+    """Guards against the overload of cold servers where the settings don't give the life of connections.
+
+    The life is 120 s here, six times the warm-up: ten servers with 60 clients each take five new connections
+    a second in all, and all 600 clients come back within two seconds.
+    """
     fleet = Fleet(gateways, tenants=())
     started = fleet.gateways[0].now
     fleet.servers(*(listed(100 + n, started_us=started) for n in range(4)))
@@ -88,7 +94,8 @@
         sent[fleet.request(key, returning=True)[2]] += 1
         fleet.wait(2 * SECOND // 600)
     budget = 3 * (0.15 + 0.85 / 2) * 5 / 10 * 2
-    assert max(sent[100 + n] for n in range(4)) <= budget + allowance_for_chance(budget)  # where it falls
+    # Beyond this bound the server fails.
+    assert max(sent[100 + n] for n in range(4)) <= budget + allowance_for_chance(budget)
     assert sum(sent[100 + n] for n in range(4)) <= 4 * budget
 
 
@@ -161,7 +168,8 @@
 def test_a_server_never_used_counts_as_full_as_the_others():
     gateway = Gateway(servers=40)
     opened = [gateway.open(n) for n in range(1, 9)]
-    for _ in range(6):  # everything it holds jams, again and again
+    # Every server that the gateway uses is overloaded again and again.
+    for _ in range(6):
         for number in opened:
             if number in gateway.balancer.connections and not gateway.balancer.connections[number].finished:
                 gateway.notice(number, NoticeKind.SLOW, 150.0)
@@ -181,7 +189,8 @@
     for n in range(300):
         gateway.servers(ListKind.DELTA, listed(1_000 + n), listed(999 + n, ServerState.GONE))
         gateway.open(n + 1)
-    assert len(gateway.balancer.servers) < 90  # those listed, and those that still hold a connection
+    # Only listed servers and those with an open connection remain.
+    assert len(gateway.balancer.servers) < 90
     for number in list(gateway.balancer.connections):
         gateway.answer(number, Outcome.OK, done=True)
     assert len(gateway.balancer.servers) == 6 and gateway.balancer.occupied_servers == 0
@@ -206,18 +215,22 @@
     group = next(g for g in range(1, 1_000) if anchor.lookup(g, SEEDS[1]) == 104)
     fleet.servers(listed(104, started_us=started))
     sent: dict[int, int] = {}
-    for _ in range(19):  # a hundred clients, each second, at whatever gateway the front gives them
+    # A hundred clients come each second, at random gateways.
+    for _ in range(19):
         for key in range(1, 101):
             if fleet.request(key, group=group, returning=True)[2] == 104:
                 sent[key] = sent.get(key, 0) + 1
         fleet.wait(SECOND)
-    least = 0 if fleet.gateways[0].balancer.is_sparse else 5  # there it is one of the group's homes
-    assert least < len(sent) < 60  # not starved, not the whole group
-    assert max(sent.values()) <= 5  # a turn lasts four seconds here
+    # In a sparse fleet the server is one of the homes of the group.
+    least = 0 if fleet.gateways[0].balancer.is_sparse else 5
+    # The server gets some clients, but not the whole group.
+    assert least < len(sent) < 60
+    # A turn lasts four seconds with these settings.
+    assert max(sent.values()) <= 5
 
 
 class ScanCounter(dict):  # type: ignore[type-arg]
-    """The servers by number; looking through all of them is counted."""
+    """A dict of the servers by number that counts the scans over all of them."""
 
     scans = 0
 
@@ -253,17 +266,20 @@
             gateway.notice(number, NoticeKind.SLOW, 150.0)
     assert ScanCounter.scans == 0 and len(lookups) <= 200 * 2 * 4
     gateway.servers(ListKind.DELTA, listed(100, ServerState.DRAINING))
-    assert ScanCounter.scans > 0  # only a change of the list may
+    # Only a change of the list may scan the fleet.
+    assert ScanCounter.scans > 0
 
 
 def test_hung_servers_are_avoided_while_half_of_the_gateways_restart_with_an_old_list():
     fleet = Fleet(10)
-    for slot in range(5):  # back with nothing but the last list
+    # A restarted gateway has nothing but the last list.
+    for slot in range(5):
         fleet.gateways[slot] = Gateway(10, gateways=10, slot=slot)
     for key in range(1, 301):
         gateway, number, server = fleet.request(key, mid_flow=key % 2 == 0)
         tries = 0
-        while server in (100, 101) and tries < 4:  # they accept and never answer
+        # These servers accept connections and never answer.
+        while server in (100, 101) and tries < 4:
             gateway.now += 400_000
             attempts = attempts_in(gateway.answer(number, Outcome.TIMEOUT))
             server = attempts[0].server if attempts else None
@@ -282,7 +298,8 @@
     where = [fleet.request(key, group=key % 20 + 1, returning=True)[2] for key in range(1, 301)]
     assert 109 not in where
     assert sum(server in (105, 106, 107) for server in where) <= 6
-    assert sum(server in (100, 101, 108) for server in where) > 100  # those that can, serve
+    # The servers that can serve do so.
+    assert sum(server in (100, 101, 108) for server in where) > 100
 
 
 def test_fast_growth_with_a_tenant_far_over_its_share_and_full_servers():
@@ -291,7 +308,8 @@
     served = 0
     for key in range(1, 301):
         gateway, number, server = fleet.request(key, tenant=int(key % 3 == 0))
-        if server == 100:  # it refuses at once
+        # This server refuses at once.
+        if server == 100:
             attempts = attempts_in(gateway.answer(number, Outcome.FULL))
             server = attempts[0].server if attempts else None
         served += server is not None and server != 100
@@ -314,7 +332,8 @@
     heavy = gateway.open(1, group=7)
     gateway.notice(heavy, NoticeKind.LOAD, 500_000.0)
     assert gateway.server_of[heavy] == home
-    assert gateway.server_of[gateway.open(2, group=7)] == home  # its group stays together
+    # The group stays together.
+    assert gateway.server_of[gateway.open(2, group=7)] == home
     for key in range(3, 20):
         gateway.open(key, group=7)
     assert {gateway.server_of[number] for number in range(1, 20)} > {home}
@@ -325,19 +344,22 @@
     fleet = Fleet(gateways, servers=0, weighted=True, tells_delay=True)
     fleet.servers(*(listed(100 + n, weight=(4.0, 2.4)[n % 2]) for n in range(10)))
     strong = [fleet.open(key)[2] % 2 == 0 for key in range(1, 2_001)]
-    assert 0.55 < sum(strong) / len(strong) < 0.7  # 4.0 against 2.4
+    # The weights are 4.0 and 2.4.
+    assert 0.55 < sum(strong) / len(strong) < 0.7
 
 
 @pytest.mark.parametrize("unit", [0.01, 1.0, 100.0, 1e6])
 def test_keys_follow_the_weights_whatever_their_unit(unit):
     gateways = [Gateway(servers=0, weighted=True) for _ in range(2)]
     few = [listed(100 + n, weight=unit * (1 + n % 2)) for n in range(8)]
-    gateways[1].servers(ListKind.FULL, listed(99, weight=40 * unit), *few)  # it alone has seen a larger one
+    # Only this gateway has seen a server with a larger weight.
+    gateways[1].servers(ListKind.FULL, listed(99, weight=40 * unit), *few)
     gateways[1].servers(ListKind.DELTA, listed(99, ServerState.GONE))
     gateways[0].servers(ListKind.FULL, *few)
     homes = [[gateway.balancer.anchor.lookup(key, SEEDS[0]) for key in range(4_000)] for gateway in gateways]
     assert homes[0] == homes[1]
-    assert 0.6 < sum(home % 2 for home in homes[0]) / 4_000 < 0.73  # two thirds
+    # The expected part is two thirds.
+    assert 0.6 < sum(home % 2 for home in homes[0]) / 4_000 < 0.73
 
 
 def test_the_name_of_a_server_kind_does_not_affect_the_map():
@@ -353,7 +375,8 @@
 @pytest.mark.parametrize("gateways", [2, 40])
 def test_only_what_the_ready_servers_cannot_carry_is_refused_and_at_once(gateways):
     fleet = Fleet(gateways)
-    opened = [fleet.open(key, group=key % 60 + 1)[2] for key in range(1, 451)]  # three quarters of the shares
+    # 450 connections are three quarters of the shares.
+    opened = [fleet.open(key, group=key % 60 + 1)[2] for key in range(1, 451)]
     assert sum(server is None for server in opened) <= 450 // 20
     for gateway in fleet.gateways:
         for number in list(gateway.balancer.connections):
@@ -363,7 +386,8 @@
     for key in range(1, 451):
         fleet.open(key, group=key % 60 + 1, returning=True)
     held = sum(len(gateway.balancer.connections) for gateway in fleet.gateways)
-    assert 0.8 * 240 <= held <= 240 + gateways  # four tenths of the shares
+    # 240 connections are four tenths of the shares.
+    assert 0.8 * 240 <= held <= 240 + gateways
 
 
 def test_the_part_of_a_live_gateway_grows_as_clients_of_failed_gateways_arrive():
@@ -371,10 +395,13 @@
     for key in range(1, 13):
         gateway.open(key)
     gateway.now += 2 * SECOND
-    taken = [gateway.open(key, mid_flow=True) for key in range(100, 120)]  # none of them is refused
-    assert 12 < gateway.balancer.live_gateways < 18  # 40 * 12 / 32
+    # None of these is refused.
+    taken = [gateway.open(key, mid_flow=True) for key in range(100, 120)]
+    # The estimate is 40 * 12 / 32.
+    assert 12 < gateway.balancer.live_gateways < 18
     for number in taken:
-        gateway.answer(number, Outcome.CANCELLED, done=True)  # their packets go elsewhere again
+        # The packets of these clients go to other gateways again.
+        gateway.answer(number, Outcome.CANCELLED, done=True)
     assert gateway.balancer.live_gateways == pytest.approx(40)
 
 
@@ -398,14 +425,15 @@
 
 
 def large_fleet() -> Fleet:
-    """Some ten connections a gateway, less than one for each server."""
+    """Returns a sparse fleet with about ten connections per gateway, fewer than it has servers."""
     return Fleet(200, servers=50, tenants=(Tenant(1.0, 100.0, 4_000.0),))
 
 
 def test_a_group_that_is_large_in_the_fleet_and_small_at_each_gateway_uses_several_servers():
     fleet = large_fleet()
     at = Counter(fleet.open(key * 977, group=7)[2] for key in range(1, 201))
-    assert max(at.values()) <= 200 // 4 and 5 <= len(at) <= 25  # it pays for itself once at each
+    # Each of these servers pays for the shared work of the group once.
+    assert max(at.values()) <= 200 // 4 and 5 <= len(at) <= 25
 
 
 @pytest.mark.parametrize(("cold", "homes"), [(0, 5), (8, 4), (25, 3), (40, 2)])
@@ -426,11 +454,12 @@
         assert len(at) <= homes and found > 0.9 * len(fleet.gateways)
         fleet.wait(30 * SECOND)
         late.wait(30 * SECOND)
-        cold, homes = 0, 5  # all are warm
+        # All servers are warm now.
+        cold, homes = 0, 5
 
 
 def test_no_key_moves_where_a_fleet_becomes_sparse():
-    """Fifty servers, and one more: at either side of the bound every client is found where it stands."""
+    """With 50 servers the fleet is dense and with 51 sparse; clients stay where they are at either side."""
     shares = (Tenant(1.0, 100.0, 10_100.0),)
     fleet, wider = (Fleet(200, servers=servers, tenants=shares) for servers in (50, 51))
     assert [some.gateways[0].balancer.is_sparse for some in (fleet, wider)] == [False, True]
@@ -439,7 +468,8 @@
         for key in range(1, 201)
         if fleet.open(key * 977, group=key % 50 + 1)[2] != wider.request(key * 977, group=key % 50 + 1)[2]
     }
-    assert len(moved) < 200 // 10  # the keys of the new server alone
+    # Only the keys of the new server move.
+    assert len(moved) < 200 // 10
 
 
 def test_a_client_of_a_group_with_one_home_has_other_servers_to_go_to():
@@ -483,7 +513,8 @@
     fleet = large_fleet()
     gateways = fleet.gateways[:100]
     homes = set()
-    for key, gateway in enumerate(gateways, 1):  # one client of the group at each
+    # Each gateway has one client of the group.
+    for key, gateway in enumerate(gateways, 1):
         homes.add(gateway.server_of[gateway.open(key * 977, group=7)])
     for key, gateway in enumerate(fleet.gateways[100:], 1):
         homes.add(gateway.server_of[gateway.open(key * 977, group=7, returning=True)])
@@ -500,5 +531,6 @@
 
 
 def test_a_gateway_with_several_times_its_part_of_the_clients_refuses_none_in_a_large_fleet():
-    gateway = large_fleet().gateways[0]  # 20 connections would be its part of the shares
+    # Its part of the shares is 20 connections.
+    gateway = large_fleet().gateways[0]
     assert all(attempts_in(gateway.request(key * 977, group=key % 300 + 1)[1]) for key in range(1, 101))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, with the module driven alone."""
+"""The four rules of the decisions, tested on the decision module alone."""
 
 from dataclasses import replace
 
@@ -36,7 +36,7 @@
     return RequestClass(semantics=Semantics.BY_KEY, scope=scope, window_us=window)
 
 
-# ---- one final answer, in time ----
+# ---- each request gets one final answer in time ----
 
 
 @hypothesis_settings(derandomize=True, max_examples=60, deadline=None)
@@ -104,7 +104,7 @@
     assert gateway.handle(ClientLeft(999)) == []
 
 
-# ---- no effect twice ----
+# ---- no request takes effect twice ----
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RAN)
@@ -188,7 +188,7 @@
     assert all(a.server != other for a in attempts_in(gateway.answer(number, Outcome.CONNECT_FAILED)))
 
 
-# ---- edges ----
+# ---- edge cases ----
 
 
 def test_no_ready_server_refuses_at_once():
@@ -241,7 +241,8 @@
     timer = next(action for action in actions if isinstance(action, SetTimer))
     assert timer.delay_us < 8 * SECOND
     assert gateway.timer(timer.token) == [Subscribe(True)]
-    assert attempts_in(gateway.request()[1])[0].server == 100  # the list of before remains
+    # The previous list remains in force.
+    assert attempts_in(gateway.request()[1])[0].server == 100
 
 
 @pytest.mark.parametrize("change", [{}, {"may_send_copies": True}])
@@ -255,13 +256,13 @@
     assert len(attempts_in(gateway.answer(number, Outcome.CONNECT_FAILED))) <= 1
 
 
-# ---- rationed further attempts ----
+# ---- the budget of further attempts ----
 
 BUDGET = {"spare_attempts": 2.0, "extra_per_request": 0.03, "look_back_us": 2 * SECOND, "max_attempts": 6}
 
 
 class BudgetCheck:
-    """Counts as the rule does: at each further attempt, those of the span against what was taken in it."""
+    """Checks each further attempt against the requests and further attempts of the look-back, as the rule."""
 
     def __init__(self, **changes: object) -> None:
         self.gateway = Gateway(servers=8, **(BUDGET | changes))
@@ -313,14 +314,16 @@
         while attempts_in(actions):
             actions = gateway.answer(number, outcome)
             count += len(attempts_in(actions))
-        assert final_answers(actions)  # never left waiting for the ration
+        # No request is kept waiting for the budget.
+        assert final_answers(actions)
     return count
 
 
 def test_the_budget_is_full_again_only_after_the_full_look_back():
     gateway = Gateway(servers=60, **BUDGET)
     assert extras_of(gateway, 5) == 2
-    gateway.now += 2 * SECOND  # the edge still belongs to the span
+    # The edge still belongs to the look-back.
+    gateway.now += 2 * SECOND
     assert extras_of(gateway, 5) == 0
     gateway.now += 1
     assert extras_of(gateway, 5) == 2
@@ -331,7 +334,8 @@
     for _ in range(70):
         assert final_answers(gateway.request()[1])
     gateway.servers(ListKind.FULL, *(listed(n) for n in range(100, 108)))
-    assert extras_of(gateway, 10) == 4  # 2 and 0.03 x 71 to 0.03 x 80
+    # The budget is 2 plus 0.03 times 71 to 80 requests.
+    assert extras_of(gateway, 10) == 4
 
 
 def test_further_attempts_are_unlimited_without_a_budget_and_none_with_a_budget_of_zero():
@@ -371,7 +375,7 @@
     assert attempts_in(gateway.request()[1])[0].timeout_us == 3 * SECOND
 
 
-# ---- lists in the wrong order ----
+# ---- lists that arrive out of order ----
 
 
 def handle_list(gateway: Gateway, kind: ListKind, number: int, *servers: ListedServer) -> None:
@@ -389,7 +393,8 @@
     handle_list(gateway, ListKind.DELTA, 8, listed(101), listed(102))
     handle_list(gateway, ListKind.FULL, 6, listed(101))
     assert servers_used(gateway) == {100}
-    handle_list(gateway, ListKind.DELTA, 0, listed(102))  # no version told: taken as it comes
+    # A list without a version is applied as it arrives.
+    handle_list(gateway, ListKind.DELTA, 0, listed(102))
     assert servers_used(gateway) == {100, 102}
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any deployment: what is faulty in them is told by its key, and what is odd is served."""
+"""Settings of any deployment: faulty values are reported by their key, and unusual ones are served."""
 
 import json
 import math
@@ -46,7 +46,7 @@
 
 
 def settings_with(key: str, value: Any) -> dict[str, Any]:
-    """Sound settings but for that one value."""
+    """Returns valid settings with one value replaced."""
     settings = json.loads(json.dumps(relaying.SETTINGS))
     settings["classes"].append({"name": "two", "hard_limit_us": 900})
     settings["extra"]["message_aim_us"].append(60000.0)
@@ -69,7 +69,8 @@
 
 def test_valid_settings_have_no_problems() -> None:
     assert settings_of(settings_with("replicas_of_me", 3))[1] == ()
-    assert settings_of(settings_with("invariants", {"cold_us": 0}))[0].cold_us == 1  # warm at once
+    # A server is warm at once.
+    assert settings_of(settings_with("invariants", {"cold_us": 0}))[0].cold_us == 1
 
 
 def test_a_line_break_in_a_name_adds_no_setting() -> None:
@@ -164,7 +165,8 @@
         elif what == "timer" and number:
             actions = gateway.timer(number)
         elif what == "up" and number in out:
-            ended.add(number)  # it stands: nothing more is owed to it than its end
+            # Only the end of an established connection remains to be handled.
+            ended.add(number)
             actions = gateway.establish(number, n * 100_000)
         elif what == "slow" and number in out:
             actions = gateway.notice(number, interface.NoticeKind.SLOW, n * 100.0)
@@ -223,7 +225,8 @@
     relaying.write(
         tmp_path, discovery="127.0.0.1:8", settings=settings_with("classes.0.hard_limit_us", "soon")
     )
-    assert read_again(environment, served[0])[0].discovery == ("127.0.0.1", 8)  # nothing new is amiss
+    # The reload adds no new problem.
+    assert read_again(environment, served[0])[0].discovery == ("127.0.0.1", 8)
     relaying.write(tmp_path, settings=settings_with("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
     with pytest.raises(ConfigError, match=r"^settings\.classes\.0\.semantics: 'twice' is not one of"):
         read_again(environment, served[0])
