--- a/linnetspread/choice.py
+++ b/linnetspread/choice.py
@@ -108,28 +108,28 @@
 
     def add(self, server: int, count: int) -> None:
         """Adds a server that claims `count` buckets."""
-        value, named = mix(server ^ SEEDS[1]), dict[int, int]()
-        while len(named) < count:
+        value, claimed = mix(server ^ SEEDS[1]), dict[int, int]()
+        while len(claimed) < count:
             value = mix(value + SEEDS[0] & MASK_64)
             for draw in (value >> 32, value & 0xFFFFFFFF):
-                named.setdefault(draw % ANCHOR_BUCKETS, draw)
-        self.buckets_of[server] = list(named)
-        for b, draw in named.items():
+                claimed.setdefault(draw % ANCHOR_BUCKETS, draw)
+        self.buckets_of[server] = list(claimed)
+        for bucket, draw in claimed.items():
             claim = (draw, server)
-            if b in self.owner:
-                lower_claim, claim = sorted((claim, self.owner[b]))
-                self.lower_claims[b] = (*self.lower_claims.get(b, ()), lower_claim)
-            self.owner[b] = claim
+            if bucket in self.owner:
+                lower_claim, claim = sorted((claim, self.owner[bucket]))
+                self.lower_claims[bucket] = (*self.lower_claims.get(bucket, ()), lower_claim)
+            self.owner[bucket] = claim
 
     def remove(self, server: int) -> None:
         """Removes a server; each of its buckets goes to the next highest claim, if there is one."""
-        for b in self.buckets_of.pop(server):
-            claims = sorted((self.owner.pop(b), *self.lower_claims.pop(b, ())))
+        for bucket in self.buckets_of.pop(server):
+            claims = sorted((self.owner.pop(bucket), *self.lower_claims.pop(bucket, ())))
             claims = [claim for claim in claims if claim[1] != server]
             if claims:
-                self.owner[b] = claims.pop()
+                self.owner[bucket] = claims.pop()
             if claims:
-                self.lower_claims[b] = tuple(claims)
+                self.lower_claims[bucket] = tuple(claims)
 
     def lookup(self, key: int, seed: int) -> int | None:
         """Returns the server of a key under a seed, or None while there are no servers."""
@@ -277,21 +277,21 @@
         if 0 < event.version < self.version:
             return
         self.version = event.version or self.version
-        for line in event.servers:
-            power = self._power_of(line)
-            server = self.servers.setdefault(line.server, Server(line, power))
+        for entry in event.servers:
+            power = self._power_of(entry)
+            server = self.servers.setdefault(entry.server, Server(entry, power))
             # A server whose power changed is removed here and added again with another number of buckets.
-            if power != server.power and line.server in self.anchor.buckets_of:
-                self.anchor.remove(line.server)
+            if power != server.power and entry.server in self.anchor.buckets_of:
+                self.anchor.remove(entry.server)
             server.power = power
             # The state of an old process doesn't apply to a new one.
-            if line.started_us != server.listed.started_us:
+            if entry.started_us != server.listed.started_us:
                 server.failures = server.ejected_until = server.backoff_until = 0
                 server.slice = Slice()
-            server.listed = line
+            server.listed = entry
         if event.kind is not interface.ListKind.DELTA:
-            named = {line.server for line in event.servers}
-            for server in (self.servers[number] for number in self.servers.keys() - named):
+            listed_ids = {entry.server for entry in event.servers}
+            for server in (self.servers[number] for number in self.servers.keys() - listed_ids):
                 server.listed = replace(server.listed, state=interface.ServerState.GONE)
         self._update_anchor()
         for server in list(self.servers.values()):
@@ -326,9 +326,9 @@
             1, round(MAX_HOMES * self.available_power / (sum(self.listed_powers) or 1.0))
         )
 
-    def _power_of(self, line: interface.ListedServer) -> float:
+    def _power_of(self, entry: interface.ListedServer) -> float:
         # The power must not depend on anything that a gateway learns, as the map is built from it.
-        return max(line.weight, 0.0) or 1.0 if self.settings.weighted else 1.0
+        return max(entry.weight, 0.0) or 1.0 if self.settings.weighted else 1.0
 
     def _new_client_rate(self) -> float:
         """Returns the new clients per microsecond that come here, as ended connections make room for them."""
@@ -513,9 +513,9 @@
         key = event.shared_key
         if not self.ready_power:
             return
-        spread = bool(event.group) and self.is_sparse
+        is_spread = bool(event.group) and self.is_sparse
         part = parts = 0
-        if spread:
+        if is_spread:
             # The loop is over few connections, as the fleet is sparse.
             group_size = sum(connection.event.group == key for connection in self.connections.values()) - 1
             parts = (
@@ -529,13 +529,13 @@
         # A client comes back because its server failed or is overloaded. This gateway may not know that yet,
         # as the list arrives late. In a sparse fleet the server of the key is tried all the same, as the next
         # gateway looks for the connection there; in other fleets the client is reset then and comes back.
-        home_is_usable = spread or not event.returning or self._age_us(home) < self.settings.cold_us
-        if home_is_usable or any(connection.established for connection in home.connections.values()):
+        try_home = is_spread or not event.returning or self._age_us(home) < self.settings.cold_us
+        if try_home or any(connection.established for connection in home.connections.values()):
             yield home, True
         # A spread group has its other homes as further servers: each new one would pay for the shared work.
-        for turn in range(FALLBACK_SEEDS):
-            seed = SEEDS[0] if spread else SEEDS[1] + turn * SEEDS[2] & MASK_64
-            other = mix((part + turn + 1) % max(parts, FALLBACK_SEEDS + 1)) if spread else 0
+        for step in range(FALLBACK_SEEDS):
+            seed = SEEDS[0] if is_spread else SEEDS[1] + step * SEEDS[2] & MASK_64
+            other = mix((part + step + 1) % max(parts, FALLBACK_SEEDS + 1)) if is_spread else 0
             yield self.servers[self.anchor.lookup(key ^ other, seed) or 0], False
 
     def _is_allowed(self, connection: Connection, server: Server) -> bool:
@@ -545,15 +545,15 @@
         """
         if not server.listed.ready:
             return False
-        kind = self.settings.class_of(connection.event)
-        if connection.may_have_run_on is None or kind.semantics is interface.Semantics.REPEATABLE:
+        request_class = self.settings.class_of(connection.event)
+        if connection.may_have_run_on is None or request_class.semantics is interface.Semantics.REPEATABLE:
             return True
         if (
-            kind.semantics is interface.Semantics.ONCE
-            or self.now - connection.may_have_run_at >= kind.window_us
+            request_class.semantics is interface.Semantics.ONCE
+            or self.now - connection.may_have_run_at >= request_class.window_us
         ):
             return False
-        return kind.scope.joins(server.listed, connection.may_have_run_on.listed)
+        return request_class.scope.joins(server.listed, connection.may_have_run_on.listed)
 
     def _is_healthy(self, connection: Connection, server: Server) -> bool:
         """Returns whether the server is neither backed off nor ejected nor over its part of the connections.
@@ -591,13 +591,16 @@
     def _value_per_load(self, connection: Connection) -> float:
         """Returns the worth per load, relative to the mean; it is lower beyond the share of the tenant."""
         mean = sum(self.mean_load) / len(self.mean_load) or connection.load
-        merit = (
+        value_per_load = (
             self.settings.class_of(connection.event).worth
             / self.settings.mean_worth
             * mean
             / max(connection.load, 1.0)
         )
-        return max(0.05, merit * (self.settings.over_share_worth if self._is_over_quota(connection) else 1.0))
+        return max(
+            0.05,
+            value_per_load * (self.settings.over_share_worth if self._is_over_quota(connection) else 1.0),
+        )
 
     def _is_over_quota(self, connection: Connection) -> bool:
         """Returns whether the tenant clearly exceeds its part of the connections.
@@ -824,20 +827,21 @@
             self._reduce_slice(server, 0.7 - 0.3 * min(1.0, took_us / 1e6))
             self._shed(server)
 
-    def _reduce_slice(self, server: Server, keep: float) -> None:
-        """Reduces the slice of an overloaded server to the part `keep`, at most once in 900 ms."""
+    def _reduce_slice(self, server: Server, kept_part: float) -> None:
+        """Reduces the slice of an overloaded server to `kept_part` of its size, at most once in 900 ms."""
         if self.now - server.reduced_at < 900_000:
             return
-        before = self._slice_size(server)
-        if before == 1:
+        previous_size = self._slice_size(server)
+        if previous_size == 1:
             self.actions.append(
                 interface.Log(f"server {server.listed.server} jams: it keeps a smaller slice of its keys")
             )
-        server.slice.size = before * keep
+        server.slice.size = previous_size * kept_part
         server.slice.updated_at = server.reduced_at = self.now
         self.mean_slice.size = max(
             0.0,
-            self.mean_slice.size_at(self.now) - (before - server.slice.size) / max(1, self.occupied_servers),
+            self.mean_slice.size_at(self.now)
+            - (previous_size - server.slice.size) / max(1, self.occupied_servers),
         )
 
     def _shed(self, server: Server) -> None:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -113,9 +113,11 @@
     """Sends a notice of slow messages at the server once a second; returns the requests that are moved."""
     moved = []
     for _ in range(seconds):
-        there = [held for held in gateway.balancer.servers[server].connections.values() if not held.finished]
-        if there:
-            moved += moved_requests(gateway.notice(there[0].event.request, NoticeKind.SLOW, 150.0))
+        at_server = [
+            held for held in gateway.balancer.servers[server].connections.values() if not held.finished
+        ]
+        if at_server:
+            moved += moved_requests(gateway.notice(at_server[0].event.request, NoticeKind.SLOW, 150.0))
         gateway.now += SECOND
     return moved
 
@@ -123,20 +125,22 @@
 def test_an_overloaded_server_loses_connections_until_the_rest_is_served():
     gateway = Gateway()
     opened = fill(gateway, 200)
-    there = [number for number in opened if gateway.server_of[number] == 102]
+    at_server = [number for number in opened if gateway.server_of[number] == 102]
     moved = overload(gateway, 102)
-    assert 0 < len(moved) < len(there) and set(moved) <= set(there)
+    assert 0 < len(moved) < len(at_server) and set(moved) <= set(at_server)
     assert place(gateway, key_for(gateway, 102, after=61_000)) != 102
 
 
 def test_an_overloaded_server_gives_up_whole_groups():
     gateway = Gateway(tells_delay=True)
     opened = [gateway.open(50_000 + n, group=1 + n % 97) for n in range(300)]
-    held = gateway.balancer.connections
-    there = [number for number in opened if gateway.server_of[number] == 102 and held[number].at_home]
-    moved = set(overload(gateway, 102)) & set(there)
-    group_of = {number: gateway.balancer.connections[number].event.group for number in there}
-    left = {group_of[number] for number in there if number not in moved}
+    connections = gateway.balancer.connections
+    at_server = [
+        number for number in opened if gateway.server_of[number] == 102 and connections[number].at_home
+    ]
+    moved = set(overload(gateway, 102)) & set(at_server)
+    group_of = {number: gateway.balancer.connections[number].event.group for number in at_server}
+    left = {group_of[number] for number in at_server if number not in moved}
     assert moved and left and not left & {group_of[number] for number in moved}
 
 
@@ -155,16 +159,16 @@
 def test_slow_set_ups_count_as_delay_only_where_no_notice_reports_it(tells_delay):
     gateway = Gateway(tells_delay=tells_delay)
     opened = fill(gateway, 200)
-    there = {number for number in opened if gateway.server_of[number] == 102}
+    at_server = {number for number in opened if gateway.server_of[number] == 102}
     moved: set[int] = set()
     for _ in range(2):
         # One slow set-up alone does not count as delay.
         assert not moved
         number, _ = gateway.request(key_for(gateway, 102, after=60_000))
         moved |= set(moved_requests(gateway.establish(number, 155_000)))
-    assert bool(moved & there) != tells_delay
+    assert bool(moved & at_server) != tells_delay
     # The delay is inferred, so that a few clients leave at a time, not all at once.
-    assert len(moved) <= len(there) / 8 + 2
+    assert len(moved) <= len(at_server) / 8 + 2
     assert (place(gateway, key_for(gateway, 102, after=90_000)) == 102) == tells_delay
 
 
@@ -221,18 +225,18 @@
 def test_clients_dropped_by_a_server_are_not_sent_straight_back_to_it():
     gateway = Gateway()
     opened = fill(gateway, 200)
-    there = [number for number in opened if gateway.server_of[number] == 102]
-    for number in there[:5]:
+    at_server = [number for number in opened if gateway.server_of[number] == 102]
+    for number in at_server[:5]:
         gateway.answer(number, Outcome.RESET, done=True)
-    again = [place(gateway, 50_000 + number - 1) for number in there[:5]]
+    again = [place(gateway, 50_000 + number - 1) for number in at_server[:5]]
     assert 102 not in again
 
 
 def test_an_overloaded_server_that_was_emptied_is_used_again():
     gateway = Gateway()
     opened = fill(gateway, 200)
-    there = [number for number in opened if gateway.server_of[number] == 102]
-    for number in there:
+    at_server = [number for number in opened if gateway.server_of[number] == 102]
+    for number in at_server:
         gateway.answer(number, Outcome.RESET, done=True)
         gateway.now += SECOND
     gateway.now += 600 * SECOND
@@ -242,8 +246,8 @@
 def test_overflowing_connections_of_a_group_go_to_the_same_server():
     gateway = Gateway(servers=6)
     opened = fill(gateway, 60)
-    there = next(number for number in opened if gateway.server_of[number] == 102)
-    gateway.notice(there, NoticeKind.SLOW, 60.0)
+    at_server = next(number for number in opened if gateway.server_of[number] == 102)
+    gateway.notice(at_server, NoticeKind.SLOW, 60.0)
     keys = [key_for(gateway, 102, after) for after in (1_000, 2_000, 3_000, 4_000)]
     overflow_servers = {attempts_in(gateway.request(key, group=77)[1])[0].server for key in keys}
     assert len(overflow_servers) == 1 and 102 not in overflow_servers
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -200,11 +200,11 @@
     fleet = Fleet(50)
     opened = [fleet.open(key, group=key % 50 + 1) for key in range(1, 501)]
     tried = list(enumerate(opened, 1))
-    struck = [(key, gateway, number) for key, (gateway, number, server) in tried if server == 104]
-    for _, gateway, number in struck:
+    affected = [(key, gateway, number) for key, (gateway, number, server) in tried if server == 104]
+    for _, gateway, number in affected:
         gateway.answer(number, Outcome.RESET, done=True)
-    back = sum(fleet.request(key, group=key % 50 + 1, returning=True)[2] == 104 for key, _, _ in struck)
-    assert len(struck) > 30 and back <= len(struck) // 8
+    back = sum(fleet.request(key, group=key % 50 + 1, returning=True)[2] == 104 for key, _, _ in affected)
+    assert len(affected) > 30 and back <= len(affected) // 8
 
 
 @pytest.mark.parametrize("gateways", COUNTS)
