--- a/linnetspread/choice.py
+++ b/linnetspread/choice.py
@@ -38,7 +38,7 @@
 MAX_FAIR_SHARE_MULTIPLE = 1.25
 # The part of its slice that an overloaded server gets back in a second.
 SLICE_REGROWTH_PER_S = 0.02
-# With more set-ups than this under way, the time of one says nothing about the delay of its server.
+# With more other set-ups than this under way, the time of one says nothing about the delay of its server.
 MAX_OTHER_SETUPS = 3
 # At most about one eighth of a server's connections are moved at a time, where no notices report its delay.
 SHED_DIVISOR = 8
@@ -50,11 +50,13 @@
 PRIOR_WEIGHT_US = 60e6
 # New clients may come at up to this multiple of their usual rate.
 NEW_CLIENT_BURST_FACTOR = 3
-# Turns use this part of the calls that a cold server may get, where these are many, and ...
+# A cold server may get a number of calls within `fall_us`. The turns of clients use this part of them, plus
+# the part that follows from COLD_BUDGET_CHANCE_PART and vanishes where the calls are many.
 COLD_BUDGET_PART = 0.15
-# ... this multiple of their square root besides: the rule allows as many more, for chance.
+# Turns also use this multiple of the square root of the calls, as the rule allows for deviations by chance,
+# which grow with that root.
 COLD_BUDGET_CHANCE_PART = 0.75
-# A timer token of its own; request ids stay far below.
+# The timer token for a new subscription to the list; request ids, the other tokens, stay far below.
 RESUBSCRIBE_TOKEN = 1 << 60
 
 
@@ -624,7 +626,8 @@
 
         A server that just started gets only a slice of the keys, however many gateways there are. New clients
         come evenly, so that a slice as large as the server's present share fits them. All others may come at
-        once, and each key has one turn only, or the same clients would come again and again.
+        once. Each of their keys has one turn, the time of `fall_us` in which a moving slice covers it, or the
+        same clients would come again and again.
         """
         age, event = self._age_us(server), connection.event
         if age >= self.settings.cold_us:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -114,7 +114,9 @@
     moved = []
     for _ in range(seconds):
         at_server = [
-            held for held in gateway.balancer.servers[server].connections.values() if not held.finished
+            connection
+            for connection in gateway.balancer.servers[server].connections.values()
+            if not connection.finished
         ]
         if at_server:
             moved += moved_requests(gateway.notice(at_server[0].event.request, NoticeKind.SLOW, 150.0))
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -225,7 +225,7 @@
     least = 0 if fleet.gateways[0].balancer.is_sparse else 5
     # The server gets some clients, but not the whole group.
     assert least < len(sent) < 60
-    # A turn lasts four seconds with these settings.
+    # A turn lasts two seconds (`fall_us`); the bound would allow one of four.
     assert max(sent.values()) <= 5
 
 
