--- a/linnetspread/choice.py
+++ b/linnetspread/choice.py
@@ -317,6 +317,7 @@
         self._recompute_power()
 
     def _recompute_power(self) -> None:
+        """Recomputes the available power and the homes of a group, which grow as cold servers warm up."""
         self.next_power_check_at = self.now + 1_000_000
         ready = [server for server in self.servers.values() if server.listed.ready]
         self.available_power = sum(
--- a/tests/test_cold_turns.py
+++ b/tests/test_cold_turns.py
@@ -42,14 +42,14 @@
     """Guards against the overload of cold servers by a rush late in the warm-up.
 
     All clients of the shares come back at once, 10 s after half of the servers started. A cold server was
-    sent up to 1.77 times what it bears (seeds 1 to 8), and fell.
+    sent up to 1.77 times what it can carry (seeds 1 to 8), and failed.
 
     Each client has four candidate servers, and at each cold one it had a turn of two windows of the settings.
-    The turns at the server of the key alone came to 0.8 to 0.9 of N: 221 to 241 calls by seed. Clients that
-    were turned away there had three more turns, which added 95 to 108, 39 to 51 and 16 to 25 calls, so that
-    the mean over all cold servers was 14.0 to 16.4 where N is 10.7. Now a client has one turn of one window,
-    at its first cold candidate, and all turns together use as much of N as the rule's allowance for chance
-    can absorb.
+    N is the number of calls that the rule allows one cold server apart from chance, 10.7 here. The turns at
+    the server of the key alone came to 0.8 to 0.9 of N: 221 to 241 calls by seed. Clients that were turned
+    away there had three more turns, which added 95 to 108, 39 to 51 and 16 to 25 calls, so that the mean over
+    all cold servers was 14.0 to 16.4. Now a client has one turn of one window, at its first cold candidate,
+    and all turns together use as much of N as the rule's allowance for chance can absorb.
     """
     late = Case("rush after 10 s, the whole shares", 1.0, rush_at_s=10.0)
     cold = cold_turns.play(late, gateways=200, servers=50, seed=1)
