--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -266,28 +266,28 @@
 
     def __init__(self, **changes: object) -> None:
         self.gateway = Gateway(servers=8, **(BUDGET | changes))
-        self.taken: list[int] = []
-        self.extras: list[int] = []
-        self.out: list[int] = []
+        self.request_times: list[int] = []
+        self.extra_attempt_times: list[int] = []
+        self.requests_out: list[int] = []
 
-    def see(self, number: int, actions: list) -> None:
-        now, back = self.gateway.now, self.gateway.balancer.settings.look_back_us
+    def check(self, number: int, actions: list) -> None:
+        now, look_back = self.gateway.now, self.gateway.balancer.settings.look_back_us
         if attempts_in(actions):
-            self.out.append(number)
+            self.requests_out.append(number)
             if self.gateway.attempts[number]:
-                self.extras.append(now)
-                taken = sum(now - back < t for t in self.taken)
-                assert sum(now - back <= t for t in self.extras) <= 2 + 0.03 * taken
+                self.extra_attempt_times.append(now)
+                taken = sum(now - look_back < t for t in self.request_times)
+                assert sum(now - look_back <= t for t in self.extra_attempt_times) <= 2 + 0.03 * taken
 
     def request(self, **fields: object) -> None:
-        self.taken.append(self.gateway.now)
-        self.see(*self.gateway.request(**fields))
+        self.request_times.append(self.gateway.now)
+        self.check(*self.gateway.request(**fields))
 
     def answer(self, outcome: Outcome) -> None:
-        number = self.out.pop(0)
+        number = self.requests_out.pop(0)
         if outcome is Outcome.MOOT and self.gateway.attempts[number]:
-            self.extras.pop()
-        self.see(number, self.gateway.answer(number, outcome))
+            self.extra_attempt_times.pop()
+        self.check(number, self.gateway.answer(number, outcome))
 
 
 @hypothesis_settings(derandomize=True, max_examples=80, deadline=None)
@@ -301,7 +301,7 @@
     budget = BudgetCheck()
     for wait, outcome in steps:
         budget.gateway.now += wait
-        if outcome is None or not budget.out:
+        if outcome is None or not budget.requests_out:
             budget.request()
         else:
             budget.answer(outcome)
@@ -344,9 +344,9 @@
     assert extras_of(Gateway(servers=8, **none), 5) == 0
 
 
-@pytest.mark.parametrize("back", [0, 2 * SECOND])
-def test_times_older_than_the_look_back_are_dropped_even_while_all_requests_are_refused(back):
-    gateway = Gateway(servers=0, **(BUDGET | {"look_back_us": back}))
+@pytest.mark.parametrize("look_back_us", [0, 2 * SECOND])
+def test_times_older_than_the_look_back_are_dropped_even_while_all_requests_are_refused(look_back_us):
+    gateway = Gateway(servers=0, **(BUDGET | {"look_back_us": look_back_us}))
     for _ in range(300):
         gateway.now += SECOND
         assert final_answers(gateway.request()[1])
