--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -85,7 +85,7 @@
     assert attempts_in(gateway.request()[1])
 
 
-@pytest.mark.parametrize("took_another", [False, True])
+@pytest.mark.parametrize("accepted_another", [False, True])
 def test_a_timeout_is_no_failure_if_the_server_accepted_another_connection_meanwhile(accepted_another):
     """Guards against ejecting all servers when many clients come at once and make all of them slow."""
     gateway = Gateway()
