--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any deployment: what is faulty in them is told by its key, and what is odd is served."""
+"""Settings of any deployment: faulty values are reported by their key, and unusual ones are served."""
 
 import json
 import math
@@ -7,17 +7,17 @@
 
 import pytest
 import relaying
-from driver import SECOND, Gateway, finals, listed, moves, sends
+from driver import SECOND, Gateway, attempts_in, final_answers, listed, moved_requests
 from hypothesis import given
 from hypothesis import strategies as st
 
 from glenfold.config import ConfigError, read_again
 from glenfold.config.platform import settings_of
 from glenfold.daemon import platform
-from linnetspread import interface as i
+from linnetspread import interface
 from linnetspread.wire import read_settings
 
-FAULTY: list[tuple[str, Any]] = [
+FAULTY_SETTINGS: list[tuple[str, Any]] = [
     ("classes.0.hard_limit_us", "soon"),
     ("classes.0.hard_limit_us", -1),
     ("classes.0.hard_limit_us", None),
@@ -45,8 +45,8 @@
 ]
 
 
-def told(key: str, value: Any) -> dict[str, Any]:
-    """Sound settings but for that one value."""
+def settings_with(key: str, value: Any) -> dict[str, Any]:
+    """Returns valid settings with one value replaced."""
     settings = json.loads(json.dumps(relaying.SETTINGS))
     settings["classes"].append({"name": "two", "hard_limit_us": 900})
     settings["extra"]["message_aim_us"].append(60000.0)
@@ -58,37 +58,38 @@
     return settings
 
 
-@pytest.mark.parametrize(("key", "value"), FAULTY)
-def test_a_faulty_setting_is_told_by_its_key_and_a_default_stands_for_it(key: str, value: Any) -> None:
-    settings, faults = settings_of(told(key, value))
-    assert f"settings.{key}" in [faulty for faulty, _ in faults]
-    assert {faulty.startswith(f"settings.{key}") for faulty, _ in faults} == {True}
+@pytest.mark.parametrize(("key", "value"), FAULTY_SETTINGS)
+def test_a_faulty_setting_is_reported_by_its_key_and_replaced_by_a_default(key: str, value: Any) -> None:
+    settings, problems = settings_of(settings_with(key, value))
+    assert f"settings.{key}" in [key_of_problem for key_of_problem, _ in problems]
+    assert {key_of_problem.startswith(f"settings.{key}") for key_of_problem, _ in problems} == {True}
     Gateway(classes=settings.classes, tenants=settings.tenants).open(1)
     assert all(0 < kind.deadline_us < math.inf for kind in settings.classes) and settings.max_attempts > 0
 
 
-def test_sound_settings_have_no_faults_whoever_wrote_them() -> None:
-    assert settings_of(told("replicas_of_me", 3))[1] == ()
-    assert settings_of(told("invariants", {"cold_us": 0}))[0].cold_us == 1  # warm at once
+def test_valid_settings_have_no_problems() -> None:
+    assert settings_of(settings_with("replicas_of_me", 3))[1] == ()
+    # A server is warm at once.
+    assert settings_of(settings_with("invariants", {"cold_us": 0}))[0].cold_us == 1
 
 
-def test_a_name_brings_no_setting_of_its_own() -> None:
+def test_a_line_break_in_a_name_adds_no_setting() -> None:
     for end in "\n\r\x0b\x1c\x85\u2028":
-        settings, _ = settings_of(told("classes.1.name", f"two{end}classes.0.worth=9"))
+        settings, _ = settings_of(settings_with("classes.1.name", f"two{end}classes.0.worth=9"))
         assert [kind.worth for kind in settings.classes] == [1.0, 1.0]
 
 
 @given(st.text(alphabet="classe.0ount=hard_limit_us\n,-19einfnantrue", max_size=120))
-def test_no_settings_text_breaks_the_reading(text: str) -> None:
+def test_no_settings_text_makes_the_reader_raise(text: str) -> None:
     read_settings("classes.count=2\nclasses.0." + text)
 
 
 KINDS = st.lists(
     st.builds(
-        i.RequestClass,
+        interface.RequestClass,
         deadline_us=st.sampled_from([1, 400_000, 90 * SECOND]),
-        semantics=st.sampled_from(i.Semantics),
-        scope=st.sampled_from(i.DedupScope),
+        semantics=st.sampled_from(interface.Semantics),
+        scope=st.sampled_from(interface.DedupScope),
         window_us=st.sampled_from([0, 2 * SECOND]),
         worth=st.sampled_from([0.0, 1.0, 9.0]),
         message_aim_us=st.sampled_from([0.0, 50.0, 60_000.0]),
@@ -97,14 +98,16 @@
     max_size=5,
 )
 TENANTS = st.lists(
-    st.builds(i.Tenant, st.just(1.0), st.sampled_from([0.0, 0.1, 4.0]), st.sampled_from([0.0, 1.0, 500.0])),
+    st.builds(
+        interface.Tenant, st.just(1.0), st.sampled_from([0.0, 0.1, 4.0]), st.sampled_from([0.0, 1.0, 500.0])
+    ),
     max_size=3,
 )
 SERVERS = st.lists(
     st.builds(
         listed,
         st.integers(1, 6),
-        st.sampled_from(i.ServerState),
+        st.sampled_from(interface.ServerState),
         weight=st.sampled_from([0.0, 1.0, 900.0]),
         zone=st.integers(0, 2),
         kind=st.integers(0, 3),
@@ -113,18 +116,18 @@
     max_size=6,
 )
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["ask", "up", "timer", "slow", "list", *i.Outcome]), st.integers(0, 9)),
+    st.tuples(st.sampled_from(["ask", "up", "timer", "slow", "list", *interface.Outcome]), st.integers(0, 9)),
     max_size=30,
 )
 
 
 @given(KINDS, TENANTS, SERVERS, STEPS, st.booleans(), st.sampled_from([1, 230]), st.sampled_from([1, SECOND]))
-def test_whatever_the_settings_each_request_has_one_attempt_out_at_most_and_one_answer(
-    kinds: list[i.RequestClass],
-    tenants: list[i.Tenant],
-    servers: list[i.ListedServer],
+def test_with_any_settings_each_request_has_at_most_one_attempt_out_and_one_answer(
+    kinds: list[interface.RequestClass],
+    tenants: list[interface.Tenant],
+    servers: list[interface.ListedServer],
     steps: list[tuple[Any, int]],
-    told: bool,
+    flags_on: bool,
     gateways: int,
     cold_us: int,
 ) -> None:
@@ -132,23 +135,23 @@
         0,
         classes=tuple(kinds),
         tenants=tuple(tenants),
-        weighted=told,
-        tells_delay=told,
-        pass_through=told,
+        weighted=flags_on,
+        tells_delay=flags_on,
+        pass_through=flags_on,
         gateways=gateways,
         cold_us=cold_us,
     )
-    gateway.servers(i.ListKind.FULL, *servers)
-    asked: dict[int, i.RequestClass] = {}
+    gateway.servers(interface.ListKind.FULL, *servers)
+    asked: dict[int, interface.RequestClass] = {}
     out, ran, ended = set[int](), set[int](), set[int]()
     for what, n in steps:
         gateway.now += n * 100_000
         number = n % len(asked) + 1 if asked else 0
-        actions: list[i.Action] = []
+        actions: list[interface.Action] = []
         if what == "ask":
             number = gateway.next_request
             asked[number] = kinds[n % len(kinds)]
-            actions = gateway.ask(
+            actions = gateway.request(
                 n,
                 group=n % 3,
                 request_class=n % len(kinds),
@@ -158,48 +161,53 @@
                 expires_in_us=asked[number].deadline_us,
             )[1]
         elif what == "list":
-            actions = gateway.servers(i.ListKind.DELTA, *servers[:n])
+            actions = gateway.servers(interface.ListKind.DELTA, *servers[:n])
         elif what == "timer" and number:
             actions = gateway.timer(number)
         elif what == "up" and number in out:
-            ended.add(number)  # it stands: nothing more is owed to it than its end
+            # Only the end of an established connection remains to be handled.
+            ended.add(number)
             actions = gateway.establish(number, n * 100_000)
         elif what == "slow" and number in out:
-            actions = gateway.note(number, i.NoticeKind.SLOW, n * 100.0)
-        elif isinstance(what, i.Outcome) and number in out:
+            actions = gateway.notice(number, interface.NoticeKind.SLOW, n * 100.0)
+        elif isinstance(what, interface.Outcome) and number in out:
             out.remove(number)
             if not what.never_ran:
                 ran.add(number)
-            actions = gateway.answer(number, what, done=number in ended or what is i.Outcome.OK)
-            if what is i.Outcome.OK:
+            actions = gateway.answer(number, what, done=number in ended or what is interface.Outcome.OK)
+            if what is interface.Outcome.OK:
                 ended.add(number)
-        for action in sends(actions):
+        for action in attempts_in(actions):
             assert action.request not in out | ended
-            assert action.request not in ran or asked[action.request].semantics is not i.Semantics.ONCE
+            assert (
+                action.request not in ran or asked[action.request].semantics is not interface.Semantics.ONCE
+            )
             out.add(action.request)
-        for action in finals(actions):
+        for action in final_answers(actions):
             assert action.request not in ended
             ended.add(action.request)
-        assert not {number for number in moves(actions)} - ended
-    assert sum(gateway.balancer.by_tenant) >= 0
+        assert not {number for number in moved_requests(actions)} - ended
+    assert sum(gateway.balancer.connections_by_tenant) >= 0
 
 
-def test_where_no_aim_is_told_no_delay_makes_a_jam() -> None:
-    gateway = Gateway(servers=1, classes=(i.RequestClass(),))
+def test_without_an_aim_no_delay_counts_as_an_overload() -> None:
+    gateway = Gateway(servers=1, classes=(interface.RequestClass(),))
     for elapsed in (1_000, 2_000, 3_000, 900_000):
-        assert not moves(gateway.give(i.Established(gateway.open(elapsed=elapsed), 0, 100, elapsed)))
-    known = gateway.balancer.servers[100]
-    assert known.slice.size == 1 and known.rest_until == 0
+        assert not moved_requests(
+            gateway.handle(interface.Established(gateway.open(elapsed=elapsed), 0, 100, elapsed))
+        )
+    server = gateway.balancer.servers[100]
+    assert server.slice.size == 1 and server.backoff_until == 0
 
 
-def test_worth_may_be_told_of_no_class() -> None:
-    gateway = Gateway(servers=1, classes=(i.RequestClass(worth=0.0, message_aim_us=60_000.0),))
-    gateway.note(gateway.open(), i.NoticeKind.SLOW, 500.0)
+def test_all_classes_may_have_a_worth_of_zero() -> None:
+    gateway = Gateway(servers=1, classes=(interface.RequestClass(worth=0.0, message_aim_us=60_000.0),))
+    gateway.notice(gateway.open(), interface.NoticeKind.SLOW, 500.0)
     gateway.balancer.servers[100].slice.size = 0.5
-    assert gateway.ask(returning=True)[1]
+    assert gateway.request(returning=True)[1]
 
 
-def test_at_a_start_the_fault_is_logged_and_at_a_reload_a_new_one_changes_nothing(
+def test_a_faulty_setting_is_logged_at_the_start_and_a_new_one_is_refused_at_a_reload(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     served = []
@@ -207,15 +215,18 @@
     async def serve(config: Any) -> None:
         served.append(config)
 
-    relaying.write(tmp_path, settings=told("classes.0.hard_limit_us", "soon"))
+    relaying.write(tmp_path, settings=settings_with("classes.0.hard_limit_us", "soon"))
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     monkeypatch.setattr(platform, "serve", serve)
     assert platform.main() == 0
     out, err = capfd.readouterr()
     assert "WARNING configuration: settings.classes.0.hard_limit_us: 'soon' is not a" in err and not out
     environment = {"LB_CONFIG": str(tmp_path / "config.json")}
-    relaying.write(tmp_path, discovery="127.0.0.1:8", settings=told("classes.0.hard_limit_us", "soon"))
-    assert read_again(environment, served[0])[0].discovery == ("127.0.0.1", 8)  # nothing new is amiss
-    relaying.write(tmp_path, settings=told("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
+    relaying.write(
+        tmp_path, discovery="127.0.0.1:8", settings=settings_with("classes.0.hard_limit_us", "soon")
+    )
+    # The reload adds no new problem.
+    assert read_again(environment, served[0])[0].discovery == ("127.0.0.1", 8)
+    relaying.write(tmp_path, settings=settings_with("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
     with pytest.raises(ConfigError, match=r"^settings\.classes\.0\.semantics: 'twice' is not one of"):
         read_again(environment, served[0])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,7 @@
 
 import pytest
 
-from linnetspread import interface as i
-from linnetspread import wire
+from linnetspread import interface, wire
 from linnetspread.adapter import Host
 
 SETTINGS = "\n".join(
@@ -40,12 +39,12 @@
     return record(10, struct.pack(">IQI", instance, 7, len(text)) + text.encode())
 
 
-def registry(instance: int, *servers: int) -> bytes:
+def list_record(instance: int, *servers: int) -> bytes:
     lines = b"".join(struct.pack(">IHBHBfQ", s, 0, 0, 0, 1, 1.0, 0) for s in servers)
     return record(20, struct.pack(">IBII", instance, 2, 1, len(servers)) + lines)
 
 
-def arrival(instance: int, call: int, key: int) -> bytes:
+def request_record(instance: int, call: int, key: int) -> bytes:
     return record(30, struct.pack(">IQIQQBBHI", instance, call, 2_000_000, key, 0, 0, 0, 0, 0))
 
 
@@ -69,28 +68,28 @@
     assert now == 0x805C5A
     assert events[0] == (
         3,
-        i.Request(0x674AB5D3A91C4, 0x3A980, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, load_us=0x2EE0),
+        interface.Request(0x674AB5D3A91C4, 0x3A980, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, load_us=0x2EE0),
     )
-    assert events[1:] == [(3, i.Timer(0x4D)), (5, i.ClientLeft(0x601260E6F2B19))]
+    assert events[1:] == [(3, interface.Timer(0x4D)), (5, interface.ClientLeft(0x601260E6F2B19))]
 
 
 def test_the_examples_of_the_wire_are_written():
     written = [
         (
-            i.Attempt(0x674AB5D3A91C4, 0x3124A07, 80_000),
+            interface.Attempt(0x674AB5D3A91C4, 0x3124A07, 80_000),
             "7800000014 00000003 000674ab5d3a91c4 03124a07 00013880",
         ),
-        (i.SetTimer(500_000, 77), "3c00000010 00000003 0007a120 000000000000004d"),
-        (i.Refuse(0x601260E6F2B19, 250_000), "2800000010 00000003 000601260e6f2b19 0003d090"),
-        (i.Fail(0x601260E6F2B19), "6e0000000c 00000003 000601260e6f2b19"),
-        (i.Cancel(0x674AB5D3A91C4, 0), "460000000d 00000003 000674ab5d3a91c4 00"),
-        (i.Move(0x674AB5D3A91C4), "320000000c 00000003 000674ab5d3a91c4"),
-        (i.Log("two servers known"), "5a00000017 00000003 0011 74776f2073657276657273206b6e6f776e"),
-        (i.Subscribe(True), "5000000005 00000003 01"),
-        (i.FetchList(), "1400000004 00000003"),
-        (i.Probe(0x2C9011F2), "8200000008 00000003 2c9011f2"),
-        (i.CloseIdle(0x2C9011F2), "1e00000008 00000003 2c9011f2"),
-        (i.Tell(None, b"hi 7"), "640000000e 00000003 ffffffff 0004 68692037"),
+        (interface.SetTimer(500_000, 77), "3c00000010 00000003 0007a120 000000000000004d"),
+        (interface.Refuse(0x601260E6F2B19, 250_000), "2800000010 00000003 000601260e6f2b19 0003d090"),
+        (interface.Fail(0x601260E6F2B19), "6e0000000c 00000003 000601260e6f2b19"),
+        (interface.Cancel(0x674AB5D3A91C4, 0), "460000000d 00000003 000674ab5d3a91c4 00"),
+        (interface.Move(0x674AB5D3A91C4), "320000000c 00000003 000674ab5d3a91c4"),
+        (interface.Log("two servers known"), "5a00000017 00000003 0011 74776f2073657276657273206b6e6f776e"),
+        (interface.Subscribe(True), "5000000005 00000003 01"),
+        (interface.FetchList(), "1400000004 00000003"),
+        (interface.Probe(0x2C9011F2), "8200000008 00000003 2c9011f2"),
+        (interface.CloseIdle(0x2C9011F2), "1e00000008 00000003 2c9011f2"),
+        (interface.Tell(None, b"hi 7"), "640000000e 00000003 ffffffff 0004 68692037"),
     ]
     for action, text in written:
         assert wire.write_action(3, action).hex() == text.replace(" ", "")
@@ -100,20 +99,22 @@
 def test_settings_take_defaults_and_skip_unknown_names():
     read = wire.read_settings(SETTINGS)
     assert (read.gateways, read.slot, read.weighted, read.pass_through) == (2, 1, True, True)
-    assert read.max_attempts == i.Settings().max_attempts
-    assert read.classes[0].semantics is i.Semantics.REPEATABLE
-    assert wire.read_settings("") == i.Settings()
+    assert read.max_attempts == interface.Settings().max_attempts
+    assert read.classes[0].semantics is interface.Semantics.REPEATABLE
+    assert wire.read_settings("") == interface.Settings()
 
 
-def test_unknown_codes_and_values_are_passed_over():
+def test_unknown_codes_and_values_are_ignored():
     unknown = record(99, struct.pack(">I", 3))
-    strange = record(50, struct.pack(">IQBIHIBB", 3, 5, 0, 9, 77, 1, 0, 0))
-    _, events = wire.read_batch(batch(1, 5, unknown, strange)[8:])
-    assert len(events) == 1 and events[0][1].outcome is i.Outcome.UNKNOWN
+    unknown_outcome = record(50, struct.pack(">IQBIHIBB", 3, 5, 0, 9, 77, 1, 0, 0))
+    _, events = wire.read_batch(batch(1, 5, unknown, unknown_outcome)[8:])
+    assert len(events) == 1 and events[0][1].outcome is interface.Outcome.UNKNOWN
 
 
 def test_a_good_run_answers_every_batch_and_exits_cleanly():
-    data = batch(1, 5, power_on(3), registry(3, 9, 8)) + batch(2, 9, arrival(3, 44, 5)) + batch(3, 10)
+    data = (
+        batch(1, 5, power_on(3), list_record(3, 9, 8)) + batch(2, 9, request_record(3, 44, 5)) + batch(3, 10)
+    )
     done = run(data)
     assert done.returncode == 0 and done.stderr == b""
     assert done.stdout[:12] == struct.pack(">III", 1, 0, 0)
@@ -132,33 +133,33 @@
         batch(1, 5, record(10, struct.pack(">IQI", 1, 7, 900) + b"a=1")),
     ],
 )
-def test_a_broken_frame_ends_the_process_with_one_plain_line(data):
+def test_a_broken_frame_ends_the_process_with_one_error_line(data):
     done = run(data)
     assert done.returncode != 0
     assert done.stderr.startswith(b"linnetspread: broken frame: ") and done.stderr.count(b"\n") == 1
 
 
-def test_an_exception_is_that_instances_failure_alone(monkeypatch):
+def test_an_exception_ends_only_its_instance(monkeypatch):
     host = Host()
-    host.answer(batch(1, 5, power_on(1), power_on(2), registry(1, 9), registry(2, 9))[8:])
+    host.answer(batch(1, 5, power_on(1), power_on(2), list_record(1, 9), list_record(2, 9))[8:])
     monkeypatch.setattr(host.instances[1], "handle", lambda now, event: 1 // 0)
-    records = host.answer(batch(2, 6, arrival(1, 4, 4), arrival(2, 5, 5))[8:])
+    records = host.answer(batch(2, 6, request_record(1, 4, 4), request_record(2, 5, 5))[8:])
     assert records[0][0] == 10 and b"ZeroDivisionError" in records[0]
     assert any(data[0] == 120 for data in records[1:])
-    assert host.answer(batch(3, 7, arrival(1, 6, 6))[8:]) == []
+    assert host.answer(batch(3, 7, request_record(1, 6, 6))[8:]) == []
 
 
-def test_kill_forgets_everything_and_a_fresh_start_follows():
+def test_kill_discards_the_state_and_the_instance_can_start_again():
     host = Host()
-    host.answer(batch(1, 5, power_on(1), registry(1, 9), arrival(1, 4, 4))[8:])
-    host.answer(batch(2, 6, record(100, struct.pack(">I", 1)), power_on(1), registry(1, 9))[8:])
-    assert host.instances[1].held == {}
+    host.answer(batch(1, 5, power_on(1), list_record(1, 9), request_record(1, 4, 4))[8:])
+    host.answer(batch(2, 6, record(100, struct.pack(">I", 1)), power_on(1), list_record(1, 9))[8:])
+    assert host.instances[1].connections == {}
 
 
-def busy(instances: list[int]) -> bytes:
-    data = batch(1, 5, *(power_on(n) for n in instances), *(registry(n, 9, 8, 7, 300) for n in instances))
+def busy_input(instances: list[int]) -> bytes:
+    data = batch(1, 5, *(power_on(n) for n in instances), *(list_record(n, 9, 8, 7, 300) for n in instances))
     for turn in range(2, 30):
-        data += batch(turn, turn * 10_000, *(arrival(n, turn, turn * 7919) for n in instances))
+        data += batch(turn, turn * 10_000, *(request_record(n, turn, turn * 7919) for n in instances))
     return data
 
 
@@ -179,8 +180,8 @@
 
 
 def test_actions_do_not_depend_on_processes_or_the_hash_seed():
-    together = run(busy([1, 2, 3]), "1").stdout
+    together = run(busy_input([1, 2, 3]), "1").stdout
     for instance in (1, 2, 3):
-        alone = run(busy([instance]), "2").stdout
+        alone = run(busy_input([instance]), "2").stdout
         assert replies(together, instance) == replies(alone, instance)
         assert len(replies(alone, instance)) > 28
