--- a/benchmarks/left_waiting.py
+++ b/benchmarks/left_waiting.py
@@ -57,7 +57,7 @@
     try:
         line = sock.recv(4096)
         if line:
-            came_at = time.monotonic() - kernel_times(sock).came_s  # it may have waited to be read
+            came_at = time.monotonic() - kernel_times(sock).since_received_s  # it may have waited to be read
             seen.sent_at.setdefault(line.split()[1], []).append(came_at)
         if kind == "full" and line:
             sock.sendall(b"BUSY\r\n")
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -9,7 +9,7 @@
 import trio
 
 from glenfold.config.platform import Address, written
-from glenfold.net.inbound import BACKLOG
+from glenfold.net.inbound import LISTEN_BACKLOG
 
 FIRST_PASSED = 3  # behind the three standard streams
 MOST_PASSED = 64
@@ -44,7 +44,7 @@
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, int(port)))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
     except OSError as error:
         sock.close()
         raise BadListener(f"{address}: {error.strerror or error}") from error
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -26,9 +26,9 @@
 from glenfold.destinations import BadList, DestinationSet
 from glenfold.leaving import ANSWER_TURNS, ANSWERS_S, Leaving, in_order
 from glenfold.net.discovery import Discovery
-from glenfold.net.inbound import BACKLOG, Inbound, Relay
+from glenfold.net.inbound import LISTEN_BACKLOG, Inbound, Relay
 from glenfold.net.passing import Passage
-from glenfold.net.sockets import SocketType, queued
+from glenfold.net.sockets import SocketType, has_queued_client
 from linnetspread import interface as i
 
 if TYPE_CHECKING:
@@ -142,7 +142,7 @@
                 nursery.start_soon(companion, self)
             await self._told_to_stop.wait()
             leaving = Leaving(self._told_at(), self.relay.config.settings, self._deadline_s)
-            self.relay.end_by(leaving.answers_end)
+            self.relay.limit_answers(leaving.answers_end)
             self.life.to(State.DRAINING)
             if self._accepting:
                 await last_arrivals(leaving, self.inbound)
@@ -192,9 +192,9 @@
     async def _empty_queues(self, until: float) -> None:
         """Closing resets who is queued, as some are when a loop that lags sees that arrivals are over. Not
         where it accepts no more, as another process does now; in a flood, no more than a queue holds."""
-        most = self.relay.counters.accepted + BACKLOG
+        most = self.relay.counters.accepted + LISTEN_BACKLOG
         while (
-            any(map(queued, self._accepting))
+            any(map(has_queued_client, self._accepting))
             and self.relay.counters.accepted < most
             and trio.current_time() < until
         ):
@@ -216,7 +216,9 @@
             self.life.to(State.READY)
 
     async def _accept(self, scope: trio.CancelScope, listener: SocketType, nursery: trio.Nursery) -> None:
-        self.relay.unheard += 1  # one that it has just accepted, when it is paused, is known a turn later
+        self.relay.awaiting_first_line += (
+            1  # one that it has just accepted, when it is paused, is known a turn later
+        )
         with scope:
             try:
                 await self.inbound.serve(listener, nursery)
@@ -224,7 +226,7 @@
                 if not scope.cancel_called:  # closed just as a client arrived
                     raise
             finally:
-                self.relay.unheard -= 1
+                self.relay.awaiting_first_line -= 1
 
     def note_moment(self, *numbers: int) -> None:
         """Of these signals, which trio receives already: a loop with many lines to pass comes to heed one
@@ -291,7 +293,7 @@
     listener = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     await listener.bind(address)
-    listener.listen(BACKLOG)
+    listener.listen(LISTEN_BACKLOG)
     return listener
 
 
@@ -337,7 +339,9 @@
 
 async def _until_moves(leaving: Leaving, relay: Relay) -> None:
     began, worked_s = trio.current_time(), time.process_time()
-    while relay.owes and ((now := trio.current_time()) < (begin := leaving.moves_from(len(relay.standing)))):
+    while relay.has_pending_clients and (
+        (now := trio.current_time()) < (begin := leaving.moves_from(len(relay.standing)))
+    ):
         await trio.sleep_until(look := min(begin, now + LOOK_S))
         leaving.came_back(trio.current_time(), look)
         leaving.busy((time.process_time() - worked_s) / (trio.current_time() - began))
@@ -347,7 +351,7 @@
     """A connection counts as standing until its client has been told to move, or is gone."""
     asked: set[Passage] = set()  # they have only part of a line
     queue: deque[Passage] = deque()
-    while relay.owes:
+    while relay.has_pending_clients:
         while queue and queue[0] not in relay.standing:
             queue.popleft()
         left = len(relay.standing) - len(asked & relay.standing.keys())
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -18,22 +18,24 @@
 from glenfold.counters import Counters
 from glenfold.decisions import Closed, Decisions, Taken
 from glenfold.destinations import DestinationSet
-from glenfold.net.outbound import OutboundCall, Unsent
+from glenfold.net.outbound import CallFailure, OutboundCall
 from glenfold.net.passing import Passage
-from glenfold.net.sockets import SocketType, finish, hung_up, receive_now, send, unread, without_delay
+from glenfold.net.sockets import SocketType, hung_up, receive_now, send, send_fin, unread_bytes, without_delay
 from linnetspread import interface as i
 
 if TYPE_CHECKING:
     from glenfold.rules.group_parts import GroupParts  # loaded only where it is switched on
 
-BACKLOG = 1024
-INBOX = 16  # incidents of one request
-FIRST_LINE_S = 2.0  # from the accept to a whole first line, PING included; 3 s are promised
-LOOK_S = 0.05  # between two looks for the end of a client of whom no more is read before its answer
-MOST_UNREAD = 1 << 15  # bytes of such a client: with some more the kernel takes none, nor the end behind them
-PARTING_S = 0.3  # for a client to take an answer before its connection closes
-PARTING_BYTES = 1 << 16  # read from it meanwhile: one that floods must not cost more
-OUT_OF_SOCKETS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+LISTEN_BACKLOG = 1024
+INBOX_CAPACITY = 16  # incidents of one request
+FIRST_LINE_TIMEOUT_S = 2.0  # from the accept to a whole first line, PING included; 3 s are promised
+HANGUP_POLL_S = 0.05  # between two looks for the end of a client of whom no more is read before its answer
+MAX_UNREAD_BYTES = (
+    1 << 15
+)  # bytes of such a client: with some more the kernel takes none, nor the end behind them
+CLOSING_TIMEOUT_S = 0.3  # for a client to take an answer before its connection closes
+MAX_CLOSING_BYTES = 1 << 16  # read from it meanwhile: one that floods must not cost more
+OUT_OF_SOCKETS_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 @dataclass(slots=True)
@@ -45,19 +47,21 @@
     decisions: Decisions
     destinations: DestinationSet
     counters: Counters
-    unheard: int = 0  # accepted, or being accepted, and no request yet; it may be told why it becomes none
+    awaiting_first_line: int = (
+        0  # accepted, or being accepted, and no request yet; it may be told why it becomes none
+    )
     unanswered: int = 0
     ids: Counter[bytes] = field(default_factory=Counter)  # of the requests and connections open here
     standing: dict[Passage, float] = field(default_factory=dict)  # oldest first; the worth of each
     ready: trio.Event = field(default_factory=trio.Event)  # to go at the usual pace: PING waits for it
     answers_end: float = math.inf  # finite once it has been told to stop
     group_parts: "GroupParts | None" = None  # None: every group is placed as one
-    _patience: set[trio.CancelScope] = field(default_factory=set)  # of the requests without their answer
+    _time_limits: set[trio.CancelScope] = field(default_factory=set)  # of the requests without their answer
 
     @property
-    def owes(self) -> bool:
+    def has_pending_clients(self) -> bool:
         """Some client has not had its answer yet, or stands and has not been told to move."""
-        return bool(self.standing or self.unanswered or self.unheard)
+        return bool(self.standing or self.unanswered or self.awaiting_first_line)
 
     @contextmanager
     def grouped(self, event: i.Request) -> Iterator[i.Request]:
@@ -73,21 +77,21 @@
         finally:
             self.group_parts.release(event.group)
 
-    def end_by(self, moment: float) -> None:
+    def limit_answers(self, deadline: float) -> None:
         """Who still waits by then gets a final answer, however much longer it would."""
-        self.answers_end = moment
-        for scope in self._patience:
-            scope.deadline = min(scope.deadline, moment)
+        self.answers_end = deadline
+        for scope in self._time_limits:
+            scope.deadline = min(scope.deadline, deadline)
 
     @contextmanager
-    def patience(self, deadline: float) -> Iterator[None]:
+    def time_limit(self, deadline: float) -> Iterator[None]:
         """Of one request, for its next incident."""
         with trio.move_on_at(min(deadline, self.answers_end)) as scope:
-            self._patience.add(scope)
+            self._time_limits.add(scope)
             try:
                 yield
             finally:
-                self._patience.discard(scope)
+                self._time_limits.discard(scope)
 
 
 class Inbound:
@@ -95,13 +99,13 @@
         self._relay = relay
         self._names = relay.config.names
         self._counters = relay.counters
-        self._most_wait_ms = max(
+        self._max_wait_ms = max(
             lines.MOST_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
         )
         self._waiting: dict[SocketType, trio.CancelScope] = {}  # without a whole first line, oldest first
         self._taken = 0  # with one: two sides each
         self._refusing = 0
-        self._spare: int | None = os.open(os.devnull, os.O_RDONLY)
+        self._spare_descriptor: int | None = os.open(os.devnull, os.O_RDONLY)
         self.last_arrival = float("-inf")
 
     @property
@@ -114,7 +118,7 @@
             try:
                 sock, _ = await listener.accept()
             except OSError as error:
-                if error.errno in OUT_OF_SOCKETS:
+                if error.errno in OUT_OF_SOCKETS_ERRNOS:
                     await self._refuse_without_socket(listener)
                 elif error.errno == errno.EBADF:
                     raise
@@ -122,9 +126,9 @@
             self.last_arrival = trio.current_time()
             self._counters.accepted += 1
             self._make_room()
-            line_by = min(self.last_arrival + FIRST_LINE_S, self._relay.answers_end)
+            line_by = min(self.last_arrival + FIRST_LINE_TIMEOUT_S, self._relay.answers_end)
             scope = self._waiting[sock] = trio.CancelScope(deadline=line_by)
-            self._relay.unheard += 1
+            self._relay.awaiting_first_line += 1
             nursery.start_soon(self._connection, sock, scope)
 
     def _make_room(self) -> None:
@@ -136,11 +140,13 @@
 
     async def _refuse_without_socket(self, listener: SocketType) -> None:
         """With no descriptor left, accept fails over and over: one kept spare lets a client be told."""
-        if self._spare is not None:
-            os.close(self._spare)
-            self._spare = None  # its number may be another's by the time that there is a spare again
+        if self._spare_descriptor is not None:
+            os.close(self._spare_descriptor)
+            self._spare_descriptor = (
+                None  # its number may be another's by the time that there is a spare again
+            )
         # Whoever pauses the accepting does not cut this client off, nor lose the spare.
-        with trio.move_on_at(trio.current_time() + PARTING_S, shield=True):
+        with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S, shield=True):
             try:
                 sock, _ = await listener.accept()
                 self._counters.fail_fast += 1
@@ -149,10 +155,10 @@
             except (OSError, trio.ClosedResourceError):
                 pass
         try:
-            self._spare = os.open(os.devnull, os.O_RDONLY)
+            self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
         except OSError as error:
             events.sockets_exhausted(error=error)
-            await trio.sleep_until(trio.current_time() + PARTING_S)
+            await trio.sleep_until(trio.current_time() + CLOSING_TIMEOUT_S)
 
     def _busy(self) -> bytes:
         settings = self._relay.config.settings
@@ -163,11 +169,11 @@
         try:
             try:
                 without_delay(sock)
-                exchange = await self._talk(sock, scope)
+                exchange = await self._read_request(sock, scope)
             finally:
-                self._relay.unheard -= 1
+                self._relay.awaiting_first_line -= 1
             if exchange is not None:
-                await self._exchanged(exchange)
+                await self._run_exchange(exchange)
         except OSError as error:
             events.client_broke(error=error)
         except Exception as error:
@@ -177,7 +183,7 @@
             self._waiting.pop(sock, None)
             sock.close()
 
-    async def _talk(self, sock: SocketType, scope: trio.CancelScope) -> "Exchange | None":
+    async def _read_request(self, sock: SocketType, scope: trio.CancelScope) -> "Exchange | None":
         """None: the client has gone, or been told why it is no request."""
         buffer = lines.LineBuffer()
         end = None
@@ -191,48 +197,48 @@
             if end is None:
                 if scope.cancelled_caught:
                     self._counters.silent_clients += 1
-                    await self._say(sock, lines.FAILED)
+                    await self._send_answer(sock, lines.FAILED)
                 return None
-            exchange = self._exchange(sock, buffer, end)
+            exchange = self._make_exchange(sock, buffer, end)
         except lines.Malformed as error:
             self._waiting.pop(sock, None)
             self._counters.malformed += 1
             events.client_malformed(count=self._counters.malformed, error=error)
             more = buffer.filled > (end or 0)
-            await self._turn_away(sock, lines.FAILED, more)
+            await self._refuse(sock, lines.FAILED, more)
             return None
         if self._taken >= self._room.taken:
             self._counters.fail_fast += 1
-            await self._turn_away(sock, self._busy(), False)
+            await self._refuse(sock, self._busy(), False)
             return None
         return exchange
 
-    async def _exchanged(self, exchange: "Exchange") -> None:
+    async def _run_exchange(self, exchange: "Exchange") -> None:
         self._taken += 1
         try:
             await exchange.run()
         finally:
             self._taken -= 1
 
-    async def _turn_away(self, sock: SocketType, answer: bytes, more: bool) -> None:
+    async def _refuse(self, sock: SocketType, answer: bytes, more: bool) -> None:
         """Closing on unread bytes resets the connection and may take the answer with it. So where there are
         `more`, some are read, but never a flood to its end."""
-        await self._say(sock, answer)
+        await self._send_answer(sock, answer)
         if not more or self._refusing >= self._room.refusing:
             return
         self._refusing += 1
         try:
-            finish(sock)
-            left = PARTING_BYTES
-            with trio.move_on_at(trio.current_time() + PARTING_S):
+            send_fin(sock)
+            left = MAX_CLOSING_BYTES
+            with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S):
                 while left > 0 and (data := await sock.recv(left)):
                     left -= len(data)
         finally:
             self._refusing -= 1
 
-    async def _say(self, sock: SocketType, answer: bytes) -> None:
+    async def _send_answer(self, sock: SocketType, answer: bytes) -> None:
         """A client that reads nothing must not hold its descriptor by that."""
-        with trio.move_on_at(trio.current_time() + PARTING_S):
+        with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S):
             await send(sock, answer)
 
     async def _first_line(self, sock: SocketType, buffer: lines.LineBuffer) -> int | None:
@@ -252,12 +258,12 @@
             await self._relay.ready.wait()
             await send(sock, lines.PONG)
 
-    def _exchange(self, sock: SocketType, buffer: lines.LineBuffer, end: int) -> "Exchange":
-        first = lines.parse_open(buffer.data, end, self._most_wait_ms)
+    def _make_exchange(self, sock: SocketType, buffer: lines.LineBuffer, end: int) -> "Exchange":
+        first = lines.parse_open(buffer.data, end, self._max_wait_ms)
         exchange = Exchange(
-            self._relay, sock, first, self._event(first), buffer.after(end), self._standing_at(first)
+            self._relay, sock, first, self._request(first), buffer.after(end), self._existing_server_of(first)
         )
-        if exchange.goes_on:  # its client need not wait, and it may not be over yet where it was
+        if exchange.is_continuation:  # its client need not wait, and it may not be over yet where it was
             return exchange
         if buffer.filled > end:
             raise lines.Malformed("a client did not wait for its answer")
@@ -265,7 +271,7 @@
             raise lines.Malformed("the id is that of another open request")
         return exchange
 
-    def _event(self, first: lines.OpenLine) -> i.Request:
+    def _request(self, first: lines.OpenLine) -> i.Request:
         request_class = self._names.classes.get(first.text(b"c"))
         if request_class is None:
             raise lines.Malformed("the class is unknown")
@@ -287,7 +293,7 @@
         left_s = max(0.0, self._relay.answers_end - trio.current_time())
         return int(min(first.wait_ms * 1000, left_s * SECOND_US))
 
-    def _standing_at(self, first: lines.OpenLine) -> int | None:
+    def _existing_server_of(self, first: lines.OpenLine) -> int | None:
         """The server of a connection that stood before this relay did."""
         if b"at" not in first.figures:
             return None
@@ -308,37 +314,39 @@
         first: lines.OpenLine,
         event: i.Request,
         early: bytes,
-        stands_at: int | None,
+        existing_server: int | None,
     ) -> None:
         self._relay = relay
         self._sock = sock
         self._first = first
-        self._event = event
+        self._request = event
         self._early = early
-        self._stands_at = stands_at
-        self.goes_on = event.mid_flow or stands_at is not None  # open already, and not begun here
+        self._existing_server = existing_server
+        self.is_continuation = (
+            event.mid_flow or existing_server is not None
+        )  # open already, and not begun here
         self._deadline_us = relay.clock.now_us() + event.expires_in_us
         self._state = r.RequestState(event.request, self._deadline_us)
-        self._send, self._receive = trio.open_memory_channel[r.Incident](INBOX)
+        self._send, self._receive = trio.open_memory_channel[r.Incident](INBOX_CAPACITY)
         self._call: OutboundCall | None = None
 
     async def run(self) -> None:
-        with self._relay.grouped(self._event) as self._event:
+        with self._relay.grouped(self._request) as self._request:
             await self._run()
 
     async def _run(self) -> None:
         relay = self._relay
         relay.ids[self._first.id] += 1
         relay.counters.taken += 1
-        relay.counters.existing += self._stands_at is not None
+        relay.counters.existing += self._existing_server is not None
         relay.unanswered += 1
         try:
             try:
-                receipt = await self._until_answered()
+                receipt = await self._run_until_answered()
             finally:
                 relay.unanswered -= 1
             if receipt is not None and self._call is not None and self._call.sock is not None:
-                await self._stand(self._call.sock, receipt)
+                await self._pass_lines(self._call.sock, receipt)
         finally:
             relay.ids[self._first.id] -= 1
             if not relay.ids[self._first.id]:
@@ -348,12 +356,12 @@
             for effect in self._state.on(r.ClientGone(), relay.clock.now_us()):
                 if isinstance(effect, r.Report):
                     await relay.decisions.tell(effect.event)
-            await relay.decisions.tell(Closed(self._event.request))
+            await relay.decisions.tell(Closed(self._request.request))
 
-    async def _until_answered(self) -> bytes | None:
+    async def _run_until_answered(self) -> bytes | None:
         """The receipt of the server that took it, once the client has it; None after any other end."""
-        server = self._stands_at
-        taken = self._event if server is None else i.Existing(self._event, server)
+        server = self._existing_server
+        taken = self._request if server is None else i.Existing(self._request, server)
         await self._relay.decisions.tell(Taken(taken, self._send.clone()))
         receipt = None
         async with trio.open_nursery() as nursery:
@@ -361,14 +369,14 @@
             if server is not None:
                 await self._carry_out(self._state.resume(server, self._relay.clock.now_us()), nursery)
             while self._state.phase in (r.Phase.TAKEN, r.Phase.CALLING):
-                incident: r.Incident = r.DeadlinePassed()
-                with self._relay.patience(self._relay.clock.to_trio(self._deadline_us)):
-                    incident = await self._receive.receive()
-                self._relay.counters.left += isinstance(incident, r.ClientGone)
-                effects = self._state.on(incident, self._relay.clock.now_us())
+                step_input: r.Incident = r.DeadlinePassed()
+                with self._relay.time_limit(self._relay.clock.to_trio(self._deadline_us)):
+                    step_input = await self._receive.receive()
+                self._relay.counters.left += isinstance(step_input, r.ClientGone)
+                effects = self._state.on(step_input, self._relay.clock.now_us())
                 await self._carry_out(effects, nursery)
-                if isinstance(incident, r.CallUp) and self._state.phase is r.Phase.STANDING:
-                    receipt = incident.receipt
+                if isinstance(step_input, r.CallUp) and self._state.phase is r.Phase.STANDING:
+                    receipt = step_input.receipt
             nursery.cancel_scope.cancel()
         return receipt
 
@@ -380,7 +388,7 @@
                     counters.calls += 1
                     # Made here and not in its task, which a drop might come before.
                     self._call = self._new_call(server, deadline_us)
-                    nursery.start_soon(self._outbound, self._call)
+                    nursery.start_soon(self._run_call, self._call)
                 case r.DropCall():
                     if self._call is not None:
                         self._call.close()
@@ -416,32 +424,32 @@
             self._early += data
             if not data:
                 return await self._send.send(r.ClientGone())
-            if not self.goes_on:
+            if not self.is_continuation:
                 return await self._send.send(r.ClientSpoke())
         while not hung_up(self._sock):  # no more is read before it is up: its end stands behind that
-            await trio.sleep_until(trio.current_time() + LOOK_S)
+            await trio.sleep_until(trio.current_time() + HANGUP_POLL_S)
         await self._send.send(r.ClientGone())
 
-    def _last_look(self, server: int, drained_after: float) -> Unsent | None:
+    def _check_before_send(self, server: int, drained_after: float) -> CallFailure | None:
         """drained_after: the server was ready then, as far as the decisions knew."""
-        if (left := self._client_left()) is not None:
+        if (left := self._departed_client()) is not None:
             self._relay.counters.left_unsent += 1
             return left
-        if self._stands_at is not None or self._relay.destinations.ready(server):
+        if self._existing_server is not None or self._relay.destinations.ready(server):
             return None
         # What is new it would turn away; a connection in mid flow goes on there, as long as it may be sent.
         grace_s = self._relay.config.settings.drain_grace_us / 2 / SECOND_US
-        if self.goes_on and trio.current_time() < drained_after + grace_s:
+        if self.is_continuation and trio.current_time() < drained_after + grace_s:
             return None
         return r.CallEnded(i.Outcome.CONNECT_FAILED)
 
-    def _client_left(self) -> r.ClientGone | r.ClientSpoke | None:
+    def _departed_client(self) -> r.ClientGone | r.ClientSpoke | None:
         """Whether it is worth no attempt. Behind a flood its end can't be seen, so a flood counts as one, but
         for who stands already and has no other attempt."""
         if hung_up(self._sock):
             return r.ClientGone()
-        floods = len(self._early) >= lines.MAX_LINE and unread(self._sock) > MOST_UNREAD
-        return r.ClientSpoke() if floods and self._stands_at is None else None
+        floods = len(self._early) >= lines.MAX_LINE and unread_bytes(self._sock) > MAX_UNREAD_BYTES
+        return r.ClientSpoke() if floods and self._existing_server is None else None
 
     def _new_call(self, server: int, deadline_us: int) -> OutboundCall | None:
         address = self._relay.destinations.address(server)
@@ -450,20 +458,22 @@
         now = trio.current_time()
         connect_by = now + self._relay.config.settings.connect_timeout_us / SECOND_US
         answer_by = min(self._relay.clock.to_trio(deadline_us), self._relay.answers_end)
-        return OutboundCall(address, self._first, connect_by, answer_by, lambda: self._last_look(server, now))
+        return OutboundCall(
+            address, self._first, connect_by, answer_by, lambda: self._check_before_send(server, now)
+        )
 
-    async def _outbound(self, call: OutboundCall | None) -> None:
+    async def _run_call(self, call: OutboundCall | None) -> None:
         """A server that has just left the list has no address: the same as one that can't be reached."""
         ended = r.CallEnded(i.Outcome.CONNECT_FAILED)
         await self._send.send(ended if call is None else await call.run())
 
-    async def _stand(self, server: SocketType, receipt: bytes) -> None:
+    async def _pass_lines(self, server: SocketType, receipt: bytes) -> None:
         relay, state = self._relay, self._state
-        passage = Passage(self._sock, server, self._load_heard)
-        relay.standing[passage] = relay.config.settings.classes[self._event.request_class].worth
+        passage = Passage(self._sock, server, self._on_load)
+        relay.standing[passage] = relay.config.settings.classes[self._request.request_class].worth
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._move_when_told, passage)
+                nursery.start_soon(self._move_on_request, passage)
                 await passage.run(self._early, receipt)
                 nursery.cancel_scope.cancel()
         finally:
@@ -479,13 +489,13 @@
             if isinstance(effect, r.Report):
                 await relay.decisions.tell(effect.event)
 
-    async def _load_heard(self, load: float) -> None:
+    async def _on_load(self, load: float) -> None:
         await self._relay.decisions.tell(self._state.notice(i.NoticeKind.LOAD, load))
 
-    async def _move_when_told(self, passage: Passage) -> None:
+    async def _move_on_request(self, passage: Passage) -> None:
         while True:
-            incident = await self._receive.receive()
-            for effect in self._state.on(incident, self._relay.clock.now_us()):
+            step_input = await self._receive.receive()
+            for effect in self._state.on(step_input, self._relay.clock.now_us()):
                 if isinstance(effect, r.MoveClient):
                     await passage.move()
                 elif isinstance(effect, r.Report):  # its end had been seen while it came up
--- a/glenfold/net/lists.py
+++ b/glenfold/net/lists.py
@@ -11,57 +11,57 @@
 from glenfold.counters import Counters
 from glenfold.destinations import DestinationSet
 
-LONGEST_LINE = 4 << 20
-STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
-BRACKET = re.compile(rb"[][{}]")
+MAX_LINE_BYTES = 4 << 20
+STRING_PATTERN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
+BRACKET_PATTERN = re.compile(rb"[][{}]")
 
 Receive = Callable[[trio.SocketStream], Awaitable[bytes]]
 
 
-def note_taken(destinations: DestinationSet, counters: Counters, said: str) -> str:
+def record_list(destinations: DestinationSet, counters: Counters, last_reported: str) -> str:
     """Counts the list that was read last, and logs the entries it was left without. `said`: what was logged
     last, as the same entry comes with every list; what is now."""
     counters.lists += 1
-    for fault in destinations.faults:
+    for problem in destinations.faults:
         counters.bad_entries += 1
-        if fault != said:
-            events.list_entry_left_out(fault=fault)
-        said = fault
-    return said
+        if problem != last_reported:
+            events.list_entry_left_out(fault=problem)
+        last_reported = problem
+    return last_reported
 
 
-class Objects:
+class ObjectReader:
     """A watch's JSON objects from its lines: one a line, or indented. Then it goes on to the line that closes
     all its brackets. Each line is looked at once, however many an object has."""
 
     def __init__(self) -> None:
-        self._begun: list[bytes] = []
-        self._open = bytearray()  # its brackets that no line has closed
+        self._pending_lines: list[bytes] = []
+        self._open_brackets = bytearray()  # its brackets that no line has closed
         self.size = 0  # bytes of the object that has begun
 
     def take(self, line: bytes) -> bytes:
         """The object that this line ends, or nothing. What can't become one is handed on as it is."""
         if line.strip():
-            self._begun.append(line)
+            self._pending_lines.append(line)
             self.size += len(line)
-            if self._goes_on(STRING.sub(b"", line)):
+            if self._is_incomplete(STRING_PATTERN.sub(b"", line)):
                 return b""
-        text, self._begun, self.size = b"\n".join(self._begun), [], 0
-        self._open.clear()
+        text, self._pending_lines, self.size = b"\n".join(self._pending_lines), [], 0
+        self._open_brackets.clear()
         return text  # after an empty line, which stands between objects, be it whole or not
 
-    def _goes_on(self, bare: bytes) -> bool:
-        if b'"' in bare or (self._open.endswith(b"{") and bare.lstrip().startswith(b"{")):
+    def _is_incomplete(self, bare: bytes) -> bool:
+        if b'"' in bare or (self._open_brackets.endswith(b"{") and bare.lstrip().startswith(b"{")):
             return False  # a string that no line ends, an object where a name should stand: it broke off
-        for bracket in BRACKET.findall(bare):
+        for bracket in BRACKET_PATTERN.findall(bare):
             if bracket in b"[{":
-                self._open += bracket
+                self._open_brackets += bracket
             else:
-                del self._open[-1:]
-        return bool(self._open)
+                del self._open_brackets[-1:]
+        return bool(self._open_brackets)
 
 
-class Exchange:
+class HttpExchange:
     """One GET on a connection. `receive` gives the next bytes of the stream within its own deadline."""
 
     def __init__(self, connection: h11.Connection, stream: trio.SocketStream) -> None:
--- a/glenfold/net/outbound.py
+++ b/glenfold/net/outbound.py
@@ -13,15 +13,15 @@
 from glenfold.request import CallEnded, CallUp, ClientGone, ClientSpoke
 from linnetspread.interface import Outcome
 
-Unsent = CallEnded | ClientGone | ClientSpoke
-LEAST_STALL_S = 0.01  # below it the kernel's figures, in milliseconds and ticks, say nothing
+CallFailure = CallEnded | ClientGone | ClientSpoke
+MIN_STALL_S = 0.01  # below it the kernel's figures, in milliseconds and ticks, say nothing
 
 
-def stalled_s(before_write_s: float, kernel: KernelTimes) -> float:
+def compute_stall_s(before_write_s: float, kernel: KernelTimes) -> float:
     """For how long this process, and not the network or the server, kept a call waiting: before its line was
     written, and once the reply was there. A connection whose first segment was sent again was slow itself."""
-    before = 0.0 if kernel.resent else before_write_s - kernel.round_trip_s
-    return sum(part for part in (before, kernel.came_s) if part > LEAST_STALL_S)
+    before = 0.0 if kernel.resent_segments else before_write_s - kernel.round_trip_s
+    return sum(part for part in (before, kernel.since_received_s) if part > MIN_STALL_S)
 
 
 class OutboundCall:
@@ -35,16 +35,16 @@
         first: OpenLine,
         connect_by: float,
         deadline: float,
-        last_look: Callable[[], Unsent | None],
+        check_before_send: Callable[[], CallFailure | None],
     ) -> None:
         self.address = address
         self.first = first
         self.connect_by = min(connect_by, deadline)
         self.deadline = deadline
-        self._last_look = last_look
+        self._check_before_send = check_before_send
         self.sock: SocketType | None = None
         self._scope = trio.CancelScope()
-        self._begun_at = self._written_at = trio.current_time()
+        self._started_at = self._written_at = trio.current_time()
 
     def close(self) -> None:
         """Also ends `run`: nothing of this call is out any more once this returns."""
@@ -52,28 +52,30 @@
         if self.sock is not None:
             self.sock.close()
 
-    async def run(self) -> CallUp | Unsent:
+    async def run(self) -> CallUp | CallFailure:
         """Closed before it returns, unless it came up: the next call may begin right away."""
-        ended: Unsent = CallEnded(Outcome.CANCELLED)
+        failure: CallFailure = CallEnded(Outcome.CANCELLED)
         with self._scope:
             result = await self._call()
             if isinstance(result, CallUp):
                 return result
-            ended = result
+            failure = result
         if self.sock is not None:
             self.sock.close()
-        return ended
+        return failure
 
-    async def _call(self) -> CallUp | Unsent:
-        if (unsent := self._last_look()) is not None:
-            return unsent
+    async def _call(self) -> CallUp | CallFailure:
+        if (failure := self._check_before_send()) is not None:
+            return failure
         try:
             sock = self.sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             without_delay(sock)
             with trio.fail_at(self.connect_by):
                 await sock.connect(self.address)
-            if (unsent := self._last_look()) is not None:  # no turn of the loop before the first byte
-                return unsent
+            if (
+                failure := self._check_before_send()
+            ) is not None:  # no turn of the loop before the first byte
+                return failure
             with trio.fail_at(self.deadline):
                 left = self.deadline - trio.current_time()
                 await send_pieces(sock, self.first.with_wait(math.ceil(left * 1000)))
@@ -100,7 +102,7 @@
             buffer.wrote(count)
         word, _, rest = bytes(buffer.data[: end - len(END)]).partition(b" ")
         if word == b"UP" and rest:
-            stalled = stalled_s(self._written_at - self._begun_at, kernel_times(sock))
+            stalled = compute_stall_s(self._written_at - self._started_at, kernel_times(sock))
             return CallUp(bytes(buffer.data[: buffer.filled]), round(stalled * SECOND_US))
         if word == b"BUSY":
             return CallEnded(Outcome.FULL)
--- a/glenfold/net/sockets.py
+++ b/glenfold/net/sockets.py
@@ -19,9 +19,9 @@
 
 # Of the kernel's tcp_info, as it has been since Linux 2.6: eight bytes, then words of four.
 _TCP_INFO_BYTES = 104
-_LAST_DATA_RECEIVED_MS, _ROUND_TRIP_US, _RESENT = 52, 68, 100
+_LAST_DATA_RECEIVED_MS, _ROUND_TRIP_US, _RESENT_SEGMENTS = 52, 68, 100
 _INT_BYTES = struct.calcsize("i")
-_AT_ONCE = struct.pack("ii", 1, 0)  # linger on, for no time: close sends RST
+_LINGER_ZERO = struct.pack("ii", 1, 0)  # linger on, for no time: close sends RST
 
 
 async def send_pieces(sock: SocketType, pieces: Sequence[memoryview]) -> None:
@@ -59,10 +59,10 @@
 def hung_up(sock: SocketType) -> bool:
     """Whether the other side has ended or reset it, as far as the kernel knows: also behind bytes that nobody
     has read, and before the loop comes to tell it."""
-    return _told_now(sock, select.POLLRDHUP)  # a reset is told without being asked for
+    return _is_ready_now(sock, select.POLLRDHUP)  # a reset is told without being asked for
 
 
-def unread(sock: SocketType) -> int:
+def unread_bytes(sock: SocketType) -> int:
     """How many bytes the kernel has that nobody has read; 0 where it does not tell."""
     count = bytearray(_INT_BYTES)
     with suppress(OSError):
@@ -70,7 +70,7 @@
     return int.from_bytes(count, sys.byteorder)
 
 
-def finish(sock: SocketType) -> None:
+def send_fin(sock: SocketType) -> None:
     """FIN: nothing more will be sent."""
     with suppress(OSError):  # the other side has reset it already
         sock.shutdown(socket.SHUT_WR)
@@ -79,19 +79,19 @@
 def reset_on_close(sock: SocketType) -> None:
     """RST, for the one side when the other was reset; whoever owns the socket closes it."""
     with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _AT_ONCE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
 
 
-def _told_now(sock: SocketType, what: int) -> bool:
+def _is_ready_now(sock: SocketType, event_mask: int) -> bool:
     """By the kernel, without a turn of the loop."""
-    look = select.poll()
-    look.register(sock.fileno(), what)
-    return bool(look.poll(0))
+    poller = select.poll()
+    poller.register(sock.fileno(), event_mask)
+    return bool(poller.poll(0))
 
 
-def queued(listener: SocketType) -> bool:
+def has_queued_client(listener: SocketType) -> bool:
     """Whether the kernel has a client that nobody has accepted yet."""
-    return _told_now(listener, select.POLLIN)
+    return _is_ready_now(listener, select.POLLIN)
 
 
 def without_delay(sock: SocketType) -> None:
@@ -103,18 +103,19 @@
     """What the kernel knows of a TCP connection, however late this process looks. came_s: since when the data
     read last has been there. round_trip_s: to the other side. resent: segments sent again."""
 
-    came_s: float
+    since_received_s: float
     round_trip_s: float
-    resent: int
+    resent_segments: int
 
 
 def kernel_times(sock: SocketType) -> KernelTimes:
     """All zero where the kernel does not tell."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
-        came_ms, trip_us, resent = (
-            struct.unpack_from("=I", info, at)[0] for at in (_LAST_DATA_RECEIVED_MS, _ROUND_TRIP_US, _RESENT)
+        came_ms, trip_us, resent_segments = (
+            struct.unpack_from("=I", info, at)[0]
+            for at in (_LAST_DATA_RECEIVED_MS, _ROUND_TRIP_US, _RESENT_SEGMENTS)
         )
     except (OSError, struct.error):
         return KernelTimes(0.0, 0.0, 0)
-    return KernelTimes(came_ms / 1e3, trip_us / 1e6, resent)
+    return KernelTimes(came_ms / 1e3, trip_us / 1e6, resent_segments)
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -10,7 +10,7 @@
 
 from glenfold.config.platform import Parent
 from glenfold.destinations import BadList
-from glenfold.net.lists import LONGEST_LINE, Exchange, Objects
+from glenfold.net.lists import MAX_LINE_BYTES, HttpExchange, ObjectReader
 from glenfold.rules.greeting import BadGreeting, Greeting, read_greeting
 from glenfold.rules.replication import INCARNATION_FIELD
 from glenfold.rules.succession import Origin
@@ -62,7 +62,7 @@
         parent: Parent,
         revision: int | None,
         stream: trio.SocketStream,
-        exchange: Exchange,
+        exchange: HttpExchange,
         response: h11.Response,
     ) -> None:
         self.parent = parent
@@ -86,14 +86,14 @@
         with trio.fail_at(self.began_at_s + WHOLE_S):
             while (part := await self._exchange.part(_receive)) is not None:
                 body += part
-                if len(body) > LONGEST_LINE:
+                if len(body) > MAX_LINE_BYTES:
                     raise BadList("the whole list is too long")
         return read_body(bytes(body))
 
     async def lines(self) -> AsyncIterator[Body | None]:
         """Of a watch, up to its end: each object once it is whole, None for an empty line between objects.
         Raises BadList."""
-        objects, line = Objects(), bytearray()
+        objects, line = ObjectReader(), bytearray()
         while (part := await self._exchange.part(_receive)) is not None:
             *ended, rest = part.split(b"\n")
             for end in ended:
@@ -105,7 +105,7 @@
                     yield None
             line += rest
             self.within_object = bool(line or objects.size)
-            if len(line) + objects.size > LONGEST_LINE:
+            if len(line) + objects.size > MAX_LINE_BYTES:
                 raise BadList("a line is too long")
         if objects.size or line:
             raise BadList("a watch ended within an object")
@@ -123,7 +123,7 @@
     with trio.fail_at(trio.current_time() + ANSWER_S):
         stream = await trio.open_tcp_stream(*parent.address)
         try:
-            exchange = Exchange(h11.Connection(h11.CLIENT), stream)
+            exchange = HttpExchange(h11.Connection(h11.CLIENT), stream)
             response = await exchange.begin(parent.address, target, _receive, fields)
             return Call(parent, revision, stream, exchange, response)
         except BaseException:
--- a/glenfold/replica/relay_lists.py
+++ b/glenfold/replica/relay_lists.py
@@ -7,7 +7,7 @@
 from glenfold.counters import Counters
 from glenfold.decisions import Decisions
 from glenfold.destinations import DestinationSet
-from glenfold.net.lists import note_taken
+from glenfold.net.lists import record_list
 from glenfold.replica.follower import Follower
 from glenfold.rules.parent_choice import ParentChoice
 from glenfold.rules.replication import ListDocument
@@ -56,7 +56,7 @@
         revision, entries = document.position.revision, document.entries
         read = {"seq": revision, "whole": document.whole, "hosts": entries}
         self._untold = self._destinations.read(read)
-        self._said = note_taken(self._destinations, self._counters, self._said)
+        self._said = record_list(self._destinations, self._counters, self._said)
 
     async def _tell(self) -> None:
         told, self._untold = self._untold, None
--- a/glenfold/replica/server.py
+++ b/glenfold/replica/server.py
@@ -14,8 +14,8 @@
 
 from glenfold.config.replica import MB, Limits
 from glenfold.events import sockets_exhausted
-from glenfold.net.inbound import OUT_OF_SOCKETS
-from glenfold.net.sockets import SocketType, finish, send, send_pieces, without_delay
+from glenfold.net.inbound import OUT_OF_SOCKETS_ERRNOS
+from glenfold.net.sockets import SocketType, send, send_fin, send_pieces, without_delay
 from glenfold.replica import events
 from glenfold.replica.counters import ReplicaCounters
 from glenfold.replica.requests import READ_BYTES, RequestReader
@@ -163,7 +163,7 @@
             try:
                 sock, _ = await listener.accept()
             except OSError as error:
-                if error.errno in OUT_OF_SOCKETS:
+                if error.errno in OUT_OF_SOCKETS_ERRNOS:
                     sockets_exhausted(error=error)
                     await trio.sleep(NO_DESCRIPTOR_S)
                 continue
@@ -261,7 +261,7 @@
     async def _part(self, sock: SocketType, answer: bytes) -> None:
         """Closing on unread bytes resets the connection and may take the answer with it: some are read."""
         await send(sock, answer)
-        finish(sock)
+        send_fin(sock)
         if self._parting >= MOST_PARTING:
             return
         self._parting += 1
--- a/glenfold_lab/model/listing/feeds.py
+++ b/glenfold_lab/model/listing/feeds.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from glenfold.destinations import BadList
-from glenfold.net.discovery import AGAIN_S, LONGEST_SILENCE_S
+from glenfold.net.discovery import MAX_WATCH_SILENCE_S, RETRY_DELAY_S
 from glenfold_lab.model.draw import value
 from glenfold_lab.model.fleet import Fleet, Machine
 from glenfold_lab.model.kernel import SECOND_US, Kernel
@@ -22,8 +22,8 @@
 from glenfold_lab.streams import Streams
 from linnetspread.interface import ServerList
 
-AGAIN_US = int(AGAIN_S * SECOND_US)
-LONGEST_SILENCE_US = int(LONGEST_SILENCE_S * SECOND_US)
+AGAIN_US = int(RETRY_DELAY_S * SECOND_US)
+LONGEST_SILENCE_US = int(MAX_WATCH_SILENCE_S * SECOND_US)
 HEARTBEAT_US = 2 * SECOND_US  # an agent finds out so much later at the most that a change is missing
 ANSWER_US = 1_000  # an agent on the same machine answers at once
 
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -14,15 +14,15 @@
 from glenfold import request as r
 from glenfold.dispatch import Dispatch, RequestAction
 from glenfold.leaving import ANSWERS_S, Leaving, in_order
-from glenfold.net.inbound import BACKLOG
-from glenfold.net.passing import SILENT_S
+from glenfold.net.inbound import LISTEN_BACKLOG
+from glenfold.net.passing import SERVER_SILENCE_TIMEOUT_S
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.relay_settings import Costs
 from glenfold_lab.model.wire import Call, Machines
 from glenfold_lab.observe import End, Final, Over, Watcher
 from linnetspread import interface as i
 
-SILENT_US = round(SILENT_S * SECOND_US)
+SILENT_US = round(SERVER_SILENCE_TIMEOUT_S * SECOND_US)
 HELD_BACK_US = SECOND_US  # a line that waits here for longer is worth a word
 CALL_UP = r.CallUp(b"")
 CALL_ENDED = {
@@ -152,7 +152,7 @@
     def offer(self, exchange: Exchange, deadline: int) -> bool:
         """A client's connection with its first line; False when its machine has too many not yet accepted.
         `deadline` is the client's own."""
-        if len(self._backlog) >= BACKLOG:
+        if len(self._backlog) >= LISTEN_BACKLOG:
             return False
         event = exchange.event
         self._last_arrival = self._kernel.now
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -5,7 +5,7 @@
 
 import numpy as np
 
-from glenfold.net.passing import SILENT_S
+from glenfold.net.passing import SERVER_SILENCE_TIMEOUT_S
 from glenfold_lab.checker.cold import beyond_chance
 from glenfold_lab.model.draw import BLOCK, lognormals, value
 from glenfold_lab.model.fleet import Fleet, Machine
@@ -23,7 +23,7 @@
 TICK_US = 250_000
 SET_UP_SIGMA = 0.9  # of the logarithm of a set-up's work
 OWN_SPREAD = 0.1  # of a set-up's own time, on the mean
-SILENT_US = SILENT_S * SECOND_US
+SILENT_US = SERVER_SILENCE_TIMEOUT_S * SECOND_US
 ROOM = 0.95  # of its capacity: what a server that sheds connections comes down to
 
 
--- a/glenfold_lab/scale/hollow_watcher.py
+++ b/glenfold_lab/scale/hollow_watcher.py
@@ -12,7 +12,13 @@
 from dataclasses import dataclass, field
 
 from glenfold.config import Address
-from glenfold.net.discovery import AGAIN_S, ASKING_S, LONGEST_SILENCE_S, MOST_TIMES, SOON_S
+from glenfold.net.discovery import (
+    ASKING_TIMEOUT_S,
+    CALL_SPREAD_S,
+    MAX_BACKOFF_FACTOR,
+    MAX_WATCH_SILENCE_S,
+    RETRY_DELAY_S,
+)
 from glenfold.rules.backoff import Backoff
 from glenfold_lab.scale.hollow_http import AnswerReader, BadAnswer, ChunkTable
 from glenfold_lab.scale.hollow_list import BadLine, ListLine, Lists, ListState
@@ -104,7 +110,7 @@
         self._lists = lists
         self._deliveries = deliveries
         self._chunks = chunks
-        self._backoff = Backoff(AGAIN_S, spread_s, MOST_TIMES, chance, SOON_S)
+        self._backoff = Backoff(RETRY_DELAY_S, spread_s, MAX_BACKOFF_FACTOR, chance, CALL_SPREAD_S)
         self._chance = chance
         self._state: ListState | None = None
         self._answer = AnswerReader(chunks)
@@ -127,7 +133,7 @@
 
     def connecting(self, now: float) -> None:
         self.phase = Phase.CONNECTING
-        self.due_at = now + ASKING_S
+        self.due_at = now + ASKING_TIMEOUT_S
 
     def connected(self) -> bytes:
         """The request to send."""
@@ -220,7 +226,7 @@
 
     def _take_whole(self, body: bytes, now: float) -> bytes:
         self._body += body
-        self.due_at = now + ASKING_S
+        self.due_at = now + ASKING_TIMEOUT_S
         if not self._answer.ended:
             return b""
         text = bytes(self._body)
@@ -241,7 +247,7 @@
             else:
                 self.log.empty_lines += 1
         if lines:
-            self.due_at = now + LONGEST_SILENCE_S
+            self.due_at = now + MAX_WATCH_SILENCE_S
             self._backoff.worked()
 
     def _take(self, text: bytes, now: float) -> None:
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -19,7 +19,7 @@
 from glenfold.daemon.readiness import CALM_S, LATEST_S, STEP_S, Readiness
 from glenfold.daemon.warming import REQUESTS, warm_up
 from glenfold.dispatch import Dispatch, RequestAction
-from glenfold.net.outbound import stalled_s
+from glenfold.net.outbound import compute_stall_s
 from glenfold.net.sockets import KernelTimes, kernel_times
 from linnetspread import interface as i
 
@@ -81,12 +81,12 @@
         far.sendall(b"UP x\r\n")
         time.sleep(0.2)
         kernel = trio.run(look)
-    assert kernel.came_s == pytest.approx(0.2, abs=0.1) and kernel.round_trip_s < 0.1
-    assert stalled_s(0.0, kernel) == kernel.came_s
+    assert kernel.since_received_s == pytest.approx(0.2, abs=0.1) and kernel.round_trip_s < 0.1
+    assert compute_stall_s(0.0, kernel) == kernel.since_received_s
     # Before its line was written, too; but for a connection that came up late, and what is hardly seen.
-    assert stalled_s(0.15, KernelTimes(0.0, 0.001, 0)) == pytest.approx(0.149)
-    assert stalled_s(0.15, KernelTimes(0.0, 0.001, 1)) == 0
-    assert stalled_s(0.009, KernelTimes(0.009, 0.0, 0)) == 0
+    assert compute_stall_s(0.15, KernelTimes(0.0, 0.001, 0)) == pytest.approx(0.149)
+    assert compute_stall_s(0.15, KernelTimes(0.0, 0.001, 1)) == 0
+    assert compute_stall_s(0.009, KernelTimes(0.009, 0.0, 0)) == 0
 
 
 def test_the_decisions_are_told_of_the_set_up_without_the_stall():
--- a/tests/glenfold_lab/scale/test_connections.py
+++ b/tests/glenfold_lab/scale/test_connections.py
@@ -15,7 +15,7 @@
 import trio
 from click.testing import CliRunner
 
-from glenfold.net.passing import SILENT_S
+from glenfold.net.passing import SERVER_SILENCE_TIMEOUT_S
 from glenfold_lab.scale import connections_run as run
 from glenfold_lab.scale import placement_cost
 from glenfold_lab.scale.connection_bounds import MEMORY, REFERENCE, STEPS, exceeded
@@ -27,7 +27,15 @@
 
 ROOT = Path(__file__).parents[3]
 PAGE = (ROOT / "docs/operators/lab-scale.md").read_text()
-SMALL = run.Plan((100, 200, 400), (1_000,), 1, window_s=0.3, rest_s=SILENT_S, settle_s=0.1, line_rate=1_500.0)
+SMALL = run.Plan(
+    (100, 200, 400),
+    (1_000,),
+    1,
+    window_s=0.3,
+    rest_s=SERVER_SILENCE_TIMEOUT_S,
+    settle_s=0.1,
+    line_rate=1_500.0,
+)
 # A relay in which a line looks at all connections, and a connection keeps something for each other one.
 MUTANT = """#!{python}
 import runpy, sys
@@ -39,7 +47,7 @@
 
 def look_at_all(self, data):
     for _ in range(6):
-        [passage.over for passage in standing]
+        [passage.is_ending for passage in standing]
     return feed(self, data)
 
 def keep_for_all(self, *given):
--- a/tests/glenfold_lab/scale/test_scale_control.py
+++ b/tests/glenfold_lab/scale/test_scale_control.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from glenfold.config import Address
-from glenfold.net.discovery import AGAIN_S, ASKING_S, LONGEST_SILENCE_S
+from glenfold.net.discovery import ASKING_TIMEOUT_S, MAX_WATCH_SILENCE_S, RETRY_DELAY_S
 from glenfold_lab.observe import Told
 from glenfold_lab.scale import control_command
 from glenfold_lab.scale import control_plays as plays
@@ -213,10 +213,10 @@
 def test_a_silent_parent_is_left_for_the_next_and_an_empty_line_is_a_word(world: World) -> None:
     world.connect()
     world.watcher.received(chunk(b"\n"), 2.0)
-    assert world.watcher.due_at == pytest.approx(2.0 + LONGEST_SILENCE_S)
+    assert world.watcher.due_at == pytest.approx(2.0 + MAX_WATCH_SILENCE_S)
     world.watcher.failed(Fault("silent"), 4.5)
     assert world.watcher.phase is Phase.WAITING
-    assert 4.5 + AGAIN_S / 2 <= world.watcher.due_at <= 4.5 + AGAIN_S + 1.0
+    assert 4.5 + RETRY_DELAY_S / 2 <= world.watcher.due_at <= 4.5 + RETRY_DELAY_S + 1.0
     world.now = 5.0
     assert world.connect() == b"GET /v1/servers?watch=1&from=1 HTTP/1.1\r\nHost: 127.0.0.1:1002\r\n\r\n"
 
@@ -226,7 +226,7 @@
     line = world.change(0, Told.DRAINING)
     whole = chunk(line)
     world.watcher.received(whole[:40], world.now)
-    assert world.watcher.due_at == LONGEST_SILENCE_S
+    assert world.watcher.due_at == MAX_WATCH_SILENCE_S
     world.watcher.failed(Fault("ECONNRESET"), world.now)
     world.connect()
     assert world.judged().sound and world.judged().connects == 2
@@ -263,7 +263,7 @@
         world.hear(b'{"seq":2,"whole":false}\n')
     world.watcher.failed(Fault("bad line"), world.now)
     world.watcher.connecting(world.now)
-    assert world.watcher.phase is Phase.CONNECTING and world.watcher.due_at == ASKING_S
+    assert world.watcher.phase is Phase.CONNECTING and world.watcher.due_at == ASKING_TIMEOUT_S
     assert world.watcher.connected().startswith(b"GET /v1/servers HTTP")
 
 
--- a/tests/rules/test_backoff.py
+++ b/tests/rules/test_backoff.py
@@ -5,7 +5,13 @@
 
 import pytest
 
-from glenfold.net.discovery import AGAIN_S, MISSED_S, MOST_TIMES, NEXT_CALL_S, SOON_S
+from glenfold.net.discovery import (
+    CALL_INTERVAL_S,
+    CALL_SPREAD_S,
+    MAX_BACKOFF_FACTOR,
+    MAX_LIST_DELAY_S,
+    RETRY_DELAY_S,
+)
 from glenfold.rules.backoff import Backoff
 
 SERVES_S = 0.125  # discovery's time for one call, also for one that nobody waits for any more
@@ -72,20 +78,23 @@
 
     def __init__(self, relays: int, serves_all_s: float, refusal_s: float) -> None:
         chances = [random.Random(relay) for relay in range(relays)]
-        self.backoffs = [Backoff(AGAIN_S, relays / 10, MOST_TIMES, chance, SOON_S) for chance in chances]
+        self.backoffs = [
+            Backoff(RETRY_DELAY_S, relays / 10, MAX_BACKOFF_FACTOR, chance, CALL_SPREAD_S)
+            for chance in chances
+        ]
         self.serves_s, self.refusal_s = serves_all_s / relays, refusal_s
         self.called: list[float] = []
         self.told: list[float] = []
         self.free_at = 0.0
 
     def run(self, until: float) -> None:
-        calls = [(one.again_s(False, NEXT_CALL_S), relay) for relay, one in enumerate(self.backoffs)]
+        calls = [(one.again_s(False, CALL_INTERVAL_S), relay) for relay, one in enumerate(self.backoffs)]
         heapq.heapify(calls)
         while calls and calls[0][0] < until:
             now, relay = heapq.heappop(calls)
             self.called.append(now)
             if (took_s := self._refused_after(now)) is not None:
-                wait_s = self.backoffs[relay].again_s(True, NEXT_CALL_S - took_s)
+                wait_s = self.backoffs[relay].again_s(True, CALL_INTERVAL_S - took_s)
                 heapq.heappush(calls, (now + took_s + wait_s, relay))
 
     def _refused_after(self, now: float) -> float | None:
@@ -102,24 +111,24 @@
 @pytest.mark.parametrize("refusal_s", [0.0, PATIENCE_S])
 def test_relays_that_were_refused_for_long_are_told_in_time_where_discovery_can_serve_them(relays, refusal_s):
     fleet = BoundedFleet(relays, 3.0, refusal_s)
-    fleet.run(DOWN_S + 2 * MISSED_S)
-    assert len(fleet.told) == relays and max(fleet.told) - DOWN_S <= MISSED_S
+    fleet.run(DOWN_S + 2 * MAX_LIST_DELAY_S)
+    assert len(fleet.told) == relays and max(fleet.told) - DOWN_S <= MAX_LIST_DELAY_S
 
 
 @pytest.mark.parametrize("relays", [230, 3_400])
 def test_refused_calls_of_a_bounded_fleet_are_no_more_than_the_time_allowed_needs(relays):
     fleet = BoundedFleet(relays, 3.0, 0.0)
     fleet.run(DOWN_S)
-    late = [at for at in fleet.called if at >= 2 * NEXT_CALL_S]
+    late = [at for at in fleet.called if at >= 2 * CALL_INTERVAL_S]
     busiest = max(sum(second <= at < second + 1 for at in late) for second in range(8, int(DOWN_S)))
-    fair = relays / NEXT_CALL_S
-    assert len(late) <= 1.2 * fair * (DOWN_S - 2 * NEXT_CALL_S)
+    fair = relays / CALL_INTERVAL_S
+    assert len(late) <= 1.2 * fair * (DOWN_S - 2 * CALL_INTERVAL_S)
     assert busiest <= 1.2 * fair + 3 * fair**0.5
 
 
 @pytest.mark.parametrize(("within_s", "least_s"), [(3.75, 0.125), (0.0, 0.125), (-2.0, 0.125)])
 def test_a_wait_is_no_longer_than_allowed_and_never_none(within_s, least_s):
     for relay in range(200):
-        backoff = Backoff(AGAIN_S, 340.0, MOST_TIMES, random.Random(relay), SOON_S)
+        backoff = Backoff(RETRY_DELAY_S, 340.0, MAX_BACKOFF_FACTOR, random.Random(relay), CALL_SPREAD_S)
         for busy in (True, True, True, False):
-            assert least_s <= backoff.again_s(busy, within_s) <= max(AGAIN_S, within_s)
+            assert least_s <= backoff.again_s(busy, within_s) <= max(RETRY_DELAY_S, within_s)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -74,14 +74,14 @@
 def at_look(monkeypatch: pytest.MonkeyPatch, do: Callable[[], object], number: int = 2) -> None:
     """`do` runs just before that look of all: the first precedes a call, the second, once it has connected,
     its line."""
-    look, looks = Exchange._last_look, count(1)
+    look, looks = Exchange._check_before_send, count(1)
 
     def then_look(self: Exchange, *given: Any) -> object:
         if next(looks) == number:
             do()
         return look(self, *given)
 
-    monkeypatch.setattr(Exchange, "_last_look", then_look)
+    monkeypatch.setattr(Exchange, "_check_before_send", then_look)
 
 
 def leave(client: socket.socket, how: str) -> None:
@@ -449,7 +449,7 @@
         self._send.send_nowait(receipt)
         clock.jump(2.1)  # to the inbox first, though the deadline passes before it is looked at
 
-    monkeypatch.setattr(Exchange, "_outbound", read_but_not_told)
+    monkeypatch.setattr(Exchange, "_run_call", read_but_not_told)
 
     async def server(stream: trio.SocketStream) -> None:
         await read_line(stream)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,8 +22,8 @@
 
 from glenfold.config.platform import OWN_SOCKETS
 from glenfold.net import inbound as inbound_module
-from glenfold.net.discovery import MISSED_S
-from glenfold.net.inbound import FIRST_LINE_S, PARTING_S, Inbound
+from glenfold.net.discovery import MAX_LIST_DELAY_S
+from glenfold.net.inbound import CLOSING_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, Inbound
 from glenfold.net.sockets import SocketType
 
 SOCKETS = 64  # of the relay, by its configuration and by the kernel's limit
@@ -178,7 +178,7 @@
                     time.sleep(EVERY_S)
                 discovery.listen()
                 discovery.settimeout(0.001)
-                until = time.monotonic() + MISSED_S
+                until = time.monotonic() + MAX_LIST_DELAY_S
                 call = None
                 while call is None and time.monotonic() < until:
                     flood.one_more()
@@ -234,7 +234,7 @@
         async with relay(relaying.config(tmp_path), relaying.up) as (shared, inbound, port):
             idle = [socket.create_connection(("127.0.0.1", port)) for _ in range(2)]
             idle[0].sendall(b"no line\r\n")  # and the other says nothing
-            with trio.fail_after(FIRST_LINE_S + 2 * PARTING_S):
+            with trio.fail_after(FIRST_LINE_TIMEOUT_S + 2 * CLOSING_TIMEOUT_S):
                 while shared.counters.accepted < len(idle) or clients.count:
                     await trio.sleep(0.1)
             for client in idle:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 
 from glenfold.counters import Counters
 from glenfold.destinations import DestinationSet, server_number
-from glenfold.net.discovery import BUSY_S, MISSED_S, Discovery
+from glenfold.net.discovery import MAX_ASKING_ANSWER_S, MAX_LIST_DELAY_S, Discovery
 from linnetspread import interface as i
 
 WHOLE, WATCH = b"/v1/servers", b"/v1/servers?watch=1&from=%d"
@@ -119,7 +119,7 @@
     assert follow(tmp_path, agent, known=True, spread_s=4.0) == [41]
     assert {target for _, target in agent.asked[:13]} == {WATCH % 40}
     waits = [later - sooner for (sooner, _), (later, _) in zip(agent.asked, agent.asked[1:13], strict=False)]
-    assert sum(waits[:3]) / 3 < sum(waits[3:]) / 9 and max(waits) <= MISSED_S - BUSY_S
+    assert sum(waits[:3]) / 3 < sum(waits[3:]) / 9 and max(waits) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
 
 
 def test_a_slow_answer_is_waited_for(tmp_path: Path) -> None:
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -19,7 +19,7 @@
 from glenfold.daemon.life import State
 from glenfold.daemon.process import Process, run_by_signals
 from glenfold.net.inbound import Exchange
-from glenfold.net.sockets import queued
+from glenfold.net.sockets import has_queued_client
 from linnetspread import interface as i
 
 LONG = OPEN.replace(b"d=2000", b"d=20000")
@@ -65,8 +65,13 @@
         with trio.fail_after(5.0):
             await self.over.wait()
         relay = self.process.relay
-        assert (relay.unheard, relay.unanswered, len(relay.standing), len(relay.ids)) == (0, 0, 0, 0)
-        assert not relay._patience and not self.process.listeners
+        assert (relay.awaiting_first_line, relay.unanswered, len(relay.standing), len(relay.ids)) == (
+            0,
+            0,
+            0,
+            0,
+        )
+        assert not relay._time_limits and not self.process.listeners
 
 
 @asynccontextmanager
@@ -167,7 +172,7 @@
         made.process.stop()
         await made.ended()
         assert trio.current_time() - seen[0] < 1.0
-        assert queued(other) and not made.process.relay.counters.accepted
+        assert has_queued_client(other) and not made.process.relay.counters.accepted
 
 
 @pytest.mark.parametrize("turns", [0, 3])
--- a/tests/test_quiet_lists.py
+++ b/tests/test_quiet_lists.py
@@ -21,15 +21,15 @@
 from glenfold.daemon.process import Process, calls_spread_s
 from glenfold.destinations import DestinationSet
 from glenfold.net.discovery import (
-    AGAIN_S,
-    ANSWER_S,
-    BUSY_S,
-    LAG_S,
-    LONGEST_SILENCE_S,
-    MISSED_S,
-    NEXT_CALL_S,
+    ANSWER_TIMEOUT_S,
+    CALL_INTERVAL_S,
+    LOOP_LAG_MARGIN_S,
+    MAX_ASKING_ANSWER_S,
+    MAX_LIST_DELAY_S,
+    MAX_WATCH_SILENCE_S,
+    RETRY_DELAY_S,
     Discovery,
-    Objects,
+    ObjectReader,
 )
 from linnetspread.interface import ServerList, Settings
 
@@ -181,8 +181,8 @@
             await agent.follow(nursery)
         spans = [await agent.has_heard(42) - agent.silent_at for agent in agents]
         print(f"{relays} relays, asks {asks}, {len(between)} between: {min(spans):.2f} to {max(spans):.2f} s")
-        assert max(spans) <= MISSED_S
-        assert all(agent.asked[0][0] <= MISSED_S - 2.0 for agent in agents)  # of a new process
+        assert max(spans) <= MAX_LIST_DELAY_S
+        assert all(agent.asked[0][0] <= MAX_LIST_DELAY_S - 2.0 for agent in agents)  # of a new process
         if spread_s > 1.0:  # nor all at once
             firsts = sorted(agent.asked[1][0] - agent.silent_at for agent in agents)
             assert firsts[-1] - firsts[0] > 0.4
@@ -202,7 +202,10 @@
     async def script(nursery: trio.Nursery) -> None:
         for agent in agents:
             await agent.follow(nursery)
-        assert max([await agent.has_heard(42) for agent in agents]) - returns_at <= ANSWER_S + AGAIN_S
+        assert (
+            max([await agent.has_heard(42) for agent in agents]) - returns_at
+            <= ANSWER_TIMEOUT_S + RETRY_DELAY_S
+        )
 
     run(script)
 
@@ -246,9 +249,9 @@
 
     async def script(nursery: trio.Nursery) -> None:
         discovery = await agent.follow(nursery)
-        await trio.sleep(LONGEST_SILENCE_S - 0.1)
+        await trio.sleep(MAX_WATCH_SILENCE_S - 0.1)
         assert discovery.heard_at == agent.silent_at
-        assert await agent.has_heard(42) - agent.silent_at <= LONGEST_SILENCE_S + AGAIN_S + 0.01
+        assert await agent.has_heard(42) - agent.silent_at <= MAX_WATCH_SILENCE_S + RETRY_DELAY_S + 0.01
         assert [target for _, target in agent.asked] == [WATCH % 40, WATCH % 41]
 
     run(script)
@@ -264,7 +267,7 @@
             for part in (change(version)[:20], change(version)[20:] + b"\n"):
                 await trio.testing.wait_all_tasks_blocked()
                 if len(part) == 20:
-                    clock.jump(2 * LONGEST_SILENCE_S - 0.1)  # the loop has not turned when it is sent
+                    clock.jump(2 * MAX_WATCH_SILENCE_S - 0.1)  # the loop has not turned when it is sent
                 await stream.send_all(chunk(part))
         await trio.sleep_forever()
 
@@ -314,7 +317,7 @@
 def test_an_object_costs_by_its_lines_and_not_by_their_square(indent: int | None) -> None:
     entries = [entry(f'a "{{[\\" {n}') for n in range(1024)]  # names that look like what they are not
     lines = json.dumps(whole(*entries), indent=indent).encode().split(b"\n")
-    objects, began_s = Objects(), time.process_time()
+    objects, began_s = ObjectReader(), time.process_time()
     assert [bool(objects.take(line)) for line in lines] == [False] * (len(lines) - 1) + [True]
     assert time.process_time() - began_s < 2.0  # some 0.02; 17 where the whole is read again with each line
 
@@ -334,7 +337,7 @@
         await agent.follow(nursery)
         await agent.has_asked(2)
         assert agent.asked[1][1] == (WATCH % 41 if told_whole else WHOLE)
-        assert agent.asked[1][0] <= MISSED_S + AGAIN_S + 0.02
+        assert agent.asked[1][0] <= MAX_LIST_DELAY_S + RETRY_DELAY_S + 0.02
 
     run(script)
 
@@ -350,7 +353,7 @@
             await trio.sleep(5.1)
             sock.listen()
             nursery.start_soon(trio.serve_listeners, agent.answer, [trio.SocketListener(sock)])
-            assert await agent.has_heard(41) - 5.1 <= AGAIN_S + 0.02
+            assert await agent.has_heard(41) - 5.1 <= RETRY_DELAY_S + 0.02
 
     run(script)
 
@@ -419,7 +422,7 @@
             await new.has_asked(2)
             (first, _), (second, _) = new.asked[:2]
             moved.append(first - at)
-            assert second - first <= AGAIN_S + spread_s + 0.01
+            assert second - first <= RETRY_DELAY_S + spread_s + 0.01
 
         run(script)
     assert max(moved) <= (0.75 if spread_s else 0.0)
@@ -431,7 +434,7 @@
 
     async def script(nursery: trio.Nursery) -> None:
         await agent.follow(nursery)
-        assert await agent.has_heard(41) <= 6 * AGAIN_S
+        assert await agent.has_heard(41) <= 6 * RETRY_DELAY_S
 
     run(script)
 
@@ -455,21 +458,23 @@
         moments = [at for at, _ in agent.asked]
         gaps = [later - sooner for sooner, later in pairwise(moments[1:])]
         assert moments[1] - moments[0] <= 1.0
-        assert max(gaps) <= MISSED_S - BUSY_S  # and then it may take its time for the answer
-        assert min(gaps[2:]) >= 0.7 * NEXT_CALL_S
+        assert (
+            max(gaps) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
+        )  # and then it may take its time for the answer
+        assert min(gaps[2:]) >= 0.7 * CALL_INTERVAL_S
         assert {target for _, target in agent.asked[1:]} == {WHOLE}
 
     run(script)
 
 
 async def refused_late(agent: Agent, stream: trio.SocketStream) -> None:
-    await trio.sleep(BUSY_S)
+    await trio.sleep(MAX_ASKING_ANSWER_S)
     await stream.send_all(busy())
 
 
 async def told_as_late_as_may_be(agent: Agent, stream: trio.SocketStream) -> None:
     """Either way, by what was asked for."""
-    await trio.sleep(BUSY_S)
+    await trio.sleep(MAX_ASKING_ANSWER_S)
     if agent.asked[-1][1] == WHOLE:
         text = json.dumps(whole(entry("s-2"), seq=42)).encode()
         await stream.send_all(OK + b"Content-Length: %d\r\n\r\n" % len(text) + text)
@@ -496,8 +501,11 @@
         for agent in agents:
             heard_at = await agent.has_heard(42)
             reached_at = agent.asked[len(agent.script) - 2][0]
-            assert heard_at - reached_at <= MISSED_S - LAG_S + 0.05
-        assert max(agent.asked[0][0] for agent in agents) <= MISSED_S - BUSY_S - LAG_S  # of a new process
+            assert heard_at - reached_at <= MAX_LIST_DELAY_S - LOOP_LAG_MARGIN_S + 0.05
+        assert (
+            max(agent.asked[0][0] for agent in agents)
+            <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S - LOOP_LAG_MARGIN_S
+        )  # of a new process
 
     run(script, threshold_s=0.01)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -527,7 +527,7 @@
 
     discovery = Discovery(("127.0.0.1", 9), DestinationSet(conf.names), heard, Counters())
     with pytest.raises(BadList):
-        trio.run(discovery._take, text)
+        trio.run(discovery._apply, text)
 
 
 def test_sighup_moves_discovery_and_keeps_what_is_known_through_a_faulty_file(tmp_path: Path) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,7 +16,7 @@
 
 from glenfold.daemon.process import Process
 from glenfold.daemon.readiness import LATEST_S
-from glenfold.net.discovery import BUSY_S, MISSED_S
+from glenfold.net.discovery import MAX_ASKING_ANSWER_S, MAX_LIST_DELAY_S
 
 READY_S = 10.0  # within which nine in ten restarted relays have to be ready
 RELAYS = 3_400
@@ -73,6 +73,6 @@
         for seed in range(2):
             agent.asked.clear()
             after_s = await ready_after(tmp_path, agent, known={"seq": "none"}, seed=f"{seed:x}")
-            assert after_s <= 2 * (MISSED_S - BUSY_S) + BUSY_S <= READY_S
+            assert after_s <= 2 * (MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S) + MAX_ASKING_ANSWER_S <= READY_S
 
     run(script, threshold_s=0.001)
