--- a/glenfold/net/discovery.py
+++ b/glenfold/net/discovery.py
@@ -14,7 +14,7 @@
 from glenfold.destinations import BadList, DestinationSet
 from glenfold.net.lists import MAX_LINE_BYTES, HttpExchange, ObjectReader, record_list
 from glenfold.rules.backoff import Backoff
-from linnetspread import interface as i
+from linnetspread import interface
 
 MAX_LIST_DELAY_S = (
     6.0  # what discovery has counts as told so long after it could be reached, or a watch fell silent
@@ -41,7 +41,7 @@
 
 CALL_ERRORS = (OSError, trio.TooSlowError, trio.BrokenResourceError, h11.ProtocolError, Unavailable)
 
-ListCallback = Callable[[i.ServerList], Awaitable[None]]
+ListCallback = Callable[[interface.ServerList], Awaitable[None]]
 
 
 class SilenceTimeout:
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -11,8 +11,7 @@
 
 import trio
 
-from glenfold import events, lines
-from glenfold import request as r
+from glenfold import events, lines, request
 from glenfold.clock import SECOND_US, Clock
 from glenfold.config import Config, Room
 from glenfold.counters import Counters
@@ -21,7 +20,7 @@
 from glenfold.net.outbound import CallFailure, OutboundCall
 from glenfold.net.passing import Passage
 from glenfold.net.sockets import SocketType, hung_up, receive_now, send, send_fin, unread_bytes, without_delay
-from linnetspread import interface as i
+from linnetspread import interface
 
 if TYPE_CHECKING:
     from glenfold.rules.group_parts import GroupParts  # loaded only where it is switched on
@@ -64,7 +63,7 @@
         return bool(self.standing or self.unanswered or self.awaiting_first_line)
 
     @contextmanager
-    def grouped(self, event: i.Request) -> Iterator[i.Request]:
+    def grouped(self, event: interface.Request) -> Iterator[interface.Request]:
         """The request as the decisions are told of it: a member of a part, where its group is a large one. It
         counts as a member of its group until the end of the block."""
         if self.group_parts is None:
@@ -271,11 +270,11 @@
             raise lines.Malformed("the id is that of another open request")
         return exchange
 
-    def _request(self, first: lines.OpenLine) -> i.Request:
+    def _request(self, first: lines.OpenLine) -> interface.Request:
         request_class = self._names.classes.get(first.text(b"c"))
         if request_class is None:
             raise lines.Malformed("the class is unknown")
-        return i.Request(
+        return interface.Request(
             request=self._relay.decisions.new_request(),
             expires_in_us=self._expires_in_us(first),
             key=first.key,
@@ -312,7 +311,7 @@
         relay: Relay,
         sock: SocketType,
         first: lines.OpenLine,
-        event: i.Request,
+        event: interface.Request,
         early: bytes,
         existing_server: int | None,
     ) -> None:
@@ -326,8 +325,8 @@
             event.mid_flow or existing_server is not None
         )  # open already, and not begun here
         self._deadline_us = relay.clock.now_us() + event.expires_in_us
-        self._state = r.RequestState(event.request, self._deadline_us)
-        self._send, self._receive = trio.open_memory_channel[r.Incident](INBOX_CAPACITY)
+        self._state = request.RequestState(event.request, self._deadline_us)
+        self._send, self._receive = trio.open_memory_channel[request.Incident](INBOX_CAPACITY)
         self._call: OutboundCall | None = None
 
     async def run(self) -> None:
@@ -353,57 +352,57 @@
                 del relay.ids[self._first.id]
             if self._call is not None:
                 self._call.close()
-            for effect in self._state.on(r.ClientGone(), relay.clock.now_us()):
-                if isinstance(effect, r.Report):
+            for effect in self._state.on(request.ClientGone(), relay.clock.now_us()):
+                if isinstance(effect, request.Report):
                     await relay.decisions.tell(effect.event)
             await relay.decisions.tell(Closed(self._request.request))
 
     async def _run_until_answered(self) -> bytes | None:
         """The receipt of the server that took it, once the client has it; None after any other end."""
         server = self._existing_server
-        taken = self._request if server is None else i.Existing(self._request, server)
+        taken = self._request if server is None else interface.Existing(self._request, server)
         await self._relay.decisions.tell(Taken(taken, self._send.clone()))
         receipt = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_client)
             if server is not None:
                 await self._carry_out(self._state.resume(server, self._relay.clock.now_us()), nursery)
-            while self._state.phase in (r.Phase.TAKEN, r.Phase.CALLING):
-                step_input: r.Incident = r.DeadlinePassed()
+            while self._state.phase in (request.Phase.TAKEN, request.Phase.CALLING):
+                step_input: request.Incident = request.DeadlinePassed()
                 with self._relay.time_limit(self._relay.clock.to_trio(self._deadline_us)):
                     step_input = await self._receive.receive()
-                self._relay.counters.left += isinstance(step_input, r.ClientGone)
+                self._relay.counters.left += isinstance(step_input, request.ClientGone)
                 effects = self._state.on(step_input, self._relay.clock.now_us())
                 await self._carry_out(effects, nursery)
-                if isinstance(step_input, r.CallUp) and self._state.phase is r.Phase.STANDING:
+                if isinstance(step_input, request.CallUp) and self._state.phase is request.Phase.STANDING:
                     receipt = step_input.receipt
             nursery.cancel_scope.cancel()
         return receipt
 
-    async def _carry_out(self, effects: list[r.Effect], nursery: trio.Nursery) -> None:
+    async def _carry_out(self, effects: list[request.Effect], nursery: trio.Nursery) -> None:
         counters = self._relay.counters
         for effect in effects:
             match effect:
-                case r.StartCall(server, deadline_us):
+                case request.StartCall(server, deadline_us):
                     counters.calls += 1
                     # Made here and not in its task, which a drop might come before.
                     self._call = self._new_call(server, deadline_us)
                     nursery.start_soon(self._run_call, self._call)
-                case r.DropCall():
+                case request.DropCall():
                     if self._call is not None:
                         self._call.close()
-                case r.AnswerUp(receipt):
+                case request.AnswerUp(receipt):
                     counters.answered_up += 1
                     await self._answer(receipt)
-                case r.AnswerRefused(wait_us):
+                case request.AnswerRefused(wait_us):
                     counters.answered_busy += 1
                     await self._answer(lines.busy(wait_us))
-                case r.AnswerFailed():
+                case request.AnswerFailed():
                     counters.answered_failed += 1
                     await self._answer(lines.FAILED)
-                case r.Report(event):
+                case request.Report(event):
                     await self._relay.decisions.tell(event)
-                case r.MoveClient():
+                case request.MoveClient():
                     pass  # only a standing connection is moved, and that one has its own task
 
     async def _answer(self, line: bytes) -> None:
@@ -423,12 +422,12 @@
                 data = b""
             self._early += data
             if not data:
-                return await self._send.send(r.ClientGone())
+                return await self._send.send(request.ClientGone())
             if not self.is_continuation:
-                return await self._send.send(r.ClientSpoke())
+                return await self._send.send(request.ClientSpoke())
         while not hung_up(self._sock):  # no more is read before it is up: its end stands behind that
             await trio.sleep_until(trio.current_time() + HANGUP_POLL_S)
-        await self._send.send(r.ClientGone())
+        await self._send.send(request.ClientGone())
 
     def _check_before_send(self, server: int, drained_after: float) -> CallFailure | None:
         """drained_after: the server was ready then, as far as the decisions knew."""
@@ -441,15 +440,15 @@
         grace_s = self._relay.config.settings.drain_grace_us / 2 / SECOND_US
         if self.is_continuation and trio.current_time() < drained_after + grace_s:
             return None
-        return r.CallEnded(i.Outcome.CONNECT_FAILED)
+        return request.CallEnded(interface.Outcome.CONNECT_FAILED)
 
-    def _departed_client(self) -> r.ClientGone | r.ClientSpoke | None:
+    def _departed_client(self) -> request.ClientGone | request.ClientSpoke | None:
         """Whether it is worth no attempt. Behind a flood its end can't be seen, so a flood counts as one, but
         for who stands already and has no other attempt."""
         if hung_up(self._sock):
-            return r.ClientGone()
+            return request.ClientGone()
         floods = len(self._early) >= lines.MAX_LINE and unread_bytes(self._sock) > MAX_UNREAD_BYTES
-        return r.ClientSpoke() if floods and self._existing_server is None else None
+        return request.ClientSpoke() if floods and self._existing_server is None else None
 
     def _new_call(self, server: int, deadline_us: int) -> OutboundCall | None:
         address = self._relay.destinations.address(server)
@@ -464,7 +463,7 @@
 
     async def _run_call(self, call: OutboundCall | None) -> None:
         """A server that has just left the list has no address: the same as one that can't be reached."""
-        ended = r.CallEnded(i.Outcome.CONNECT_FAILED)
+        ended = request.CallEnded(interface.Outcome.CONNECT_FAILED)
         await self._send.send(ended if call is None else await call.run())
 
     async def _pass_lines(self, server: SocketType, receipt: bytes) -> None:
@@ -482,21 +481,21 @@
             relay.counters.silent += passage.silent
             relay.counters.moved += passage.moved
             relay.counters.not_moved += passage.cut_off
-        if passage.outcome in (i.Outcome.RESET, i.Outcome.ERROR):
+        if passage.outcome in (interface.Outcome.RESET, interface.Outcome.ERROR):
             relay.counters.broken += 1
             events.connection_broke(request=state.number, server=state.server, outcome=passage.outcome)
-        for effect in state.on(r.ConnectionEnded(passage.outcome), relay.clock.now_us()):
-            if isinstance(effect, r.Report):
+        for effect in state.on(request.ConnectionEnded(passage.outcome), relay.clock.now_us()):
+            if isinstance(effect, request.Report):
                 await relay.decisions.tell(effect.event)
 
     async def _on_load(self, load: float) -> None:
-        await self._relay.decisions.tell(self._state.notice(i.NoticeKind.LOAD, load))
+        await self._relay.decisions.tell(self._state.notice(interface.NoticeKind.LOAD, load))
 
     async def _move_on_request(self, passage: Passage) -> None:
         while True:
             step_input = await self._receive.receive()
             for effect in self._state.on(step_input, self._relay.clock.now_us()):
-                if isinstance(effect, r.MoveClient):
+                if isinstance(effect, request.MoveClient):
                     await passage.move()
-                elif isinstance(effect, r.Report):  # its end had been seen while it came up
+                elif isinstance(effect, request.Report):  # its end had been seen while it came up
                     await self._relay.decisions.tell(effect.event)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 from glenfold.decisions import Decisions
 from glenfold.net import outbound, passing, sockets
 from glenfold.net.inbound import Exchange, Inbound, Relay
-from linnetspread import interface as i
+from linnetspread import interface
 
 MID = OPEN.replace(b",zz=1", b",mid=1,zz=1")
 AT = OPEN.replace(b",zz=1", b",at=s-0,zz=1")
@@ -192,7 +192,7 @@
         tell = Decisions.tell
 
         async def held(decisions: Decisions, message: Any) -> None:
-            if isinstance(message, i.Established):
+            if isinstance(message, interface.Established):
                 self.come.set()
                 await self.go_on.wait()
             await tell(decisions, message)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from glenfold.counters import Counters
 from glenfold.destinations import DestinationSet, server_number
 from glenfold.net.discovery import MAX_ASKING_ANSWER_S, MAX_LIST_DELAY_S, Discovery
-from linnetspread import interface as i
+from linnetspread import interface
 
 WHOLE, WATCH = b"/v1/servers", b"/v1/servers?watch=1&from=%d"
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -59,12 +59,12 @@
     agent: Scripted,
     known: bool = False,
     spread_s: float = 0.0,
-    told: list[i.ServerList] | None = None,
+    told: list[interface.ServerList] | None = None,
 ) -> list[int]:
     """Follows it until its script is used up; the versions heard. `told` takes the lists themselves."""
     heard: list[int] = []
 
-    async def hear(servers: i.ServerList) -> None:
+    async def hear(servers: interface.ServerList) -> None:
         heard.append(destinations.version)
         if told is not None:
             told.append(servers)
@@ -158,10 +158,13 @@
             for line in (gone, mixed, late)
         ),
     )
-    told: list[i.ServerList] = []
+    told: list[interface.ServerList] = []
     follow(tmp_path, agent, known=True, told=told)
     states = {line.server: line.state for servers in told for line in servers.servers}
-    assert states == {server_number("s-1"): i.ServerState.DRAINING, server_number("s-2"): i.ServerState.READY}
+    assert states == {
+        server_number("s-1"): interface.ServerState.DRAINING,
+        server_number("s-2"): interface.ServerState.READY,
+    }
 
 
 def watched(*texts: str) -> bytes:
@@ -199,5 +202,5 @@
         (False, False, True),
     ]
     states = {line.server: line.state for line in told.servers}
-    assert states[server_number("s-7")] is i.ServerState.READY
-    assert states[server_number("s-8")] is i.ServerState.DRAINING
+    assert states[server_number("s-7")] is interface.ServerState.READY
+    assert states[server_number("s-8")] is interface.ServerState.DRAINING
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -15,12 +15,12 @@
 
 from glenfold import lines
 from glenfold.config.platform import written
-from glenfold.daemon import process as p
+from glenfold.daemon import process
 from glenfold.daemon.life import State
 from glenfold.daemon.process import Process, run_by_signals
 from glenfold.net.inbound import Exchange
 from glenfold.net.sockets import has_queued_client
-from linnetspread import interface as i
+from linnetspread import interface
 
 LONG = OPEN.replace(b"d=2000", b"d=20000")
 
@@ -121,13 +121,13 @@
 
 def when_arrivals_end(monkeypatch: pytest.MonkeyPatch, then: Callable[[], Awaitable[None]]) -> None:
     """`then` begins in the very turn in which the relay sees that."""
-    real = p.last_arrivals
+    real = process.last_arrivals
 
     async def last_arrivals(*given: object) -> None:
         await real(*given)  # type: ignore[arg-type]
         await then()
 
-    monkeypatch.setattr(p, "last_arrivals", last_arrivals)
+    monkeypatch.setattr(process, "last_arrivals", last_arrivals)
 
 
 async def moved(stream: trio.SocketStream) -> None:
@@ -236,7 +236,7 @@
     began = trio.current_time()
     after = made.connect(own(LONG, 2))
     await made.finishing.wait()
-    made.process.relay.decisions._pass_on(i.Move(1))  # it means nothing now, and the first waits anew
+    made.process.relay.decisions._pass_on(interface.Move(1))  # it means nothing now, and the first waits anew
     for stream in (before, after):
         assert (await read_line(stream)).split()[0] in (b"ERR", b"BUSY")
         assert trio.current_time() - began < 0.9
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -25,9 +25,9 @@
 from glenfold.lines import MOVE
 from glenfold.net import passing
 from glenfold.net.inbound import Relay
-from linnetspread import interface as i
+from linnetspread import interface
 
-THROUGH = i.Settings(pass_through=True, classes=(i.RequestClass(deadline_us=3_000_000),))
+THROUGH = interface.Settings(pass_through=True, classes=(interface.RequestClass(deadline_us=3_000_000),))
 
 
 def played(
@@ -72,7 +72,7 @@
     settings = replace(
         THROUGH,
         pass_through=through,
-        classes=tuple(i.RequestClass(deadline_us=int(s * 1e6)) for s in (0.05, longest_s)),
+        classes=tuple(interface.RequestClass(deadline_us=int(s * 1e6)) for s in (0.05, longest_s)),
     )
     leaving = Leaving(0.0, settings)
     moments = [
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -24,7 +24,7 @@
 from glenfold.net import sockets
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import Relay
-from linnetspread import interface as i
+from linnetspread import interface
 from linnetspread.choice import SEEDS
 
 Client = Callable[[Relay, int], Awaitable[None]]
@@ -424,7 +424,7 @@
             destinations.read(bad)
     assert destinations.address(server_number("s-1")) == ("127.0.0.1", 1)
     change = destinations.read({"seq": 3, "whole": False, "hosts": [entry("s-1", health="terminated")]})
-    assert (change.kind, change.servers[0].zone) == (i.ListKind.DELTA, 1)
+    assert (change.kind, change.servers[0].zone) == (interface.ListKind.DELTA, 1)
     assert destinations.address(server_number("s-1")) is None
     assert destinations.address(server_number("s-2")) == ("127.0.0.1", 1)
 
@@ -446,7 +446,7 @@
     destinations = DestinationSet(conf.names)
     destinations.read(whole(entry("s-1"), entry("s-3")))
     told = destinations.read({"seq": 2, "whole": True, "hosts": [bad, entry("s-2")]})
-    named = {line.server for line in told.servers if line.state is i.ServerState.READY}
+    named = {line.server for line in told.servers if line.state is interface.ServerState.READY}
     held = {
         server_number(host)
         for host in ("s-1", "s-2", "s-3")
@@ -468,11 +468,11 @@
         }
     )
     again = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-4"), seq=7))
-    drains, ready = i.ServerState.DRAINING, i.ServerState.READY
+    drains, ready = interface.ServerState.DRAINING, interface.ServerState.READY
     assert [line.state for line in again.servers] == [drains, drains, ready]
     assert again.version > heard.version and destinations.address(server_number("s-3")) is None
     back = destinations.read({"seq": 8, "whole": False, "hosts": [entry("s-2", born_ms=5)]})
-    assert back.servers[0].state is i.ServerState.READY
+    assert back.servers[0].state is interface.ServerState.READY
 
 
 def test_two_hosts_with_one_number_are_not_mixed_up(conf: Config, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -484,7 +484,7 @@
 
 def test_a_request_whose_decision_fails_is_answered_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
-        def fail(now: int, event: i.Event) -> list[i.Action]:
+        def fail(now: int, event: interface.Event) -> list[interface.Action]:
             raise KeyError(0)
 
         shared.decisions.dispatch.balancer.handle = fail  # type: ignore[method-assign]
@@ -522,7 +522,7 @@
 
 @pytest.mark.parametrize("text", [b"{", b"[" * 200_000, b'{"seq":"x"}', b"\xff"])
 def test_what_is_no_list_never_ends_the_relay(conf: Config, text: bytes) -> None:
-    async def heard(servers: i.ServerList) -> None:
+    async def heard(servers: interface.ServerList) -> None:
         raise AssertionError("it was taken for a list")
 
     discovery = Discovery(("127.0.0.1", 9), DestinationSet(conf.names), heard, Counters())
@@ -588,7 +588,9 @@
 def test_a_weak_server_is_full_sooner_where_no_delay_is_told(weight: float, stays: bool) -> None:
     """On sockets nothing tells that messages take long: the load and the listed weight must show it."""
     gateway = Gateway(servers=0, weighted=True)
-    gateway.servers(i.ListKind.CACHED, *(listed(100 + n, weight=weight if n == 0 else 2.0) for n in range(4)))
+    gateway.servers(
+        interface.ListKind.CACHED, *(listed(100 + n, weight=weight if n == 0 else 2.0) for n in range(4))
+    )
     keys: dict[int, list[int]] = {100 + n: [] for n in range(4)}
     opened: dict[int, list[int]] = {server: [] for server in keys}
     anchor = gateway.balancer.anchor
