--- a/glenfold/net/__init__.py
+++ b/glenfold/net/__init__.py
@@ -1,1 +1,1 @@
-"""Everything of glenfold that touches a socket."""
+"""All modules of glenfold that use sockets."""
--- a/glenfold/net/discovery.py
+++ b/glenfold/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a watch that goes on from the version known, and the whole list where that will not do."""
+"""Client of discovery: watches the server list from the version known, or fetches the whole list first."""
 
 import json
 import math
@@ -16,27 +16,27 @@
 from glenfold.rules.backoff import Backoff
 from linnetspread import interface
 
-MAX_LIST_DELAY_S = (
-    6.0  # what discovery has counts as told so long after it could be reached, or a watch fell silent
-)
-MAX_WATCH_SILENCE_S = 2.5  # a watch sends a line at least every 2 s
-ANSWER_TIMEOUT_S = 1.0  # an agent that has been sent the list answers at once
-ASKING_TIMEOUT_S = 3.0  # one that has to ask for all relays in turn answers, be it 503, ...
-MAX_ASKING_ANSWER_S = 2.0  # ... after so long at the most
-FULL_LIST_TIMEOUT_S = 6.0  # for a whole list that comes in steadily
-LATE_READ_S = 0.01  # for what is there already, when it is looked for late
-RETRY_DELAY_S = 0.25  # before a call after a fault
-MAX_BACKOFF_FACTOR = 4.0  # of that and of the spread, after several calls in a row that were refused
-LOOP_LAG_MARGIN_S = 0.25  # kept of MISSED_S for a loop that lags
-CALL_INTERVAL_S = (
-    MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S - LOOP_LAG_MARGIN_S
-)  # from the start of a call that tells nothing to the next one's
-CALL_SPREAD_S = 0.75  # over which calls are spread while nothing says that discovery can't serve all at once
+# A change that discovery holds counts as received by every relay this long after discovery became reachable
+# again, or after a watch fell silent.
+MAX_LIST_DELAY_S = 6.0
+MAX_WATCH_SILENCE_S = 2.5  # Discovery sends a line on each watch at least every 2 s.
+ANSWER_TIMEOUT_S = 1.0  # An agent to which lists are pushed answers from memory.
+ASKING_TIMEOUT_S = 3.0  # An agent that asks the service for all relays in turn needs longer.
+MAX_ASKING_ANSWER_S = 2.0  # Such an agent answers within this time, if only with 503.
+FULL_LIST_TIMEOUT_S = 6.0  # Limits a whole list that arrives slowly but steadily.
+LATE_READ_S = 0.01  # Enough to read bytes that arrived before a late read.
+RETRY_DELAY_S = 0.25  # Delay before a call that follows a failed one.
+MAX_BACKOFF_FACTOR = 4.0  # Limits the growth of the retry delay and the spread after refused calls in a row.
+LOOP_LAG_MARGIN_S = 0.25  # Part of MAX_LIST_DELAY_S that is reserved for a lagging event loop.
+# From the start of a call that brought no list to the start of the next one.
+CALL_INTERVAL_S = MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S - LOOP_LAG_MARGIN_S
+# Calls are spread over this time as long as discovery has not shown that it can't serve all relays at once.
+CALL_SPREAD_S = 0.75
 MAX_READ_BYTES = 1 << 18
 
 
 class Unavailable(Exception):
-    """Discovery can't answer just now."""
+    """Raised when discovery answers with a server error (5xx)."""
 
 
 CALL_ERRORS = (OSError, trio.TooSlowError, trio.BrokenResourceError, h11.ProtocolError, Unavailable)
@@ -45,23 +45,33 @@
 
 
 class SilenceTimeout:
-    """`until`: when an agent that has said nothing up to then counts as dead, though TCP is not."""
+    """Time limit on an agent that sends nothing although its TCP connection stays open.
+
+    `deadline` is in trio's clock; the reader moves it forward as data arrives.
+    """
 
     def __init__(self, deadline: float) -> None:
         self.deadline = deadline
 
     async def receive(self, stream: trio.SocketStream) -> bytes:
-        """The next bytes; raises trio.TooSlowError. A loop that lags looks late: what is there by then is
-        read, and only a watch that has nothing to be read is silent."""
+        """Returns the next bytes; raises trio.TooSlowError after the deadline.
+
+        A lagging event loop may read only after the deadline. Bytes that have arrived by then are still read,
+        so that only a watch without any counts as silent.
+        """
         late = max(self.deadline, trio.current_time() + LATE_READ_S)
         with trio.fail_at(min(late, self.deadline + MAX_WATCH_SILENCE_S)):
             return bytes(await stream.receive_some(MAX_READ_BYTES))
 
 
 class Discovery:
-    """`spread_s`: the span over which one service could answer all relays; 0 where a call costs nobody else
-    anything. `seed`: of the moments in it, another at each relay. `ask_within_s`: who has not asked for so
-    long counts as told."""
+    """Follows the server list of one discovery address and passes each list to a callback.
+
+    `spread_s` is the time in which one service could answer all relays; 0 where a call costs no other relay
+    anything. `seed` determines this relay's call times within that time and differs between relays.
+    `ask_within_s` limits the delay of the first call: a relay that has not asked for that long counts as
+    informed.
+    """
 
     def __init__(
         self,
@@ -88,22 +98,29 @@
         self._first_within_s = min(CALL_INTERVAL_S, ask_within_s)
         self._scope = trio.CancelScope()
         self._last_reported = ""
-        self._version_source: Address | None = None  # whose version is known: a watch there may go on from it
-        self.heard_at = -math.inf  # when the agent last said that what is known holds
+        # The address that counts the version known, so that a watch on it may continue from that version.
+        self._version_source: Address | None = None
+        self.heard_at = -math.inf  # When the agent last confirmed that the list known is current.
 
     def move_to(self, address: Address) -> None:
-        """From now on discovery is there; what was heard so far holds until it says otherwise. The new one
-        may count its versions otherwise, and has no part in the faults of the old one."""
+        """Switches to the discovery at `address`; the list known stays valid until that one sends another.
+
+        The new discovery may number its versions differently, and failures of the old one do not delay calls
+        to it.
+        """
         if address != self._address:
             self._address = address
             self._scope.cancel()
 
     async def follow(self) -> None:
-        """Each call costs discovery, and after a fault of its own all relays make one: a watch that broke off
-        goes on from the version known. Only an agent that has not spoken yet, or that sent what is no list,
-        is asked for the whole list first."""
+        """Keeps a watch open, with delays between calls, until cancelled.
+
+        Each call costs discovery, and after a failure of discovery all relays call at once. So a watch that
+        broke off continues from the version known. The whole list is fetched first only from an agent that
+        has not sent a list yet, or whose last list was invalid.
+        """
         wait_s, busy, started_at = 0.0, False, -math.inf
-        if self._destinations.listed:  # with a list to go by it can wait for its turn
+        if self._destinations.listed:  # a relay that has a list can wait for its turn
             self._version_source = self._address
             wait_s = self._backoff.first_s(self._first_within_s)
         while True:
@@ -121,21 +138,25 @@
                 )
 
     async def _call(self) -> bool:
-        """To the end of a watch: whether the service can't be helped by another call soon."""
+        """Makes one call and follows its watch to the end; returns whether the next call should back off.
+
+        That is so if discovery answered with a server error, or if the whole list was invalid too.
+        """
         unknown = self._version_source is None
         try:
             await self._watch()
         except BadList as error:
             self._version_source = None
             self._log(error)
-            return unknown  # once more: the whole list is none either
+            return unknown  # the whole list was invalid, so another call would get the same
         except CALL_ERRORS as error:
             self._log(error)
             return isinstance(error, Unavailable)
         return False
 
     def _log(self, error: Exception) -> None:
-        """An agent that is down fails alike each time."""
+        """Logs `error` unless it equals the last one: an agent that is down fails with the same error on each
+        call."""
         last_reported, self._last_reported = self._last_reported, repr(error)
         if self._last_reported == last_reported:
             return
@@ -151,7 +172,7 @@
         async with stream:
             connection = h11.Connection(h11.CLIENT)
             if self._version_source != address:
-                self._version_source = None  # a move may cut in once the list is read
+                self._version_source = None  # `move_to` may cancel the call after the list is read
                 await self._apply(await self._full_list(connection, stream))
                 self._version_source = address
                 self.heard_at = trio.current_time()
@@ -165,20 +186,20 @@
             async for part in self._get(connection, stream, target, silence_timeout):
                 *lines, line = (line + part).split(b"\n")
                 if len(line) + objects.size > MAX_LINE_BYTES:
-                    raise BadList("a line is too long")
+                    raise BadList("a line or JSON object of a watch is longer than 4 MiB")
                 has_complete_line = False
                 for ended in lines:
                     if change := objects.take(ended):
                         await self._apply(change)
                     has_complete_line = has_complete_line or not objects.size
-                if has_complete_line or not part:  # bytes of what does not become whole say nothing
+                if has_complete_line or not part:  # bytes of an incomplete line do not count as activity
                     silence_timeout.deadline = trio.current_time() + MAX_WATCH_SILENCE_S
                 if has_complete_line:
                     self.heard_at = trio.current_time()
                     self._version_source = address
                     self._backoff.worked()
             if objects.size:
-                raise BadList("a watch ended within an object")
+                raise BadList("a watch ended in the middle of a JSON object")
 
     async def _full_list(self, connection: h11.Connection, stream: trio.SocketStream) -> bytes:
         started_at, body = trio.current_time(), bytearray()
@@ -186,7 +207,7 @@
         async for part in self._get(connection, stream, "/v1/servers", silence_timeout):
             body += part
             if len(body) > MAX_LINE_BYTES:
-                raise BadList("the whole list is too long")
+                raise BadList("the whole list is longer than 4 MiB")
             silence_timeout.deadline = min(
                 trio.current_time() + self._answer_s, started_at + FULL_LIST_TIMEOUT_S
             )
@@ -199,7 +220,10 @@
         target: str,
         silence_timeout: SilenceTimeout,
     ) -> AsyncIterator[bytes]:
-        """Nothing once the answer has begun, then its body part by part."""
+        """Yields empty bytes when a response with status 200 has begun, then its body part by part.
+
+        Raises Unavailable for a 5xx status, BadList for any other.
+        """
         exchange = HttpExchange(connection, stream)
         response = await exchange.begin(self._address, target, silence_timeout.receive)
         if response.status_code >= 500:
@@ -213,11 +237,17 @@
     async def _apply(self, text: bytes) -> None:
         try:
             document = json.loads(text)
-        except (ValueError, RecursionError) as error:  # nested too deep: that would end the relay
+        except (
+            ValueError,
+            RecursionError,
+        ) as error:  # RecursionError: a document nested too deep must not end the relay
             raise BadList(f"not JSON: {error}") from error
         servers = self._destinations.read(document)
         self._last_reported = record_list(self._destinations, self._counters, self._last_reported)
-        # A move or a silence that cut in here would leave the addresses and the decisions two lists apart.
+        # Cancelling here, by `move_to` or a silence timeout, would leave the addresses and the decisions with
+        # different lists.
         with trio.CancelScope(shield=True):
             await self._on_list(servers)
-        await trio.lowlevel.checkpoint_if_cancelled()  # what else the old one sent has no place after a move
+        await (
+            trio.lowlevel.checkpoint_if_cancelled()
+        )  # after `move_to`, further lists of the old address are dropped
--- a/glenfold/net/lists.py
+++ b/glenfold/net/lists.py
@@ -1,4 +1,4 @@
-"""Calls of discovery's HTTP form, and the JSON objects of a watch: what all that follow lists share."""
+"""HTTP calls to discovery and the JSON objects of a watch, shared by all that follow server lists."""
 
 import re
 from collections.abc import Awaitable, Callable, Sequence
@@ -11,7 +11,7 @@
 from glenfold.counters import Counters
 from glenfold.destinations import DestinationSet
 
-MAX_LINE_BYTES = 4 << 20
+MAX_LINE_BYTES = 4 << 20  # Also limits a JSON object of several lines, and a whole list.
 STRING_PATTERN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
 BRACKET_PATTERN = re.compile(rb"[][{}]")
 
@@ -19,8 +19,11 @@
 
 
 def record_list(destinations: DestinationSet, counters: Counters, last_reported: str) -> str:
-    """Counts the list that was read last, and logs the entries it was left without. `said`: what was logged
-    last, as the same entry comes with every list; what is now."""
+    """Counts the list that was read last and logs its entries that were left out as invalid.
+
+    `last_reported` is the problem logged last: the same invalid entry comes with every list and is not logged
+    again. Returns the new value for it.
+    """
     counters.lists += 1
     for problem in destinations.faults:
         counters.bad_entries += 1
@@ -31,16 +34,22 @@
 
 
 class ObjectReader:
-    """A watch's JSON objects from its lines: one a line, or indented. Then it goes on to the line that closes
-    all its brackets. Each line is looked at once, however many an object has."""
+    """Assembles the JSON objects of a watch from its lines.
+
+    An object takes one line or, if indented, extends to the line that closes its last bracket. Each line is
+    scanned once, however many lines an object has.
+    """
 
     def __init__(self) -> None:
         self._pending_lines: list[bytes] = []
-        self._open_brackets = bytearray()  # its brackets that no line has closed
-        self.size = 0  # bytes of the object that has begun
+        self._open_brackets = bytearray()  # brackets of the pending object that are not closed yet
+        self.size = 0  # bytes of the pending object
 
     def take(self, line: bytes) -> bytes:
-        """The object that this line ends, or nothing. What can't become one is handed on as it is."""
+        """Returns the object that `line` completes, or empty bytes if it is not complete yet.
+
+        Text that can't become an object is returned as it is, for the JSON parser to refuse.
+        """
         if line.strip():
             self._pending_lines.append(line)
             self.size += len(line)
@@ -48,11 +57,11 @@
                 return b""
         text, self._pending_lines, self.size = b"\n".join(self._pending_lines), [], 0
         self._open_brackets.clear()
-        return text  # after an empty line, which stands between objects, be it whole or not
+        return text  # an empty line separates objects, so it ends even an incomplete one
 
     def _is_incomplete(self, bare: bytes) -> bool:
         if b'"' in bare or (self._open_brackets.endswith(b"{") and bare.lstrip().startswith(b"{")):
-            return False  # a string that no line ends, an object where a name should stand: it broke off
+            return False  # the object broke off: an unterminated string, or an object in place of a key
         for bracket in BRACKET_PATTERN.findall(bare):
             if bracket in b"[{":
                 self._open_brackets += bracket
@@ -62,7 +71,10 @@
 
 
 class HttpExchange:
-    """One GET on a connection. `receive` gives the next bytes of the stream within its own deadline."""
+    """One GET request on a connection and its response.
+
+    `receive` returns the next bytes of the stream and enforces its own deadline.
+    """
 
     def __init__(self, connection: h11.Connection, stream: trio.SocketStream) -> None:
         self._connection = connection
@@ -75,7 +87,10 @@
         receive: Receive,
         fields: Sequence[tuple[str, str]] = (),
     ) -> h11.Response:
-        """Sends the request; the head of the answer. `fields`: more of the request's header."""
+        """Sends the request and returns the head of the response.
+
+        `fields` are further header fields of the request.
+        """
         request = h11.Request(method="GET", target=target, headers=[("Host", written(address)), *fields])
         for part in (request, h11.EndOfMessage()):
             await self._stream.send_all(self._connection.send(part) or b"")
@@ -84,7 +99,7 @@
         return event
 
     async def part(self, receive: Receive) -> bytes | None:
-        """The next part of the body; None at its end."""
+        """Returns the next part of the body, or None at its end."""
         while True:
             match await self._event(receive):
                 case h11.Data(data=data):
--- a/glenfold/net/outbound.py
+++ b/glenfold/net/outbound.py
@@ -1,4 +1,4 @@
-"""One outbound call: a client's first line sent to one push server, and the line that comes back."""
+"""An outbound call: sends a client's first line to one push server and reads the first line of its reply."""
 
 import math
 import socket
@@ -13,21 +13,29 @@
 from glenfold.request import CallEnded, CallUp, ClientGone, ClientSpoke
 from linnetspread.interface import Outcome
 
-CallFailure = CallEnded | ClientGone | ClientSpoke
-MIN_STALL_S = 0.01  # below it the kernel's figures, in milliseconds and ticks, say nothing
+CallFailure = CallEnded | ClientGone | ClientSpoke  # Every result of a call other than CallUp.
+MIN_STALL_S = 0.01  # The kernel's figures, in milliseconds and ticks, are too coarse below this.
 
 
 def compute_stall_s(before_write_s: float, kernel: KernelTimes) -> float:
-    """For how long this process, and not the network or the server, kept a call waiting: before its line was
-    written, and once the reply was there. A connection whose first segment was sent again was slow itself."""
+    """Returns for how many seconds this process, and not the network or the server, delayed a call.
+
+    The delays counted are those before the line was written and those between the arrival of the reply and
+    its reading. If the first segment was retransmitted, the network caused the first of them, which is then
+    not counted. `before_write_s` is the time from the start of the call to the write of its line.
+    """
     before = 0.0 if kernel.resent_segments else before_write_s - kernel.round_trip_s
     return sum(part for part in (before, kernel.since_received_s) if part > MIN_STALL_S)
 
 
 class OutboundCall:
-    """`last_look`: why the line must not be sent any more, if so. The client may have left, and the server be
-    about to go, before this call begins; and again before its line, as a connection may be long in coming up,
-    and the loop in telling it."""
+    """One attempt to connect a client to the push server at `address`.
+
+    `check_before_send` returns why the line must not be sent any more, or None. It runs before the call
+    begins and again before the line is written: the client may have left, or the server may be about to
+    leave, and the connection or the event loop may take long in between. `connect_by` and `deadline` are in
+    trio's clock.
+    """
 
     def __init__(
         self,
@@ -47,13 +55,16 @@
         self._started_at = self._written_at = trio.current_time()
 
     def close(self) -> None:
-        """Also ends `run`: nothing of this call is out any more once this returns."""
+        """Ends `run` and closes the socket at once."""
         self._scope.cancel()
         if self.sock is not None:
             self.sock.close()
 
     async def run(self) -> CallUp | CallFailure:
-        """Closed before it returns, unless it came up: the next call may begin right away."""
+        """Makes the call and returns its result.
+
+        Unless the call came up, its socket is closed on return, so that the next call may begin at once.
+        """
         failure: CallFailure = CallEnded(Outcome.CANCELLED)
         with self._scope:
             result = await self._call()
@@ -74,14 +85,14 @@
                 await sock.connect(self.address)
             if (
                 failure := self._check_before_send()
-            ) is not None:  # no turn of the loop before the first byte
+            ) is not None:  # no checkpoint between this check and the first byte
                 return failure
             with trio.fail_at(self.deadline):
                 left = self.deadline - trio.current_time()
                 await send_pieces(sock, self.first.with_wait(math.ceil(left * 1000)))
             self._written_at = trio.current_time()
         except (OSError, trio.TooSlowError):
-            # Until the line's last byte is written it has not run; from then on it may have.
+            # A server runs a request only after the last byte of its line, so this one has not run.
             return CallEnded(Outcome.CONNECT_FAILED)
         try:
             with trio.fail_at(self.deadline):
--- a/glenfold/net/passing.py
+++ b/glenfold/net/passing.py
@@ -1,4 +1,4 @@
-"""A standing connection: lines pass both ways unchanged, and an end on one side is an end on the other."""
+"""A standing connection: passes lines both ways unchanged and closes both sides when either one closes."""
 
 import errno
 from collections.abc import Awaitable, Callable
@@ -11,16 +11,20 @@
 
 CHUNK_BYTES = 16 * 1024
 SERVER_SILENCE_TIMEOUT_S = (
-    1.2  # a server that leaves a client's line unanswered for so long is taken to be gone
+    1.2  # A server that leaves a client's line unanswered for this long counts as failed.
 )
-HALF_CLOSE_TIMEOUT_S = 0.7  # how long a side may take to close after the other side has
-LINE_COMPLETION_TIMEOUT_S = 0.3  # how long a move waits for a line to be complete
+HALF_CLOSE_TIMEOUT_S = 0.7  # Time for a side to close after the other side has closed.
+LINE_COMPLETION_TIMEOUT_S = 0.3  # Time that a move waits for the end of a line.
 
 LoadCallback = Callable[[float], Awaitable[None]]
 
 
 class Passage:
-    """The two sides of one connection, and what is known of it while it stands."""
+    """The client's and the server's side of one standing connection.
+
+    `outcome` is why the connection ended; `silent`, `moved` and `cut_off` say whether the server fell silent,
+    the client was sent MOVE, and the client was disconnected without MOVE.
+    """
 
     def __init__(self, client: SocketType, server: SocketType, on_load: LoadCallback) -> None:
         self.client = client
@@ -31,10 +35,10 @@
         self.cut_off = False
         self._on_load = on_load
         self._lines = LineTracker()
-        self._last_word: bytes | None = None  # the server's last word on this connection
-        self._unanswered_since: float | None = None  # since when a client's line is unanswered
-        self._writing = trio.Lock()  # held while the client is sent something
-        self._unsent_move = MOVE  # what of it the client has not been sent
+        self._last_word: bytes | None = None  # b"BYE" or b"MOVE", if the server sent one
+        self._unanswered_since: float | None = None  # start of the wait for the server's answer
+        self._writing = trio.Lock()  # held while data is sent to the client
+        self._unsent_move = MOVE  # the part of MOVE that has not been sent to the client
         self._client_finished = False
         self._server_reset = False
         self._client_closed = trio.Event()
@@ -43,23 +47,30 @@
 
     @property
     def is_ending(self) -> bool:
+        """Whether this connection is closing or closed."""
         return self._scope.cancel_called
 
     async def run(self, early: bytes, receipt: bytes) -> None:
-        """`early` is what the client sent before it was up, `receipt` what the client was sent."""
+        """Passes lines until the connection ends, then closes both sockets.
+
+        `early` is what the client sent before its connection was up, `receipt` what the client was sent.
+        """
         with self._scope:
             await self._track_lines(receipt)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._forward_to_server, early)
                 nursery.start_soon(self._forward_to_client)
                 await self._watch_silence()
-        # Only here, with both directions ended: closing a socket that another task reads from is an error.
+        # Both directions have ended by now: closing a socket that another task reads from is an error.
         self.client.close()
         self.server.close()
 
     def move_now(self) -> bool:
-        """As `move`, for a client that can be told without waiting; False if it has only part of a line, or
-        no room. A client that has just gone counts as told: its end is seen where it is read from."""
+        """Sends MOVE without waiting and ends both sides; returns whether that was done.
+
+        Returns False if the client has received only part of a line, or if its socket buffer is full. A
+        client that has just disconnected counts as moved: the task that reads from it sees the end.
+        """
         if self.is_ending:
             return True
         if self._writing.locked() or not self._lines.between_lines:
@@ -76,22 +87,29 @@
         return self.moved
 
     def cut(self) -> None:
-        """Ends both sides at once. A line that a client has only part of must not look like a whole one."""
+        """Ends both sides at once.
+
+        A client that has received only part of a line gets a reset, so that the part can't be taken for a
+        complete line.
+        """
         if not self._lines.between_lines or self._writing.locked() or 0 < len(self._unsent_move) < len(MOVE):
             reset_on_close(self.client)
         self.cut_off = True
         self._end(Outcome.CANCELLED)
 
     def finish_both(self) -> None:
-        """Ends both sides for those who look from outside, before the loop comes to close them."""
+        """Sends FIN to both sides at once, before the event loop gets to closing the sockets."""
         send_fin(self.client)
         send_fin(self.server)
 
     async def move(self, until: float | None = None) -> None:
-        """Tells the client to come again, between two lines, and ends both sides; without telling it `until`
-        then, or after `WHOLE_S`."""
+        """Sends MOVE to the client between two lines, then ends both sides.
+
+        If no line ends before `until`, by default after `LINE_COMPLETION_TIMEOUT_S`, both sides are ended
+        without MOVE.
+        """
         with trio.move_on_at(trio.current_time() + LINE_COMPLETION_TIMEOUT_S if until is None else until):
-            # Not beside a chunk that the client has only part of, however that chunk ends.
+            # MOVE waits until a chunk that is being sent to the client is complete and ends a line.
             while not await self._send_move():
                 self._between_lines = trio.Event()
                 await self._between_lines.wait()
@@ -121,8 +139,9 @@
                 try:
                     await send(self.server, data)
                 except OSError as error:
-                    # What the server still had to say is read downward; its reset is told but once. Any other
-                    # error comes of a line that met a server which had ended in the usual way.
+                    # `_forward_to_client` still reads what the server has sent. The kernel reports a reset
+                    # only once, so it is noted for that task. Any other error means that the line was
+                    # written after the server had closed normally.
                     self._server_reset = error.errno == errno.ECONNRESET
                     return
             try:
@@ -135,7 +154,8 @@
         self._client_finished = True
         self._client_closed.set()
         send_fin(self.server)
-        # The server owes an end: one that vanished must not keep half a connection for ever.
+        # The server has to close now. The limit on its silence applies, so that an unreachable server does
+        # not keep a half-closed connection for ever.
         self._unanswered_since = self._unanswered_since or trio.current_time()
 
     async def _forward_to_client(self) -> None:
@@ -146,7 +166,7 @@
                 reset_on_close(self.client)
                 return self._end(Outcome.RESET)
             if not data:
-                # Who met a reset with a line, and used it up, comes to say so a turn of the loop later.
+                # A write may have consumed a reset; the task that wrote notes that after one checkpoint.
                 await trio.lowlevel.checkpoint()
                 if not self._server_reset:
                     break
@@ -159,12 +179,13 @@
             except OSError:
                 reset_on_close(self.server)
                 return self._end(Outcome.CANCELLED)
-            # What was asked meanwhile could not be answered: that was not the server's silence.
+            # The server was not read while the client took this data, so lines that the client sent meanwhile
+            # could not be answered: the wait for their answer starts anew.
             self._unanswered_since = self._unanswered_since and trio.current_time()
         send_fin(self.client)
         ended_by_client = self._client_finished
         if not ended_by_client:
-            # The client has to be ended within a second, whether it closes its side or not.
+            # The client's connection has to end within a second, even if the client does not close it.
             with trio.move_on_at(trio.current_time() + HALF_CLOSE_TIMEOUT_S):
                 await self._client_closed.wait()
         ends = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
@@ -172,8 +193,10 @@
         self._end(ends.get(self._last_word or b"", default_outcome))
 
     async def _send_to_client(self, data: bytes) -> bool:
-        """False if the client is being told to move: nothing may come within that, or after it. Most often
-        the kernel takes all without a turn of the loop, in which the client could not be told."""
+        """Sends `data` to the client; returns False if MOVE is being sent, as no data may follow or split it.
+
+        Usually the kernel takes all of it without a checkpoint, so that no MOVE can come in between.
+        """
         is_free = not self._writing.locked() and len(self._unsent_move) == len(MOVE)
         sent = send_now(self.client, data) if is_free else 0
         if sent == len(data):
@@ -202,7 +225,10 @@
             self._between_lines.set()
 
     async def _watch_silence(self) -> None:
-        """TCP does not tell that a server is cut off; a client that asks in vain does."""
+        """Ends the connection when the server leaves a client's line unanswered for too long.
+
+        TCP does not report that a server is unreachable as long as there is nothing to send.
+        """
         while True:
             since = None if self._writing.locked() else self._unanswered_since
             await trio.sleep_until((since or trio.current_time()) + SERVER_SILENCE_TIMEOUT_S)
--- a/glenfold/net/sockets.py
+++ b/glenfold/net/sockets.py
@@ -1,4 +1,4 @@
-"""What trio's sockets lack: gathered writes to the end, and endings of either kind."""
+"""Socket helpers that trio lacks: complete gathered writes, FIN and RST, non-blocking I/O and TCP_INFO."""
 
 import fcntl
 import os
@@ -17,29 +17,34 @@
 
 SocketType = trio.socket.SocketType
 
-# Of the kernel's tcp_info, as it has been since Linux 2.6: eight bytes, then words of four.
+# Size and field offsets of the kernel's `struct tcp_info`, stable since Linux 2.6: eight single bytes, then
+# words of four bytes.
 _TCP_INFO_BYTES = 104
 _LAST_DATA_RECEIVED_MS, _ROUND_TRIP_US, _RESENT_SEGMENTS = 52, 68, 100
 _INT_BYTES = struct.calcsize("i")
-_LINGER_ZERO = struct.pack("ii", 1, 0)  # linger on, for no time: close sends RST
+_LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER on with a timeout of 0: close sends RST.
 
 
 async def send_pieces(sock: SocketType, pieces: Sequence[memoryview]) -> None:
+    """Sends all of `pieces` with gathered writes."""
     left = list(pieces)
     while left:
         left = unsent(left, await sock.sendmsg(left))
 
 
 async def send(sock: SocketType, data: bytes) -> None:
-    """Most often the kernel takes it all at once; then there is nothing to cut."""
+    """Sends all of `data`; usually in one call, which needs no slicing."""
     sent = await sock.send(data)
     if sent < len(data):
         await send_pieces(sock, [memoryview(data)[sent:]])
 
 
 def send_now(sock: SocketType, data: bytes | memoryview) -> int:
-    """As much as the kernel takes without waiting, for callers that have no time for a turn of the loop each.
-    trio's sockets do not block, and SIGPIPE is ignored."""
+    """Sends as much as the kernel takes without waiting and returns the number of bytes.
+
+    For callers that can't afford a checkpoint for each socket. trio's sockets are non-blocking and SIGPIPE is
+    ignored, so `os.write` neither blocks nor kills the process.
+    """
     try:
         return os.write(sock.fileno(), data)
     except BlockingIOError:
@@ -47,23 +52,25 @@
 
 
 def receive_now(sock: SocketType, room: memoryview) -> int:
-    """How many bytes are there already, put into `room`; 0 also at an end."""
+    """Reads the bytes that have arrived into `room` and returns their number; 0 also at end of stream."""
     try:
         data = os.read(sock.fileno(), len(room))
-    except OSError:  # nothing yet, or a reset, which whoever writes next will meet
+    except OSError:  # nothing yet, or a reset, which the next write reports
         return 0
     room[: len(data)] = data
     return len(data)
 
 
 def hung_up(sock: SocketType) -> bool:
-    """Whether the other side has ended or reset it, as far as the kernel knows: also behind bytes that nobody
-    has read, and before the loop comes to tell it."""
-    return _is_ready_now(sock, select.POLLRDHUP)  # a reset is told without being asked for
+    """Returns whether the peer has closed or reset the connection, as far as the kernel knows.
+
+    Also sees an end behind unread bytes, and before the event loop reports it.
+    """
+    return _is_ready_now(sock, select.POLLRDHUP)  # poll always reports a reset, without a flag for it
 
 
 def unread_bytes(sock: SocketType) -> int:
-    """How many bytes the kernel has that nobody has read; 0 where it does not tell."""
+    """Returns the number of received bytes that are still unread; 0 where the kernel does not say."""
     count = bytearray(_INT_BYTES)
     with suppress(OSError):
         fcntl.ioctl(sock.fileno(), termios.FIONREAD, count)
@@ -71,37 +78,41 @@
 
 
 def send_fin(sock: SocketType) -> None:
-    """FIN: nothing more will be sent."""
-    with suppress(OSError):  # the other side has reset it already
+    """Closes the sending side, so that the peer sees the end of the stream."""
+    with suppress(OSError):  # the peer has already reset the connection
         sock.shutdown(socket.SHUT_WR)
 
 
 def reset_on_close(sock: SocketType) -> None:
-    """RST, for the one side when the other was reset; whoever owns the socket closes it."""
+    """Makes `close` send RST, to pass a reset on to the other side. The caller still closes the socket."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
 
 
 def _is_ready_now(sock: SocketType, event_mask: int) -> bool:
-    """By the kernel, without a turn of the loop."""
+    """Polls the kernel for `event_mask` without a checkpoint."""
     poller = select.poll()
     poller.register(sock.fileno(), event_mask)
     return bool(poller.poll(0))
 
 
 def has_queued_client(listener: SocketType) -> bool:
-    """Whether the kernel has a client that nobody has accepted yet."""
+    """Returns whether a client in the listener's queue has not been accepted yet."""
     return _is_ready_now(listener, select.POLLIN)
 
 
 def without_delay(sock: SocketType) -> None:
+    """Sets TCP_NODELAY, so that small writes are sent at once."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 @dataclass(frozen=True, slots=True)
 class KernelTimes:
-    """What the kernel knows of a TCP connection, however late this process looks. came_s: since when the data
-    read last has been there. round_trip_s: to the other side. resent: segments sent again."""
+    """The kernel's figures for a TCP connection, which do not depend on when this process reads them.
+
+    `since_received_s` is the time since the data read last arrived, `round_trip_s` the round trip to the
+    peer, `resent_segments` the number of segments that were retransmitted.
+    """
 
     since_received_s: float
     round_trip_s: float
@@ -109,7 +120,7 @@
 
 
 def kernel_times(sock: SocketType) -> KernelTimes:
-    """All zero where the kernel does not tell."""
+    """Returns the kernel's figures for `sock`; all zero where the kernel does not provide them."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
         came_ms, trip_us, resent_segments = (
