--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -1,4 +1,4 @@
-"""The clients' side: first lines in, one request each, and its final answer out."""
+"""The client side: accepts connections, reads a first line from each, and sends the final answer to it."""
 
 import errno
 import math
@@ -23,49 +23,52 @@
 from linnetspread import interface
 
 if TYPE_CHECKING:
-    from glenfold.rules.group_parts import GroupParts  # loaded only where it is switched on
+    from glenfold.rules.group_parts import GroupParts  # imported at run time only where the feature is on
 
 LISTEN_BACKLOG = 1024
-INBOX_CAPACITY = 16  # incidents of one request
-FIRST_LINE_TIMEOUT_S = 2.0  # from the accept to a whole first line, PING included; 3 s are promised
-HANGUP_POLL_S = 0.05  # between two looks for the end of a client of whom no more is read before its answer
-MAX_UNREAD_BYTES = (
-    1 << 15
-)  # bytes of such a client: with some more the kernel takes none, nor the end behind them
-CLOSING_TIMEOUT_S = 0.3  # for a client to take an answer before its connection closes
-MAX_CLOSING_BYTES = 1 << 16  # read from it meanwhile: one that floods must not cost more
+INBOX_CAPACITY = 16  # Inputs of one request that wait to be processed.
+FIRST_LINE_TIMEOUT_S = (
+    2.0  # From the accept to a complete first line, PING included; clients are promised 3 s.
+)
+HANGUP_POLL_S = 0.05  # Between checks for a hang-up of a client that is not read any more.
+# Unread bytes of a client above which a flood is assumed. With somewhat more the kernel's buffer is full, and
+# the end of the stream behind them can't be seen.
+MAX_UNREAD_BYTES = 1 << 15
+CLOSING_TIMEOUT_S = 0.3  # Time for a client to take an answer before its connection closes.
+MAX_CLOSING_BYTES = 1 << 16  # Read from the client in that time; limits the cost of a client that floods.
 OUT_OF_SOCKETS_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 @dataclass(slots=True)
 class Relay:
-    """What every inbound connection of a relay shares."""
+    """State that all inbound connections of a relay share."""
 
     config: Config
     clock: Clock
     decisions: Decisions
     destinations: DestinationSet
     counters: Counters
-    awaiting_first_line: int = (
-        0  # accepted, or being accepted, and no request yet; it may be told why it becomes none
-    )
-    unanswered: int = 0
-    ids: Counter[bytes] = field(default_factory=Counter)  # of the requests and connections open here
-    standing: dict[Passage, float] = field(default_factory=dict)  # oldest first; the worth of each
-    ready: trio.Event = field(default_factory=trio.Event)  # to go at the usual pace: PING waits for it
-    answers_end: float = math.inf  # finite once it has been told to stop
-    group_parts: "GroupParts | None" = None  # None: every group is placed as one
-    _time_limits: set[trio.CancelScope] = field(default_factory=set)  # of the requests without their answer
+    # Clients accepted or being accepted that have sent no request yet, or are being refused.
+    awaiting_first_line: int = 0
+    unanswered: int = 0  # requests without a final answer
+    ids: Counter[bytes] = field(default_factory=Counter)  # ids of the open requests and connections
+    standing: dict[Passage, float] = field(default_factory=dict)  # worth of each connection, oldest first
+    ready: trio.Event = field(default_factory=trio.Event)  # set once ready for full load; PONG waits for it
+    answers_end: float = math.inf  # deadline of all answers, finite once the relay has been told to stop
+    group_parts: "GroupParts | None" = None  # None if large groups are not split into parts
+    _time_limits: set[trio.CancelScope] = field(default_factory=set)  # scopes of the unanswered requests
 
     @property
     def has_pending_clients(self) -> bool:
-        """Some client has not had its answer yet, or stands and has not been told to move."""
+        """Whether some client still waits for its answer, or is connected and has not been sent MOVE."""
         return bool(self.standing or self.unanswered or self.awaiting_first_line)
 
     @contextmanager
     def grouped(self, event: interface.Request) -> Iterator[interface.Request]:
-        """The request as the decisions are told of it: a member of a part, where its group is a large one. It
-        counts as a member of its group until the end of the block."""
+        """Yields the request for the decisions, with a large group replaced by one of its parts.
+
+        The request counts as a member of its group until the end of the block.
+        """
         if self.group_parts is None:
             yield event
             return
@@ -77,14 +80,14 @@
             self.group_parts.release(event.group)
 
     def limit_answers(self, deadline: float) -> None:
-        """Who still waits by then gets a final answer, however much longer it would."""
+        """Ends the wait of all requests at `deadline`: those without an answer get a final one then."""
         self.answers_end = deadline
         for scope in self._time_limits:
             scope.deadline = min(scope.deadline, deadline)
 
     @contextmanager
     def time_limit(self, deadline: float) -> Iterator[None]:
-        """Of one request, for its next incident."""
+        """Limits the wait of one request for its next input to `deadline` and the end of all answers."""
         with trio.move_on_at(min(deadline, self.answers_end)) as scope:
             self._time_limits.add(scope)
             try:
@@ -94,6 +97,8 @@
 
 
 class Inbound:
+    """Accepts clients, reads their first lines within the room of the relay, and runs their exchanges."""
+
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
         self._names = relay.config.names
@@ -101,15 +106,17 @@
         self._max_wait_ms = max(
             lines.MOST_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
         )
-        self._waiting: dict[SocketType, trio.CancelScope] = {}  # without a whole first line, oldest first
-        self._taken = 0  # with one: two sides each
+        self._waiting: dict[
+            SocketType, trio.CancelScope
+        ] = {}  # clients without a complete first line, oldest first
+        self._taken = 0  # clients with one; each takes two sockets
         self._refusing = 0
         self._spare_descriptor: int | None = os.open(os.devnull, os.O_RDONLY)
         self.last_arrival = float("-inf")
 
     @property
     def _room(self) -> Room:
-        """SIGHUP may have changed it."""
+        """The current limits, which SIGHUP may change."""
         return self._relay.config.room
 
     async def serve(self, listener: SocketType, nursery: trio.Nursery) -> None:
@@ -131,20 +138,25 @@
             nursery.start_soon(self._connection, sock, scope)
 
     def _make_room(self) -> None:
-        """Clients that connect by the hundred and say nothing crowd out each other, never those that speak:
-        a usual client's line is here when it is accepted, so the oldest without one gives way."""
+        """Cancels the oldest client without a first line when too many wait.
+
+        Clients that connect in large numbers and send nothing displace only each other: the first line of a
+        normal client has arrived by the time the client is accepted.
+        """
         if len(self._waiting) >= self._room.waiting:
             self._waiting.pop(next(iter(self._waiting))).cancel()
             self._counters.crowded_out += 1
 
     async def _refuse_without_socket(self, listener: SocketType) -> None:
-        """With no descriptor left, accept fails over and over: one kept spare lets a client be told."""
+        """Answers BUSY to one client when no descriptor is left.
+
+        Without a descriptor `accept` fails again and again. Closing a spare descriptor makes room to accept
+        one client and refuse it.
+        """
         if self._spare_descriptor is not None:
             os.close(self._spare_descriptor)
-            self._spare_descriptor = (
-                None  # its number may be another's by the time that there is a spare again
-            )
-        # Whoever pauses the accepting does not cut this client off, nor lose the spare.
+            self._spare_descriptor = None  # its number may be reused before a new spare is opened
+        # Shielded: a pause of the listener must neither cut off this client nor lose the spare descriptor.
         with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S, shield=True):
             try:
                 sock, _ = await listener.accept()
@@ -164,7 +176,7 @@
         return lines.busy(settings.max_retry_after_us if settings.may_retry_after else 0)
 
     async def _connection(self, sock: SocketType, scope: trio.CancelScope) -> None:
-        """One connection's fault ends that connection, and is logged."""
+        """Handles one connection to its end; an error ends only this connection and is logged."""
         try:
             try:
                 without_delay(sock)
@@ -183,14 +195,14 @@
             sock.close()
 
     async def _read_request(self, sock: SocketType, scope: trio.CancelScope) -> "Exchange | None":
-        """None: the client has gone, or been told why it is no request."""
+        """Reads the first line; returns None if the client disconnected or was refused."""
         buffer = lines.LineBuffer()
         end = None
         try:
             with scope:
                 end = await self._first_line(sock, buffer)
             self._waiting.pop(sock, None)
-            if scope.cancelled_caught:  # its line may have come just as it was given up
+            if scope.cancelled_caught:  # the line may have arrived as the wait was cancelled
                 buffer.wrote(receive_now(sock, buffer.room()))
                 end = buffer.line_end()
             if end is None:
@@ -220,8 +232,11 @@
             self._taken -= 1
 
     async def _refuse(self, sock: SocketType, answer: bytes, more: bool) -> None:
-        """Closing on unread bytes resets the connection and may take the answer with it. So where there are
-        `more`, some are read, but never a flood to its end."""
+        """Sends `answer` and closes; with `more` bytes unread, reads some of them first.
+
+        Closing a socket with unread bytes resets the connection, which may discard the answer. The time and
+        the bytes read are limited, so that a client that floods can't hold the connection.
+        """
         await self._send_answer(sock, answer)
         if not more or self._refusing >= self._room.refusing:
             return
@@ -236,17 +251,21 @@
             self._refusing -= 1
 
     async def _send_answer(self, sock: SocketType, answer: bytes) -> None:
-        """A client that reads nothing must not hold its descriptor by that."""
+        """Sends `answer`, but waits only `CLOSING_TIMEOUT_S`: a client that reads nothing must not hold its
+        descriptor."""
         with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S):
             await send(sock, answer)
 
     async def _first_line(self, sock: SocketType, buffer: lines.LineBuffer) -> int | None:
-        """Where it ends in the buffer; None when the client has gone without one."""
+        """Returns the end of the first line in the buffer, or None if the client closed without sending data.
+
+        Answers PING lines on the way.
+        """
         while True:
             while (end := buffer.line_end()) is None:
                 count = await sock.recv_into(buffer.room())
                 if not count and buffer.filled:
-                    raise lines.Malformed("a first line is cut short")
+                    raise lines.Malformed("the connection ended before the first line was complete")
                 if not count:
                     return None
                 buffer.wrote(count)
@@ -262,18 +281,20 @@
         exchange = Exchange(
             self._relay, sock, first, self._request(first), buffer.after(end), self._existing_server_of(first)
         )
-        if exchange.is_continuation:  # its client need not wait, and it may not be over yet where it was
+        if (
+            exchange.is_continuation
+        ):  # its client may send early, and its id may still be open at its former connection
             return exchange
         if buffer.filled > end:
-            raise lines.Malformed("a client did not wait for its answer")
+            raise lines.Malformed("the client sent data before its request was answered")
         if first.id in self._relay.ids:
-            raise lines.Malformed("the id is that of another open request")
+            raise lines.Malformed("the id belongs to another open request")
         return exchange
 
     def _request(self, first: lines.OpenLine) -> interface.Request:
         request_class = self._names.classes.get(first.text(b"c"))
         if request_class is None:
-            raise lines.Malformed("the class is unknown")
+            raise lines.Malformed("the class of the first line is unknown")
         return interface.Request(
             request=self._relay.decisions.new_request(),
             expires_in_us=self._expires_in_us(first),
@@ -288,23 +309,26 @@
         )
 
     def _expires_in_us(self, first: lines.OpenLine) -> int:
-        """A relay that ends has less time than its client: the decisions are to know."""
+        """Returns the client's time limit in microseconds, capped at the time that a stopping relay has."""
         left_s = max(0.0, self._relay.answers_end - trio.current_time())
         return int(min(first.wait_ms * 1000, left_s * SECOND_US))
 
     def _existing_server_of(self, first: lines.OpenLine) -> int | None:
-        """The server of a connection that stood before this relay did."""
+        """Returns the server named by a client whose connection stood before this relay started, or None."""
         if b"at" not in first.figures:
             return None
         server = self._relay.destinations.numbered(first.text(b"at"))
         if server is None:
-            raise lines.Malformed("a connection stands at an unknown server")
+            raise lines.Malformed("the server of an existing connection is unknown")
         return server
 
 
 class Exchange:
-    """One request from its first line to its end. Everything that happens to it comes through its inbox,
-    one incident at a time, so that `RequestState` alone says what follows."""
+    """One request from its first line to its end.
+
+    Everything that happens to the request passes through its inbox, one input at a time, so that
+    `RequestState` alone decides what follows.
+    """
 
     def __init__(
         self,
@@ -321,15 +345,14 @@
         self._request = event
         self._early = early
         self._existing_server = existing_server
-        self.is_continuation = (
-            event.mid_flow or existing_server is not None
-        )  # open already, and not begun here
+        self.is_continuation = event.mid_flow or existing_server is not None  # its connection began elsewhere
         self._deadline_us = relay.clock.now_us() + event.expires_in_us
         self._state = request.RequestState(event.request, self._deadline_us)
-        self._send, self._receive = trio.open_memory_channel[request.Incident](INBOX_CAPACITY)
+        self._inbox_sender, self._inbox_receiver = trio.open_memory_channel[request.Incident](INBOX_CAPACITY)
         self._call: OutboundCall | None = None
 
     async def run(self) -> None:
+        """Runs the request, and the connection that comes of it, to the end."""
         with self._relay.grouped(self._request) as self._request:
             await self._run()
 
@@ -358,10 +381,13 @@
             await relay.decisions.tell(Closed(self._request.request))
 
     async def _run_until_answered(self) -> bytes | None:
-        """The receipt of the server that took it, once the client has it; None after any other end."""
+        """Returns the receipt of the server that accepted the request, after it was sent to the client.
+
+        Returns None if the request ended in any other way.
+        """
         server = self._existing_server
         taken = self._request if server is None else interface.Existing(self._request, server)
-        await self._relay.decisions.tell(Taken(taken, self._send.clone()))
+        await self._relay.decisions.tell(Taken(taken, self._inbox_sender.clone()))
         receipt = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_client)
@@ -370,7 +396,7 @@
             while self._state.phase in (request.Phase.TAKEN, request.Phase.CALLING):
                 step_input: request.Incident = request.DeadlinePassed()
                 with self._relay.time_limit(self._relay.clock.to_trio(self._deadline_us)):
-                    step_input = await self._receive.receive()
+                    step_input = await self._inbox_receiver.receive()
                 self._relay.counters.left += isinstance(step_input, request.ClientGone)
                 effects = self._state.on(step_input, self._relay.clock.now_us())
                 await self._carry_out(effects, nursery)
@@ -385,7 +411,7 @@
             match effect:
                 case request.StartCall(server, deadline_us):
                     counters.calls += 1
-                    # Made here and not in its task, which a drop might come before.
+                    # Created here and not in its task, because DropCall may come before that task starts.
                     self._call = self._new_call(server, deadline_us)
                     nursery.start_soon(self._run_call, self._call)
                 case request.DropCall():
@@ -403,18 +429,21 @@
                 case request.Report(event):
                     await self._relay.decisions.tell(event)
                 case request.MoveClient():
-                    pass  # only a standing connection is moved, and that one has its own task
+                    pass  # applies to standing connections only, which have a task of their own
 
     async def _answer(self, line: bytes) -> None:
         try:
             await send(self._sock, line)
-        except OSError as error:  # the client has just gone: its end is seen where it is read from
+        except OSError as error:  # the client disconnected; the task that reads from it sees that
             events.client_unanswered(request=self._state.number, error=error)
 
     async def _watch_client(self) -> None:
-        """A client that goes before its answer is not worth a call, nor is one that does not wait for it.
-        What it sends is kept: a connection that goes on here may send early, and any other when it has its
-        answer, which it may have before this task is told to stop."""
+        """Reports a client that disconnects, or sends data too early, before its answer.
+
+        Neither is worth a call to a server. The data is kept: a connection that continues from elsewhere may
+        send early, and any other client may send once it has its answer, possibly before this task is
+        cancelled.
+        """
         while len(self._early) < lines.MAX_LINE:
             try:
                 data = await self._sock.recv(lines.MAX_LINE)
@@ -422,29 +451,36 @@
                 data = b""
             self._early += data
             if not data:
-                return await self._send.send(request.ClientGone())
+                return await self._inbox_sender.send(request.ClientGone())
             if not self.is_continuation:
-                return await self._send.send(request.ClientSpoke())
-        while not hung_up(self._sock):  # no more is read before it is up: its end stands behind that
+                return await self._inbox_sender.send(request.ClientSpoke())
+        while not hung_up(self._sock):  # no more is read before UP, and the end is behind unread data
             await trio.sleep_until(trio.current_time() + HANGUP_POLL_S)
-        await self._send.send(request.ClientGone())
+        await self._inbox_sender.send(request.ClientGone())
 
     def _check_before_send(self, server: int, drained_after: float) -> CallFailure | None:
-        """drained_after: the server was ready then, as far as the decisions knew."""
+        """Returns why the line must not be sent to `server`, or None.
+
+        `drained_after` is the time at which the server was ready as far as the decisions knew.
+        """
         if (left := self._departed_client()) is not None:
             self._relay.counters.left_unsent += 1
             return left
         if self._existing_server is not None or self._relay.destinations.ready(server):
             return None
-        # What is new it would turn away; a connection in mid flow goes on there, as long as it may be sent.
+        # A draining server refuses new connections. It accepts one in mid-flow during the drain grace, of
+        # which half is used here.
         grace_s = self._relay.config.settings.drain_grace_us / 2 / SECOND_US
         if self.is_continuation and trio.current_time() < drained_after + grace_s:
             return None
         return request.CallEnded(interface.Outcome.CONNECT_FAILED)
 
     def _departed_client(self) -> request.ClientGone | request.ClientSpoke | None:
-        """Whether it is worth no attempt. Behind a flood its end can't be seen, so a flood counts as one, but
-        for who stands already and has no other attempt."""
+        """Returns why the client is not worth an attempt, or None.
+
+        The end of a client's stream can't be seen behind a flood of data, so a flood counts as an end. A
+        client whose connection stands already at a server is exempt: it has no other attempt.
+        """
         if hung_up(self._sock):
             return request.ClientGone()
         floods = len(self._early) >= lines.MAX_LINE and unread_bytes(self._sock) > MAX_UNREAD_BYTES
@@ -462,9 +498,12 @@
         )
 
     async def _run_call(self, call: OutboundCall | None) -> None:
-        """A server that has just left the list has no address: the same as one that can't be reached."""
+        """Runs `call` and puts its result into the inbox.
+
+        `call` is None if the server has just left the list: that counts as a failed connection.
+        """
         ended = request.CallEnded(interface.Outcome.CONNECT_FAILED)
-        await self._send.send(ended if call is None else await call.run())
+        await self._inbox_sender.send(ended if call is None else await call.run())
 
     async def _pass_lines(self, server: SocketType, receipt: bytes) -> None:
         relay, state = self._relay, self._state
@@ -476,7 +515,7 @@
                 await passage.run(self._early, receipt)
                 nursery.cancel_scope.cancel()
         finally:
-            relay.standing.pop(passage, None)  # it is gone already if its client was told to move
+            relay.standing.pop(passage, None)  # already removed if its client was sent MOVE
             relay.counters.ended += 1
             relay.counters.silent += passage.silent
             relay.counters.moved += passage.moved
@@ -493,9 +532,11 @@
 
     async def _move_on_request(self, passage: Passage) -> None:
         while True:
-            step_input = await self._receive.receive()
+            step_input = await self._inbox_receiver.receive()
             for effect in self._state.on(step_input, self._relay.clock.now_us()):
                 if isinstance(effect, request.MoveClient):
                     await passage.move()
-                elif isinstance(effect, request.Report):  # its end had been seen while it came up
+                elif isinstance(
+                    effect, request.Report
+                ):  # the end of the client was seen while the call came up
                     await self._relay.decisions.tell(effect.event)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -446,7 +446,7 @@
             clock.jump(2.1)
             with trio.CancelScope(shield=True):
                 await answered.wait()
-        self._send.send_nowait(receipt)
+        self._inbox_sender.send_nowait(receipt)
         clock.jump(2.1)  # to the inbox first, though the deadline passes before it is looked at
 
     monkeypatch.setattr(Exchange, "_run_call", read_but_not_told)
