--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -27,7 +27,7 @@
 from glenfold.leaving import ANSWER_TURNS, ANSWERS_S, Leaving, in_order
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import LISTEN_BACKLOG, Inbound, Relay
-from glenfold.net.passing import Passage
+from glenfold.net.passing import StandingConnection
 from glenfold.net.sockets import SocketType, has_queued_client
 from linnetspread import interface as i
 
@@ -327,13 +327,13 @@
         events.leave_cut(connections=len(cut))
 
 
-def _tell(passage: Passage, relay: Relay, late: bool) -> bool:
+def _tell(passage: StandingConnection, relay: Relay, late: bool) -> bool:
     told = passage.move_now()
     if told:
         del relay.standing[passage]
     if told and late:
         relay.counters.moved_late += passage.moved
-        passage.finish_both()
+        passage.send_fin_to_both()
     return told
 
 
@@ -349,8 +349,8 @@
 
 async def _move_all(leaving: Leaving, relay: Relay, nursery: trio.Nursery) -> None:
     """A connection counts as standing until its client has been told to move, or is gone."""
-    asked: set[Passage] = set()  # they have only part of a line
-    queue: deque[Passage] = deque()
+    asked: set[StandingConnection] = set()  # they have only part of a line
+    queue: deque[StandingConnection] = deque()
     while relay.has_pending_clients:
         while queue and queue[0] not in relay.standing:
             queue.popleft()
@@ -372,7 +372,7 @@
         await trio.sleep_until(step.again_at)
 
 
-async def _move(passage: Passage, relay: Relay, until: float) -> None:
+async def _move(passage: StandingConnection, relay: Relay, until: float) -> None:
     """Not given up sooner: a turn of the loop may take as long as a move usually may."""
     await passage.move(until)
     if passage.moved:
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -18,7 +18,7 @@
 from glenfold.decisions import Closed, Decisions, Taken
 from glenfold.destinations import DestinationSet
 from glenfold.net.outbound import CallFailure, OutboundCall
-from glenfold.net.passing import Passage
+from glenfold.net.passing import StandingConnection
 from glenfold.net.sockets import SocketType, hung_up, receive_now, send, send_fin, unread_bytes, without_delay
 from linnetspread import interface
 
@@ -52,7 +52,9 @@
     awaiting_first_line: int = 0
     unanswered: int = 0  # requests without a final answer
     ids: Counter[bytes] = field(default_factory=Counter)  # ids of the open requests and connections
-    standing: dict[Passage, float] = field(default_factory=dict)  # worth of each connection, oldest first
+    standing: dict[StandingConnection, float] = field(
+        default_factory=dict
+    )  # worth of each connection, oldest first
     ready: trio.Event = field(default_factory=trio.Event)  # set once ready for full load; PONG waits for it
     answers_end: float = math.inf  # deadline of all answers, finite once the relay has been told to stop
     group_parts: "GroupParts | None" = None  # None if large groups are not split into parts
@@ -507,35 +509,37 @@
 
     async def _pass_lines(self, server: SocketType, receipt: bytes) -> None:
         relay, state = self._relay, self._state
-        passage = Passage(self._sock, server, self._on_load)
-        relay.standing[passage] = relay.config.settings.classes[self._request.request_class].worth
+        standing_connection = StandingConnection(self._sock, server, self._on_load)
+        relay.standing[standing_connection] = relay.config.settings.classes[self._request.request_class].worth
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._move_on_request, passage)
-                await passage.run(self._early, receipt)
+                nursery.start_soon(self._move_on_request, standing_connection)
+                await standing_connection.run(self._early, receipt)
                 nursery.cancel_scope.cancel()
         finally:
-            relay.standing.pop(passage, None)  # already removed if its client was sent MOVE
+            relay.standing.pop(standing_connection, None)  # already removed if its client was sent MOVE
             relay.counters.ended += 1
-            relay.counters.silent += passage.silent
-            relay.counters.moved += passage.moved
-            relay.counters.not_moved += passage.cut_off
-        if passage.outcome in (interface.Outcome.RESET, interface.Outcome.ERROR):
+            relay.counters.silent += standing_connection.silent
+            relay.counters.moved += standing_connection.moved
+            relay.counters.not_moved += standing_connection.cut_off
+        if standing_connection.outcome in (interface.Outcome.RESET, interface.Outcome.ERROR):
             relay.counters.broken += 1
-            events.connection_broke(request=state.number, server=state.server, outcome=passage.outcome)
-        for effect in state.on(request.ConnectionEnded(passage.outcome), relay.clock.now_us()):
+            events.connection_broke(
+                request=state.number, server=state.server, outcome=standing_connection.outcome
+            )
+        for effect in state.on(request.ConnectionEnded(standing_connection.outcome), relay.clock.now_us()):
             if isinstance(effect, request.Report):
                 await relay.decisions.tell(effect.event)
 
     async def _on_load(self, load: float) -> None:
         await self._relay.decisions.tell(self._state.notice(interface.NoticeKind.LOAD, load))
 
-    async def _move_on_request(self, passage: Passage) -> None:
+    async def _move_on_request(self, standing_connection: StandingConnection) -> None:
         while True:
             step_input = await self._inbox_receiver.receive()
             for effect in self._state.on(step_input, self._relay.clock.now_us()):
                 if isinstance(effect, request.MoveClient):
-                    await passage.move()
+                    await standing_connection.move()
                 elif isinstance(
                     effect, request.Report
                 ):  # the end of the client was seen while the call came up
--- a/glenfold/net/passing.py
+++ b/glenfold/net/passing.py
@@ -19,7 +19,7 @@
 LoadCallback = Callable[[float], Awaitable[None]]
 
 
-class Passage:
+class StandingConnection:
     """The client's and the server's side of one standing connection.
 
     `outcome` is why the connection ended; `silent`, `moved` and `cut_off` say whether the server fell silent,
@@ -97,7 +97,7 @@
         self.cut_off = True
         self._end(Outcome.CANCELLED)
 
-    def finish_both(self) -> None:
+    def send_fin_to_both(self) -> None:
         """Sends FIN to both sides at once, before the event loop gets to closing the sockets."""
         send_fin(self.client)
         send_fin(self.server)
--- a/tests/glenfold_lab/scale/test_connections.py
+++ b/tests/glenfold_lab/scale/test_connections.py
@@ -42,8 +42,8 @@
 del sys.argv[1:]
 sys.path.insert(0, {root!r})
 from glenfold.lines import LineTracker
-from glenfold.net.passing import Passage
-standing, feed, begin = [], LineTracker.feed, Passage.__init__
+from glenfold.net.passing import StandingConnection
+standing, feed, begin = [], LineTracker.feed, StandingConnection.__init__
 
 def look_at_all(self, data):
     for _ in range(6):
@@ -55,7 +55,7 @@
     standing.append(self)
     self.kept = bytearray(300 * len(standing))
 
-LineTracker.feed, Passage.__init__ = look_at_all, keep_for_all
+LineTracker.feed, StandingConnection.__init__ = look_at_all, keep_for_all
 runpy.run_module("glenfold", run_name="__main__")
 """
 
