--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -104,7 +104,7 @@
     ],
 )
 @pytest.mark.parametrize("look", [1, 2])
-def test_who_has_left_when_a_call_begins_or_connects_is_not_sent_on(
+def test_a_client_that_left_before_a_call_begins_or_connects_is_not_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, how: str, look: int
 ) -> None:
     heard, clients = Heard(), list[socket.socket]()
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("line", [MID, AT])
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("after_s", [0.001, 0.03, 0.06, 0.09])  # one is just after a look
-def test_who_sent_much_early_and_left_is_seen_at_once(
+def test_the_hangup_of_a_client_behind_much_early_data_is_seen_at_once(
     tmp_path: Path, line: bytes, how: str, after_s: float
 ) -> None:
     clock = trio.testing.MockClock(autojump_threshold=0.01)
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "behind bytes", "behind a flood"])
-def test_whoever_leaves_in_a_first_attempt_has_no_further_one(
+def test_a_client_that_leaves_during_its_first_attempt_gets_no_second(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """Not even a connection: the loop has not seen the end, or can't, behind bytes that nobody reads."""
@@ -168,7 +168,7 @@
     assert len(calls) in first and counters.left_unsent == 1
 
 
-def test_a_flood_costs_no_connection_that_stands_already(tmp_path: Path) -> None:
+def test_a_flood_does_not_break_an_existing_connection(tmp_path: Path) -> None:
     async def client(shared: Relay, port: int) -> None:
         with plain_client(port, AT + b"M" * FLOOD + b"\r\n") as sock:
             stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("line", [OPEN, MID])
-def test_a_line_right_after_the_receipt_is_passed_on(
+def test_a_line_sent_right_after_the_receipt_is_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes
 ) -> None:
     held = Held(monkeypatch)
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_client_that_ends_as_its_receipt_comes_leaves_nothing_with_the_decisions(
+def test_a_client_that_closes_as_its_receipt_arrives_leaves_no_state_in_the_decisions(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     held, over = Held(monkeypatch), trio.Event()
@@ -251,7 +251,7 @@
     play(tmp_path, server, client)
 
 
-def test_a_client_that_ends_as_its_receipt_is_read_is_told_to_neither(
+def test_a_client_that_closes_before_its_receipt_is_read_leaves_no_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The other order: its end is there before the receipt."""
@@ -275,7 +275,7 @@
 @pytest.mark.parametrize(
     ("line", "passed_s", "sent"), [(OPEN, 0.0, False), (MID, 0.9, True), (MID, 1.1, False), (AT, 1.1, True)]
 )
-def test_a_server_that_drains_while_a_call_connects_gets_nothing_new(
+def test_a_server_that_drains_while_a_call_connects_gets_no_new_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, passed_s: float, sent: bool
 ) -> None:
     """In mid flow it goes on there, within half of the time for which it may be sent."""
@@ -302,7 +302,7 @@
     assert bool(heard.lines[0]) == sent
 
 
-def test_a_first_line_that_is_whole_when_its_client_is_crowded_out_is_taken(
+def test_a_first_line_that_completes_as_its_client_is_crowded_out_is_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     make_room, silent = Inbound._make_room, list[socket.socket]()
@@ -327,7 +327,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_how_a_server_ends_is_passed_on_though_a_line_meets_it(
+def test_the_end_of_a_server_is_passed_on_although_a_line_is_being_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """The line that a client sends uses up the error; what the server had said before comes through."""
@@ -394,7 +394,7 @@
         ((b"BUSY\r\n", b"UP r1\r\n"), "hold"),
     ],
 )
-def test_a_spoilt_or_second_answer_is_one_final_answer_and_held_up_by_nothing(
+def test_a_malformed_or_second_server_answer_gives_one_final_answer_at_once(
     tmp_path: Path, parts: tuple[bytes, ...], then: str
 ) -> None:
     """With the clock standing still, only what comes can end a call."""
@@ -412,7 +412,7 @@
     play(tmp_path, server, client, trio.testing.MockClock())
 
 
-def test_a_trickling_answer_ends_with_its_time(tmp_path: Path) -> None:
+def test_a_server_answer_that_trickles_ends_at_the_deadline(tmp_path: Path) -> None:
     clock = trio.testing.MockClock(autojump_threshold=0.01)
 
     async def server(stream: trio.SocketStream) -> None:
@@ -434,7 +434,7 @@
 
 
 @pytest.mark.parametrize("deadline_first", [False, True])
-def test_a_receipt_that_crosses_the_deadline_is_one_answer(
+def test_a_receipt_that_arrives_at_the_deadline_gives_one_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, deadline_first: bool
 ) -> None:
     """And the server sees the end of a connection whose client was not told of it."""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -161,7 +161,7 @@
             process.kill()
 
 
-def test_with_clients_without_end_discovery_and_accepted_clients_still_get_descriptors(
+def test_discovery_and_accepted_clients_get_descriptors_during_a_flood_of_clients(
     tmp_path: Path,
 ) -> None:
     with (
@@ -192,7 +192,7 @@
     assert "connect_failed" not in log and "faults=0" in log
 
 
-def test_clients_and_their_calls_leave_the_relay_its_own_descriptors(
+def test_clients_and_their_calls_leave_enough_descriptors_for_the_relay_itself(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """However many come in one turn of the loop."""
@@ -219,9 +219,7 @@
     assert conf.room.waiting + 2 * conf.room.taken < max(seen) <= most
 
 
-def test_a_client_that_reads_nothing_is_closed_all_the_same(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_client_that_reads_nothing_is_still_closed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Its answer finds no room with the kernel, and nobody waits for that for long."""
     clients = Open(monkeypatch)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -86,19 +86,19 @@
     return heard
 
 
-def test_a_watch_that_falls_silent_goes_on_from_the_version_known(tmp_path: Path) -> None:
+def test_a_silent_watch_is_resumed_from_the_version_known(tmp_path: Path) -> None:
     agent = Scripted(whole_list(), change(42), change(43))
     assert follow(tmp_path, agent) == [41, 42, 43]
     assert [target for _, target in agent.asked] == [WHOLE, WATCH % 41, WATCH % 42, WATCH % 43]
 
 
-def test_a_watch_that_never_began_costs_no_second_whole_list(tmp_path: Path) -> None:
+def test_a_refused_watch_causes_no_second_whole_list(tmp_path: Path) -> None:
     agent = Scripted(whole_list(), busy(), change(42))
     assert follow(tmp_path, agent) == [41, 42]
     assert [target for _, target in agent.asked][:3] == [WHOLE, WATCH % 41, WATCH % 41]
 
 
-def test_a_restarted_relay_asks_only_for_what_changed_since_its_own_list(tmp_path: Path) -> None:
+def test_a_restarted_relay_asks_only_for_changes_since_its_stored_list(tmp_path: Path) -> None:
     agent = Scripted(change(41))
     assert follow(tmp_path, agent, known=True) == [41]
     assert agent.asked[0][1] == WATCH % 40
@@ -108,13 +108,13 @@
 
 
 @pytest.mark.parametrize("bad", [change(39), NO_LIST, b"HTTP/1.1 410 Gone\r\n\r\n"])
-def test_a_change_that_has_no_place_ends_in_a_whole_list(tmp_path: Path, bad: bytes) -> None:
+def test_a_change_that_does_not_apply_leads_to_a_whole_list(tmp_path: Path, bad: bytes) -> None:
     agent = Scripted(change(41), change(42), bad, whole_list(), change(43))
     assert follow(tmp_path, agent, known=True) == [41, 42, 41, 43]  # a whole list holds, whatever its version
     assert [target for _, target in agent.asked][3:5] == [WHOLE, WATCH % 41]
 
 
-def test_discovery_that_is_overbooked_is_asked_less_and_less_and_never_for_more(tmp_path: Path) -> None:
+def test_overloaded_discovery_is_called_less_often_and_never_for_a_whole_list(tmp_path: Path) -> None:
     agent = Scripted(*[busy()] * 12, change(41))
     assert follow(tmp_path, agent, known=True, spread_s=4.0) == [41]
     assert {target for _, target in agent.asked[:13]} == {WATCH % 40}
@@ -122,7 +122,7 @@
     assert sum(waits[:3]) / 3 < sum(waits[3:]) / 9 and max(waits) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
 
 
-def test_a_slow_answer_is_waited_for(tmp_path: Path) -> None:
+def test_a_slow_answer_of_discovery_is_awaited(tmp_path: Path) -> None:
     """Whoever gives up at once and asks again stands last in the queue, and has cost discovery as much."""
     agent = Scripted()
     asked: list[float] = []
@@ -140,14 +140,14 @@
     assert len(asked) == 1
 
 
-def test_half_a_line_is_not_taken_and_asked_for_again(tmp_path: Path) -> None:
+def test_an_incomplete_line_is_dropped_and_requested_again(tmp_path: Path) -> None:
     half = OK + b'Transfer-Encoding: chunked\r\n\r\na\r\n{"seq":43,\r\n0\r\n\r\n'
     agent = Scripted(change(41), half, change(43))
     assert follow(tmp_path, agent, known=True) == [41, 43]
     assert [target for _, target in agent.asked][:3] == [WATCH % 40, WATCH % 41, WATCH % 41]
 
 
-def test_an_entry_with_a_fault_costs_no_other_and_brings_nobody_back(tmp_path: Path) -> None:
+def test_an_invalid_entry_affects_no_other_and_restores_no_departed_server(tmp_path: Path) -> None:
     gone = json.dumps(whole(entry("s-1") | {"health": "terminated"}, seq=42) | {"whole": False})
     mixed = json.dumps(whole(entry("s-3") | {"health": "?"}, entry("s-2"), seq=43) | {"whole": False})
     late = json.dumps(whole(entry("s-1"), seq=41))  # a whole list from before it left
@@ -172,7 +172,7 @@
     return OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
 
 
-def test_changes_that_come_indented_are_taken_one_by_one(tmp_path: Path) -> None:
+def test_indented_changes_are_applied_one_by_one(tmp_path: Path) -> None:
     changes = [whole(entry(f"s-{seq}"), seq=seq) | {"whole": False} for seq in (42, 43, 44)]
     texts = [json.dumps(change, indent=2) + "\n\n" for change in changes[:2]]
     texts.append(json.dumps(changes[2]) + "\n")
@@ -184,13 +184,13 @@
 
 @pytest.mark.parametrize("torn", ['{"seq":42,\n', '{\n  "seq": 42,\n', '{"seq":4"\n'])
 @pytest.mark.parametrize("then", ["\n", json.dumps(whole(entry("s-2"), seq=43) | {"whole": False}) + "\n"])
-def test_an_object_that_breaks_off_is_asked_for_again(tmp_path: Path, torn: str, then: str) -> None:
+def test_an_incomplete_object_leads_to_a_whole_list(tmp_path: Path, torn: str, then: str) -> None:
     agent = Scripted(whole_list(), watched(torn, then))
     assert follow(tmp_path, agent) == [41]
     assert [asked for _, asked in agent.asked] == [WHOLE, WATCH % 41, WHOLE]  # told whole, at once
 
 
-def test_of_a_thousand_entries_only_the_faulty_and_the_repeated_are_left_out(tmp_path: Path) -> None:
+def test_only_invalid_and_repeated_entries_of_a_large_list_are_left_out(tmp_path: Path) -> None:
     destinations = DestinationSet(relaying.config(tmp_path).names)
     entries = [entry(f"s-{n}") for n in range(1024)]
     faulty, repeated, leaving = entry("s-bad") | {"dial": "nowhere"}, entry("s-7"), entry("s-8")
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -137,7 +137,7 @@
 
 
 @relaying.scripted(ending(takes, 2.5))
-async def test_who_is_queued_when_arrivals_end_is_accepted_before_the_listener_closes(
+async def test_clients_queued_when_arrivals_end_are_accepted_before_the_listener_closes(
     made: Ending, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     streams = []
@@ -157,7 +157,7 @@
 
 
 @relaying.scripted(ending(takes, 2.5))
-async def test_the_queue_of_a_paused_listener_is_left_to_the_process_that_goes_on_with_it(
+async def test_the_queue_of_a_paused_listener_is_left_to_the_successor_process(
     made: Ending, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     listener, seen = made.process.listeners[0], list[float]()
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("turns", [0, 3])
 @relaying.scripted(ending(takes, 2.5))
-async def test_who_is_being_accepted_as_the_listener_closes_is_served(
+async def test_a_client_being_accepted_as_the_listener_closes_is_served(
     made: Ending, turns: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     accepted, concrete = trio.Event(), type(made.process.listeners[0])
@@ -208,7 +208,7 @@
 
 
 @relaying.scripted(ending(takes, 2.5))
-async def test_a_first_line_that_is_complete_only_after_arrivals_ended_is_served(made: Ending) -> None:
+async def test_a_first_line_that_completes_after_arrivals_ended_is_served(made: Ending) -> None:
     stream = made.connect(OPEN[:20])
     made.process.stop()
     await made.finishing.wait()
@@ -218,7 +218,7 @@
 
 
 @relaying.scripted(ending(takes, 2.5))
-async def test_who_has_said_nothing_by_the_end_is_told_and_holds_up_no_end(made: Ending) -> None:
+async def test_a_client_without_a_first_line_is_answered_and_does_not_delay_the_end(made: Ending) -> None:
     made.process.stop()
     while not made.process.life.ending:
         await trio.lowlevel.checkpoint()
@@ -228,7 +228,7 @@
 
 
 @relaying.scripted(ending(hangs))
-async def test_whoever_would_wait_longer_than_the_relay_gets_its_final_answer_in_time(made: Ending) -> None:
+async def test_a_request_that_outlasts_the_relay_gets_its_final_answer_in_time(made: Ending) -> None:
     before = made.connect(own(LONG, 1))
     while not made.asked:
         await trio.sleep(0.005)
@@ -246,7 +246,7 @@
 
 
 @relaying.scripted(ending(hangs))
-async def test_answers_that_a_lagging_loop_comes_to_late_are_given_before_it_ends(
+async def test_answers_that_a_lagging_loop_delays_are_sent_before_the_relay_ends(
     made: Ending, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real = Exchange._answer
@@ -268,14 +268,14 @@
 
 
 @relaying.scripted(ending(hangs))
-async def test_who_comes_up_in_the_turn_of_the_end_is_told_to_move(
+async def test_a_client_that_comes_up_as_the_relay_ends_is_moved(
     made: Ending, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     pass
 
 
 @relaying.scripted(ending(takes, 2.5))
-async def test_who_was_told_up_in_the_turn_of_the_end_is_told_to_move(
+async def test_a_client_that_was_answered_up_as_the_relay_ends_is_moved(
     made: Ending, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real = Exchange._answer
@@ -295,7 +295,7 @@
 
 
 @relaying.scripted(ending(takes, 2.5))
-async def test_further_signals_change_nothing_in_an_end_and_lose_nobody(made: Ending) -> None:
+async def test_further_signals_during_the_end_change_nothing_and_lose_no_client(made: Ending) -> None:
     seen = []
 
     def all_of_them(before: State, now: State) -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -47,7 +47,7 @@
 
 
 @given(st.integers(1, 700), st.floats(0, 0.0005))
-def test_at_hundreds_each_move_has_the_moment_that_it_always_had(standing: int, cost: float) -> None:
+def test_hundreds_of_moves_are_spread_evenly(standing: int, cost: float) -> None:
     moments, _ = played(Leaving(10.0, THROUGH), standing, cost)
     now, usual = 13.4 - 0.3 - 1.5, []
     for left in range(standing, 0, -1):
@@ -57,7 +57,7 @@
 
 
 @given(st.integers(1, 20_000), st.floats(0, 0.02), st.booleans(), st.floats(0.7, 30))
-def test_no_move_comes_after_the_end_however_many_and_dear_they_are(
+def test_no_move_comes_after_the_end_however_many_and_expensive_they_are(
     standing: int, cost: float, through: bool, deadline_s: float
 ) -> None:
     leaving = Leaving(0.0, replace(THROUGH, pass_through=through), deadline_s)
@@ -68,7 +68,9 @@
 
 
 @given(st.floats(0.05, 60.0), st.floats(0.0, 60.0), st.booleans())
-def test_the_spans_of_an_end_hold_for_any_deadline(longest_s: float, last: float, through: bool) -> None:
+def test_the_phases_of_the_end_are_in_order_for_any_deadline(
+    longest_s: float, last: float, through: bool
+) -> None:
     settings = replace(
         THROUGH,
         pass_through=through,
@@ -89,14 +91,14 @@
 
 
 @given(st.integers(2_000, 6_000), st.floats(0.0001, 0.0004))
-def test_thousands_are_begun_early_enough_for_the_pace(standing: int, cost: float) -> None:
+def test_thousands_of_moves_start_early_enough_to_finish(standing: int, cost: float) -> None:
     leaving = Leaving(0.0, THROUGH)
     moments, swept = played(leaving, standing, cost, begin=0.45)
     assert moments[-1] <= leaving.moves_end + 0.05 and not swept and not leaving.short
     assert moments[0] <= max(0.45, leaving.moves_end - standing * cost) + 1e-6
 
 
-def test_what_there_is_no_time_for_is_known_long_before() -> None:
+def test_a_shortage_of_time_is_detected_early() -> None:
     leaving = Leaving(0.0, THROUGH)
     now, worked, left = 0.45, 0.0, 6000
     while not leaving.short:
@@ -105,7 +107,7 @@
     assert now < 1.7 and 2500 < step.late < 4500
 
 
-def test_a_loop_that_takes_a_second_for_a_turn_tells_all_before_it_is_too_late() -> None:
+def test_a_loop_with_turns_of_a_second_moves_all_clients_in_time() -> None:
     leaving = Leaving(0.0, THROUGH)
     leaving.came_back(0.9, 0.1)
     leaving.came_back(1.2, 0.45)
@@ -113,7 +115,7 @@
     assert swept and moments[-1] < leaving.leave_at - 1.0
 
 
-def test_a_core_that_is_busy_is_given_more_time() -> None:
+def test_moves_start_earlier_on_a_busy_core() -> None:
     leaving = Leaving(0.0, THROUGH)
     assert leaving.moves_from(3000) == pytest.approx(1.6)
     leaving.busy(0.6)
@@ -121,14 +123,14 @@
     assert leaving.moves_from(900) == pytest.approx(1.6)
 
 
-def test_the_oldest_move_first_and_when_time_is_short_those_of_greatest_worth() -> None:
+def test_moves_go_by_age_and_by_worth_when_time_is_short() -> None:
     standing = {"watch 1": 1.0, "feed 1": 4.0, "watch 2": 1.0, "feed 2": 4.0}
     assert in_order(standing, False) == list(standing)
     assert in_order(standing, True) == ["feed 1", "feed 2", "watch 1", "watch 2"]
 
 
 @relaying.scripted(relaying.instance)
-async def test_an_end_counts_from_the_signal_and_not_from_when_the_loop_came_to_it(told: Process) -> None:
+async def test_the_end_counts_from_the_signal_and_not_from_its_handling(told: Process) -> None:
     with trio.open_signal_receiver(signal.SIGTERM) as signals:
         told.note_moment(signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGTERM)
@@ -165,7 +167,7 @@
 
 
 @relaying.scripted(standing(300))
-async def test_all_are_told_in_time_where_there_is_none_for_each(
+async def test_all_clients_are_moved_in_time_on_a_slow_machine(
     made: Standing, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     leaving, counters = leaving_in(1.0), made[0].counters
@@ -185,7 +187,7 @@
 
 
 @relaying.scripted(standing(2, partial(up, more=b"half a li")))
-async def test_a_client_with_part_of_a_line_sees_a_reset_and_is_counted(made: Standing) -> None:
+async def test_a_client_with_part_of_a_line_gets_a_reset_and_is_counted(made: Standing) -> None:
     await finish_taken(leaving_in(0.1), made[0])
     for stream in made[1]:
         assert await stream.receive_some() == b"half a li"
@@ -195,7 +197,7 @@
 
 
 @relaying.scripted(standing(1))
-async def test_a_move_that_the_kernel_took_part_of_is_completed_and_nothing_comes_within_it(
+async def test_a_partly_sent_move_is_completed_without_other_data_inside(
     made: Standing, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (shared, [stream]), real = made, passing.send_now
--- a/tests/test_quiet_lists.py
+++ b/tests/test_quiet_lists.py
@@ -169,7 +169,7 @@
         (True, (reset, reset), 0.0),
     ],
 )
-def test_what_a_silent_watch_missed_is_heard_inside_the_clock(
+def test_changes_missed_by_a_silent_watch_arrive_within_the_time_limit(
     tmp_path: Path, relays: int, asks: bool, between: tuple[Answer, ...], answer_s: float
 ) -> None:
     spread_s = calls_spread_s(Settings(gateways=relays, ask_for_list=asks))
@@ -190,7 +190,7 @@
     run(script)
 
 
-def test_calls_that_discovery_swallowed_while_it_was_down_cost_little_at_its_return(tmp_path: Path) -> None:
+def test_calls_lost_while_discovery_was_down_delay_the_list_little_after_its_return(tmp_path: Path) -> None:
     """What the agent gets then counts at once where lists are pushed, and drains have 2 s."""
     returns_at = 10.0
 
@@ -210,7 +210,7 @@
     run(script)
 
 
-def test_an_agent_with_nothing_to_tell_has_until_its_empty_line(tmp_path: Path) -> None:
+def test_empty_lines_keep_a_watch_without_changes_open(tmp_path: Path) -> None:
     agent = Agent(tmp_path, told())
 
     async def script(nursery: trio.Nursery) -> None:
@@ -244,7 +244,7 @@
         (b"1;", b"x"),  # its size never does
     ],
 )
-def test_a_watch_on_which_nothing_becomes_whole_is_silent(tmp_path: Path, begun: bytes, piece: bytes) -> None:
+def test_a_watch_without_complete_lines_counts_as_silent(tmp_path: Path, begun: bytes, piece: bytes) -> None:
     agent = Agent(tmp_path, trickles(begun, piece), told(42))
 
     async def script(nursery: trio.Nursery) -> None:
@@ -257,7 +257,7 @@
     run(script)
 
 
-def test_a_loop_that_lags_drops_no_sound_watch(tmp_path: Path) -> None:
+def test_a_lagging_loop_drops_no_healthy_watch(tmp_path: Path) -> None:
     """What came while it lagged is read, and what goes on with it."""
     clock = trio.testing.MockClock()
 
@@ -282,7 +282,7 @@
     trio.run(main, clock=clock)
 
 
-def test_lists_indented_or_not_come_whole_in_pieces_cut_at_every_byte(tmp_path: Path) -> None:
+def test_lists_are_read_correctly_when_cut_at_any_byte(tmp_path: Path) -> None:
     def piece(version: int) -> bytes:
         return (
             chunk(change(version) + b"\n" + change(version + 1, indent=2))
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 0, 1])
-def test_an_object_costs_by_its_lines_and_not_by_their_square(indent: int | None) -> None:
+def test_reading_an_object_takes_linear_time_in_its_lines(indent: int | None) -> None:
     entries = [entry(f'a "{{[\\" {n}') for n in range(1024)]  # names that look like what they are not
     lines = json.dumps(whole(*entries), indent=indent).encode().split(b"\n")
     objects, began_s = ObjectReader(), time.process_time()
@@ -323,7 +323,9 @@
 
 
 @pytest.mark.parametrize(("parts", "told_whole"), [(6, True), (100, False)])
-def test_a_whole_list_may_come_slowly_but_has_to_end(tmp_path: Path, parts: int, told_whole: bool) -> None:
+def test_a_whole_list_may_arrive_slowly_within_a_time_limit(
+    tmp_path: Path, parts: int, told_whole: bool
+) -> None:
     async def slowly(agent: Agent, stream: trio.SocketStream) -> None:
         text = whole_list()[:-parts] if told_whole else OK + b"Content-Length: 1000000\r\n\r\n"
         await stream.send_all(text)
@@ -342,7 +344,7 @@
     run(script)
 
 
-def test_an_agent_that_was_down_is_heard_a_quarter_of_a_second_after_it_listens(tmp_path: Path) -> None:
+def test_a_restarted_agent_is_reached_within_the_retry_delay(tmp_path: Path) -> None:
     agent = Agent(tmp_path, told(41))
 
     async def script(nursery: trio.Nursery) -> None:
@@ -358,7 +360,7 @@
     run(script)
 
 
-def test_a_move_while_the_decisions_take_a_list_in_leaves_nothing_of_the_old_one(tmp_path: Path) -> None:
+def test_a_move_during_the_delivery_of_a_list_drops_the_old_discoverys_further_lists(tmp_path: Path) -> None:
     """Both changes have come when the relay is told to move; the first one is with the decisions."""
     old, new = Agent(tmp_path, told(41, 42)), Agent(tmp_path, told(43))
 
@@ -377,7 +379,7 @@
     run(script)
 
 
-def test_a_move_back_while_the_new_list_is_taken_in_asks_for_the_whole_again(tmp_path: Path) -> None:
+def test_a_move_back_during_the_delivery_of_the_new_list_fetches_the_whole_list(tmp_path: Path) -> None:
     async def whole_first(agent: Agent, stream: trio.SocketStream) -> None:
         old.may_hear = trio.Event()
         await stream.send_all(whole_list())
@@ -405,7 +407,7 @@
 
 @pytest.mark.parametrize("spread_s", [0.0, 23.0])
 @pytest.mark.parametrize("refusals", [0, 6])  # before its first call, or after some were refused
-def test_a_new_discovery_is_asked_at_once_and_pays_for_no_fault_of_the_old_one(
+def test_a_new_discovery_is_called_at_once_whatever_failures_the_old_one_had(
     tmp_path: Path, spread_s: float, refusals: int
 ) -> None:
     moved = []
@@ -429,7 +431,7 @@
     assert not spread_s or max(moved) - min(moved) > 0.3
 
 
-def test_an_agent_with_the_list_at_hand_is_asked_each_quarter_of_a_second(tmp_path: Path) -> None:
+def test_an_agent_with_pushed_lists_is_called_at_the_retry_delay(tmp_path: Path) -> None:
     agent = Agent(tmp_path, *[refused] * 6, told(41))
 
     async def script(nursery: trio.Nursery) -> None:
@@ -444,7 +446,7 @@
 
 
 @pytest.mark.parametrize("answer", [no_list, refused])
-def test_a_service_that_can_not_tell_the_whole_list_is_left_alone_for_as_long_as_the_clock_allows(
+def test_a_service_without_a_whole_list_is_called_as_rarely_as_the_time_limit_allows(
     tmp_path: Path, answer: Answer
 ) -> None:
     async def sound_once(agent: Agent, stream: trio.SocketStream) -> None:
@@ -484,7 +486,7 @@
 
 @pytest.mark.parametrize("relays", [230, 3_400])
 @pytest.mark.parametrize("fault", [refused, refused_late, silent, only_a_head, reset, no_list])
-def test_whatever_became_of_a_call_a_change_is_heard_in_time_once_discovery_can_be_reached(
+def test_a_change_arrives_in_time_after_any_kind_of_failed_call(
     tmp_path: Path, relays: int, fault: Answer
 ) -> None:
     """At each relay it can be reached again just after the last of its calls to fail has begun, which is the
@@ -510,7 +512,7 @@
     run(script, threshold_s=0.01)
 
 
-def test_a_process_that_asks_makes_its_first_call_before_it_counts_as_told(tmp_path: Path) -> None:
+def test_a_process_that_asks_makes_its_first_call_before_it_counts_as_informed(tmp_path: Path) -> None:
     settings = relaying.SETTINGS | {
         "registry_mode": "ask",
         "replicas_of_me": 230,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -64,7 +64,7 @@
     return stream
 
 
-def test_lines_pass_both_ways_and_a_half_close_is_carried_over(conf: Config) -> None:
+def test_lines_pass_both_ways_and_a_half_close_is_forwarded(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(b"PING\r\n" + OPEN)
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("wait", [b"2000", b"4294967"])  # it has no deadline: 2 ** 32 us stand for none
 @pytest.mark.parametrize("answer", [b"UP r1\r\n", b"BUSY\r\n"])
-def test_a_connection_that_stood_before_goes_to_its_server_and_no_other(
+def test_an_existing_connection_goes_to_its_server_and_no_other(
     conf: Config, answer: bytes, wait: bytes
 ) -> None:
     async def server(stream: trio.SocketStream) -> None:
@@ -99,7 +99,7 @@
     assert (counters.existing, counters.calls, counters.faults) == (1, 1, 0)
 
 
-def test_a_connection_that_stood_before_may_name_any_time(conf: Config) -> None:
+def test_an_existing_connection_may_give_any_wait_time(conf: Config) -> None:
     async def server(stream: trio.SocketStream) -> None:
         _, _, wait = (await read_line(stream)).partition(b",d=")
         assert 50_000 < int(wait.split(b",")[0]) <= lines.MOST_WAIT_MS
@@ -114,7 +114,7 @@
     assert play(conf, server, client).counters.malformed == 0
 
 
-def test_a_reset_is_carried_over_while_both_directions_are_read(conf: Config) -> None:
+def test_a_reset_is_forwarded_while_both_directions_are_read(conf: Config) -> None:
     async def reset(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"UP r1\r\n")
@@ -133,7 +133,7 @@
     assert play(conf, reset, client).counters.faults == 0
 
 
-def test_a_silent_server_ends_in_a_move_before_the_client_has_asked_twice(conf: Config) -> None:
+def test_the_client_of_a_silent_server_is_moved_before_it_asks_twice(conf: Config) -> None:
     clock = trio.testing.MockClock()
 
     async def silent(stream: trio.SocketStream) -> None:
@@ -153,7 +153,7 @@
     assert play(conf, silent, client, clock).counters.silent == 1
 
 
-def test_a_client_that_does_not_read_is_not_the_servers_silence(conf: Config) -> None:
+def test_a_client_that_does_not_read_does_not_count_as_a_silent_server(conf: Config) -> None:
     clock = trio.testing.MockClock()
 
     async def flood(stream: trio.SocketStream) -> None:
@@ -175,7 +175,7 @@
     assert play(conf, flood, client, clock).counters.silent == 0
 
 
-def test_a_move_waits_for_a_whole_line_also_with_a_slow_client(conf: Config) -> None:
+def test_a_move_waits_for_a_complete_line_even_with_a_slow_client(conf: Config) -> None:
     async def flood(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"UP r1\r\n")
@@ -197,12 +197,12 @@
 
 
 @pytest.mark.parametrize("load", [b"nan", b"inf", b"-1", b"much", b"1e300"])
-def test_a_load_that_is_no_load_never_reaches_the_decisions(load: bytes) -> None:
+def test_an_invalid_load_never_reaches_the_decisions(load: bytes) -> None:
     assert lines.read_load(load) is None
     assert lines.read_load(b"20205.057") == 20205.057
 
 
-def test_a_refusal_comes_at_once_and_says_when_to_come_again(conf: Config) -> None:
+def test_a_refusal_is_sent_at_once_with_a_retry_time(conf: Config) -> None:
     async def busy(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"BUSY\r\n")
@@ -250,7 +250,7 @@
     assert (counters.malformed, counters.calls) == (1, 0)
 
 
-def test_a_class_may_wait_longer_than_any_here(tmp_path: Path) -> None:
+def test_the_longest_class_limits_the_wait_time_of_a_request(tmp_path: Path) -> None:
     classes = [{**relaying.SETTINGS["classes"][0], "hard_limit_us": 90_000_000}]
     conf = relaying.config(tmp_path, settings={**relaying.SETTINGS, "classes": classes})
 
@@ -302,7 +302,7 @@
     play(conf, server, client, trio.testing.MockClock())
 
 
-def test_silent_clients_crowd_out_each_other_and_no_usual_one(tmp_path: Path) -> None:
+def test_silent_clients_displace_each_other_and_no_normal_client(tmp_path: Path) -> None:
     clock = trio.testing.MockClock()
     conf = relaying.config(tmp_path, limits={"sockets": 40})  # three may wait at once
 
@@ -325,7 +325,7 @@
     assert (counters.silent_clients, counters.crowded_out) == (5, 3)
 
 
-def test_a_client_that_floods_is_cut_off_without_being_read_to_its_end(conf: Config) -> None:
+def test_a_client_that_floods_is_cut_off_before_all_its_data_is_read(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         with pytest.raises(trio.BrokenResourceError):
@@ -343,7 +343,7 @@
     assert relaying.config(tmp_path, limits=limits).room.taken == taken
 
 
-def test_without_descriptors_a_client_is_refused_fail_fast(conf: Config) -> None:
+def test_a_client_is_refused_at_once_when_no_descriptor_is_left(conf: Config) -> None:
     class NoneLeft:
         def __init__(self, inner: trio.socket.SocketType) -> None:
             self.inner, self.calls = inner, 0
@@ -368,7 +368,7 @@
     trio.run(main)
 
 
-def test_at_sigterm_connections_stand_for_a_while_and_are_then_moved_one_by_one(conf: Config) -> None:
+def test_at_sigterm_connections_stay_for_a_while_and_are_then_moved_one_by_one(conf: Config) -> None:
     clock = trio.testing.MockClock()
 
     async def client(shared: Relay, port: int) -> None:
@@ -394,7 +394,7 @@
     play(conf, server, client, clock)
 
 
-def test_a_relay_that_holds_nothing_ends_at_once(conf: Config) -> None:
+def test_a_relay_without_clients_ends_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         began = trio.current_time()
         await finish_taken(Leaving(began, conf.settings, 30.0), shared)
@@ -403,7 +403,7 @@
     play(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
 
 
-def test_partial_gathered_writes_go_on_where_they_stopped() -> None:
+def test_partial_gathered_writes_continue_where_they_stopped() -> None:
     data = bytearray(OPEN)
     pieces = lines.parse_open(data, len(data)).with_wait(7)
     text = b"".join(pieces)
@@ -412,11 +412,11 @@
         assert b"".join(lines.unsent(pieces, sent)) == text[sent:]
 
 
-def test_numbers_do_not_depend_on_process_or_order() -> None:
+def test_server_numbers_do_not_depend_on_process_or_order() -> None:
     assert server_number("s-5be2a07c") == 386416519
 
 
-def test_a_bad_list_changes_nothing_and_gone_servers_leave(conf: Config) -> None:
+def test_an_invalid_list_changes_nothing_and_terminated_servers_are_removed(conf: Config) -> None:
     destinations = DestinationSet(conf.names)
     destinations.read(whole(entry("s-1"), entry("s-2"), seq=2))
     for bad in ([], {"seq": 2}, {"seq": 1, "whole": False, "hosts": [entry("s-1", health="terminated")]}):
@@ -442,7 +442,9 @@
         7,
     ],
 )
-def test_a_bad_entry_costs_neither_the_others_nor_what_was_known_of_it(conf: Config, bad: object) -> None:
+def test_an_invalid_entry_affects_neither_other_entries_nor_the_earlier_record(
+    conf: Config, bad: object
+) -> None:
     destinations = DestinationSet(conf.names)
     destinations.read(whole(entry("s-1"), entry("s-3")))
     told = destinations.read({"seq": 2, "whole": True, "hosts": [bad, entry("s-2")]})
@@ -456,7 +458,7 @@
     assert named == held == known and len(destinations.faults) == 1
 
 
-def test_an_older_whole_list_holds_but_brings_back_no_server_that_left(conf: Config) -> None:
+def test_an_older_whole_list_is_applied_but_restores_no_departed_server(conf: Config) -> None:
     """An agent may lag behind the one before it, or count anew; no new work may go to what drains."""
     destinations = DestinationSet(conf.names)
     heard = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-3"), seq=40))
@@ -475,7 +477,9 @@
     assert back.servers[0].state is interface.ServerState.READY
 
 
-def test_two_hosts_with_one_number_are_not_mixed_up(conf: Config, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_two_hosts_with_the_same_number_are_not_mixed_up(
+    conf: Config, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("glenfold.destinations.server_number", lambda host: 5)
     destinations = DestinationSet(conf.names)
     assert len(destinations.read(whole(entry("s-1"), entry("s-2"))).servers) == 1
@@ -521,7 +525,7 @@
 
 
 @pytest.mark.parametrize("text", [b"{", b"[" * 200_000, b'{"seq":"x"}', b"\xff"])
-def test_what_is_no_list_never_ends_the_relay(conf: Config, text: bytes) -> None:
+def test_an_invalid_list_never_ends_the_relay(conf: Config, text: bytes) -> None:
     async def heard(servers: interface.ServerList) -> None:
         raise AssertionError("it was taken for a list")
 
@@ -530,7 +534,7 @@
         trio.run(discovery._apply, text)
 
 
-def test_sighup_moves_discovery_and_keeps_what_is_known_through_a_faulty_file(tmp_path: Path) -> None:
+def test_sighup_switches_discovery_and_a_faulty_file_changes_nothing(tmp_path: Path) -> None:
     watched = [trio.Event(), trio.Event()]
     agents = [Agent(watched[0].set, entry("s-1")), Agent(watched[1].set, entry("s-1"), entry("s-2"))]
 
@@ -580,12 +584,12 @@
         relaying.config(tmp_path, **change)
 
 
-def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
     assert relaying.config(tmp_path, {"LB_LISTEN": "127.9.9.9:1"}).listen == ("127.9.9.9", 1)
 
 
 @pytest.mark.parametrize(("weight", "stays"), [(2.0, True), (0.8, False)])
-def test_a_weak_server_is_full_sooner_where_no_delay_is_told(weight: float, stays: bool) -> None:
+def test_a_weak_server_is_full_sooner_without_delay_reports(weight: float, stays: bool) -> None:
     """On sockets nothing tells that messages take long: the load and the listed weight must show it."""
     gateway = Gateway(servers=0, weighted=True)
     gateway.servers(
@@ -605,5 +609,5 @@
     assert (at_home == 12) == stays
 
 
-def test_the_kinds_names_come_from_the_settings(conf: Config) -> None:
+def test_the_names_of_kinds_come_from_the_settings(conf: Config) -> None:
     assert conf.settings.kinds == ("m",)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("fault", [refused, silent])
-def test_with_the_list_of_its_last_run_it_waits_for_no_discovery(tmp_path: Path, fault: Answer) -> None:
+def test_a_relay_with_a_stored_list_does_not_wait_for_discovery(tmp_path: Path, fault: Answer) -> None:
     """Nor for its part of a core to cover the start, where that would take too long."""
     known = whole(*(entry(f"s-{n}") for n in range(SERVERS)))
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("fault", [refused_late, reset])
-def test_without_a_list_that_can_be_read_it_is_ready_though_two_calls_fail(
+def test_a_relay_without_a_readable_list_is_ready_although_two_calls_fail(
     tmp_path: Path, fault: Answer
 ) -> None:
     """Each as late as may be, and the third is answered as late."""
