--- a/tests/daemon/test_control.py
+++ b/tests/daemon/test_control.py
@@ -45,7 +45,7 @@
         nursery.cancel_scope.cancel()
 
 
-@relaying.scripted(control)
+@relaying.async_test(control)
 async def test_it_tells_how_the_instance_stands(asked: Asked) -> None:
     assert stat.S_IMODE(asked.path.stat().st_mode) == 0o600
     asked.process.life.to(State.WAITING)
@@ -64,7 +64,7 @@
     }
 
 
-@relaying.scripted(control)
+@relaying.async_test(control)
 async def test_it_drains_and_reloads_by_word(asked: Asked, tmp_path: Path) -> None:
     assert await asked("reload") == {"instance": "a", "waits": ["listeners"]}
     (tmp_path / "faulty").touch()
@@ -87,7 +87,7 @@
         (b"x" * (MOST_QUESTION + 1), "a line is longer than"),
     ],
 )
-@relaying.scripted(control)
+@relaying.async_test(control)
 async def test_bad_input_gets_a_line_that_says_so(asked: Asked, said: bytes, told: str) -> None:
     async with await trio.open_unix_socket(asked.path) as stream:
         await stream.send_all(said)
@@ -95,7 +95,7 @@
     assert (await asked("status"))["instance"] == "a"
 
 
-@relaying.scripted(control)
+@relaying.async_test(control)
 async def test_clients_that_hang_keep_nobody_out(asked: Asked) -> None:
     hanging = [await trio.open_unix_socket(asked.path) for _ in range(3 * MOST_ASKING)]
     for _ in range(MOST_ASKING):
@@ -104,7 +104,7 @@
         await stream.aclose()
 
 
-@relaying.scripted(control)
+@relaying.async_test(control)
 async def test_a_client_that_reads_nothing_is_let_go(asked: Asked, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(asking, "ASKING_S", 0.05)
     with socket.socket(socket.AF_UNIX) as silent:
--- a/tests/daemon/test_notify.py
+++ b/tests/daemon/test_notify.py
@@ -50,7 +50,7 @@
 
 
 CLOCK = trio.testing.MockClock(autojump_threshold=0)
-in_virtual_time = relaying.scripted(instance, clock=CLOCK)
+in_virtual_time = relaying.async_test(instance, clock=CLOCK)
 
 
 @in_virtual_time
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -135,7 +135,7 @@
             gc.unfreeze()
 
 
-@relaying.scripted(listless)
+@relaying.async_test(listless)
 async def test_ping_waits_for_a_list_while_clients_are_served_and_then_is_answered(process: Process):
     states: list[State] = []
     process.life.watches.append(lambda _, now: states.append(now))
--- a/tests/daemon/test_takeover.py
+++ b/tests/daemon/test_takeover.py
@@ -38,7 +38,9 @@
         self.wants = listeners.where([self.sock])
 
     async def begin(self) -> None:
-        served = await self.nursery.start(partial(trio.serve_tcp, relaying.up, 0, host="127.0.0.1"))
+        served = await self.nursery.start(
+            partial(trio.serve_tcp, relaying.accept_and_echo, 0, host="127.0.0.1")
+        )
         hosts = relaying.whole(relaying.entry("s-0", written(served[0].socket.getsockname())))
         self.config = relaying.config(self.place.folder, known=hosts)
         self.life = Life(self, None)
@@ -128,7 +130,7 @@
     return found.count(os.fstat(file.fileno()).st_ino)
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_three_restarts_under_a_stream_of_clients_refuse_and_reset_nobody(made: House) -> None:
     for _ in range(3):
         before = made.life
@@ -141,7 +143,7 @@
     await made.answers_all()
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_clients_in_the_kernels_queue_are_taken_though_the_old_one_dies(made: House) -> None:
     taken = await made.take_over()
     made.life.process.pause(made.life.process.listeners)
@@ -157,7 +159,7 @@
 
 
 @pytest.mark.parametrize("how", ["dies", "it is late", "told to stop"])
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_a_new_one_that_does_not_get_ready_leaves_the_old_one_serving(made: House, how: str) -> None:
     made.life.keeper.place = Place(made.place.folder, "cardiff-1", 0.05 if how == "it is late" else 30.0)
     taken = await made.take_over()
@@ -179,7 +181,7 @@
     await made.next()  # and the next one may take over
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_a_new_one_that_dies_when_the_old_one_has_paused_gives_it_back(made: House) -> None:
     channel = Channel(await made.connect(), 8)
     hello = handshake.Hello(handshake.FORMAT, "cardiff-1", made.wants)
@@ -193,7 +195,7 @@
     await made.answers_all()
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_one_that_dies_before_its_offer_is_as_none(made: House) -> None:
     async with trio.open_nursery() as nursery:
         made.life.keeper._asking = takeover.MOST_ASKING  # it hears nobody, and closes
@@ -202,7 +204,7 @@
     assert made.place.path.exists() and await ask(made.place, made.wants, trio.current_time()) is None
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_addresses_in_common_are_passed_on_others_opened_or_closed(made: House) -> None:
     other, new, given = (listeners.listen("127.0.0.1:0") for _ in range(3))
     made.life.process.listeners.append(trio.socket.from_stdlib_socket(other))
@@ -219,7 +221,7 @@
         await trio.open_tcp_stream(*gone)
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_the_locks_descriptor_is_passed_on_and_stays_locked(made: House, tmp_path: Path) -> None:
     made.life.keeper.lock = os.open(tmp_path / "lock", os.O_CREAT | os.O_RDWR)
     fcntl.flock(made.life.keeper.lock, fcntl.LOCK_EX)
@@ -233,7 +235,7 @@
         fcntl.flock(stranger, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_what_can_not_be_had_or_taken_ends_it_with_a_reason_and_no_leak(
     made: House, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -248,7 +250,7 @@
     await made.answers_all()
 
 
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_only_its_own_user_is_let_in(made: House, monkeypatch: pytest.MonkeyPatch) -> None:
     assert stat.S_IMODE(made.place.path.stat().st_mode) == 0o600
     monkeypatch.setattr(takeover.os, "getuid", lambda: 12345)
@@ -263,7 +265,7 @@
     [b"{", b"x" * 70_000, b"[" * 60_000, json.dumps({"type": "Hello"}).encode()],
     ids=["cut", "long", "deep", "incomplete"],
 )
-@relaying.scripted(house)
+@relaying.async_test(house)
 async def test_what_is_no_message_is_refused_and_costs_nothing(made: House, data: bytes) -> None:
     with await made.connect() as sock, (made.place.folder / "stranger").open("w") as file:
         socket.send_fds(sock, [data], [file.fileno()])
--- a/tests/relaying.py
+++ b/tests/relaying.py
@@ -19,7 +19,7 @@
 from glenfold.net.inbound import Inbound, Relay
 
 Handler = Callable[[trio.SocketStream], Awaitable[None]]
-Setting = Callable[[Path], AbstractAsyncContextManager[Any]]
+SetUp = Callable[[Path], AbstractAsyncContextManager[Any]]
 SETTINGS: dict[str, Any] = {
     "classes": [{"name": "watch", "aim_us": 500000, "hard_limit_us": 3000000, "semantics": "repeatable"}],
     "accounts": [{"name": "valleys"}],
@@ -50,13 +50,13 @@
     return {"seq": seq, "whole": True, "hosts": list(entries)}
 
 
-def write(folder: Path, **changes: object) -> None:
+def write_config(folder: Path, **changes: object) -> None:
     document = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "settings": SETTINGS, "seed": "1f"}
     (folder / "config.json").write_text(json.dumps(document | changes))
 
 
 def config(folder: Path, environment: dict[str, str] | None = None, **changes: object) -> Config:
-    write(folder, **changes)
+    write_config(folder, **changes)
     return read_config({"LB_CONFIG": str(folder / "config.json"), **(environment or {})})
 
 
@@ -68,8 +68,8 @@
         clock, destinations = Clock(), DestinationSet(conf.names)
         shared = Relay(conf, clock, Decisions(conf.settings, conf.seed, clock), destinations, Counters())
         shared.ready.set()
-        hosts_listed = [entry(f"s-{n}", f"127.0.0.1:{port}") for n in range(hosts)]
-        await shared.decisions.tell(destinations.read(whole(*hosts_listed), cached=True))
+        entries = [entry(f"s-{n}", f"127.0.0.1:{port}") for n in range(hosts)]
+        await shared.decisions.tell(destinations.read(whole(*entries), cached=True))
         nursery.start_soon(shared.decisions.run)
         listener = trio.socket.socket()
         await listener.bind(("127.0.0.1", 0))
@@ -81,10 +81,10 @@
         listener.close()
 
 
-async def up(stream: trio.SocketStream, more: bytes = b"") -> None:
+async def accept_and_echo(stream: trio.SocketStream, following_data: bytes = b"") -> None:
     """A push server that accepts, and sends one line back."""
     await read_line(stream)
-    await stream.send_all(b"UP r1\r\n" + more)
+    await stream.send_all(b"UP r1\r\n" + following_data)
     await stream.send_all(await read_line(stream))
     await stream.receive_some()
 
@@ -111,26 +111,30 @@
     return line
 
 
-def scripted(setting: Setting, **how: Any) -> Callable[[Callable[..., Awaitable[None]]], Callable[..., None]]:
+def async_test(
+    set_up: SetUp, **run_options: Any
+) -> Callable[[Callable[..., Awaitable[None]]], Callable[..., None]]:
     """A test of an async function: its first argument is what the setting, made in `tmp_path`, yields; the
     others are fixtures and parameters as usual. `how` goes to trio.run."""
 
     def decorate(script: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-        asked = list(signature(script).parameters.values())[1:]
+        parameters = list(signature(script).parameters.values())[1:]
 
-        def test(**given: Any) -> None:
+        def test(**arguments: Any) -> None:
             async def main() -> None:
-                async with setting(given["tmp_path"]) as made:
-                    await script(made, **{one.name: given[one.name] for one in asked})
+                async with set_up(arguments["tmp_path"]) as context:
+                    await script(
+                        context, **{parameter.name: arguments[parameter.name] for parameter in parameters}
+                    )
 
-            trio.run(main, **how)
+            trio.run(main, **run_options)
 
-        more = (
+        extra_parameters = (
             []
-            if "tmp_path" in (one.name for one in asked)
+            if "tmp_path" in (parameter.name for parameter in parameters)
             else [Parameter("tmp_path", Parameter.POSITIONAL_OR_KEYWORD)]
         )
-        test.__signature__ = Signature([*more, *asked])  # type: ignore[attr-defined]
+        test.__signature__ = Signature([*extra_parameters, *parameters])  # type: ignore[attr-defined]
         return test
 
     return decorate
@@ -139,11 +143,11 @@
 @contextmanager
 def full_pipe() -> Iterator[tuple[BinaryIO, BinaryIO, int]]:
     """Nobody has read from it: the next write blocks. Also how much there is to be read."""
-    ends = os.pipe()
-    with open(ends[0], "rb", 0) as reader, open(ends[1], "wb", 0) as writer:
+    descriptors = os.pipe()
+    with open(descriptors[0], "rb", 0) as reader, open(descriptors[1], "wb", 0) as writer:
         os.set_blocking(writer.fileno(), False)
-        filled = 0
-        while (done := writer.write(b"#" * 4096)) is not None:
-            filled += done
+        filled_bytes = 0
+        while (written_bytes := writer.write(b"#" * 4096)) is not None:
+            filled_bytes += written_bytes
         os.set_blocking(writer.fileno(), True)
-        yield reader, writer, filled
+        yield reader, writer, filled_bytes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,41 +19,43 @@
 from glenfold.net.inbound import Exchange, Inbound, Relay
 from linnetspread import interface
 
-MID = OPEN.replace(b",zz=1", b",mid=1,zz=1")
-AT = OPEN.replace(b",zz=1", b",at=s-0,zz=1")
+MID_FLOW_OPEN = OPEN.replace(b",zz=1", b",mid=1,zz=1")
+EXISTING_OPEN = OPEN.replace(b",zz=1", b",at=s-0,zz=1")
 LIMITS = {"invariants": {"stop_sending_within_us": 2_000_000}, "ceilings": {"connect_timeout_us": 5_000_000}}
-FLOOD = 300_000  # bytes: more than the kernel takes for who reads none, so that an end behind them is unseen
-GONE_S = 0.1  # after its end a client may have no attempt that begins later
-Client = Callable[[Relay, int], Awaitable[None]]
+FLOOD_BYTES = (
+    300_000  # bytes: more than the kernel takes for who reads none, so that an end behind them is unseen
+)
+MAX_HANGUP_DELAY_S = 0.1  # after its end a client may have no attempt that begins later
+ClientScript = Callable[[Relay, int], Awaitable[None]]
 
 
-def play(
+def run_relay(
     folder: Path,
     handler: relaying.Handler,
-    client: Client,
+    client: ClientScript,
     clock: trio.abc.Clock | None = None,
     hosts: int = 1,
     **changes: Any,
 ) -> Relay:
     """Whatever crossed, nothing of it is left behind."""
-    seen: list[Relay] = []
+    relays_started: list[Relay] = []
 
     async def main() -> None:
         conf = relaying.config(folder, settings={**relaying.SETTINGS, **LIMITS}, **changes)
         with trio.fail_after(20):
             async with relay(conf, handler, hosts) as (shared, _, port):
-                seen.append(shared)
+                relays_started.append(shared)
                 await client(shared, port)
                 balancer = shared.decisions.dispatch.balancer
                 while shared.ids or shared.unanswered or balancer.held or sum(balancer.by_tenant):
                     await trio.lowlevel.checkpoint()
 
     trio.run(main, clock=clock)
-    assert seen[0].counters.faults == 0
-    return seen[0]
+    assert relays_started[0].counters.faults == 0
+    return relays_started[0]
 
 
-class Heard:
+class SilentServer:
     """A push server that answers nothing, and what it was sent."""
 
     def __init__(self) -> None:
@@ -64,27 +66,27 @@
         await trio.sleep_forever()
 
 
-def plain_client(port: int, data: bytes) -> socket.socket:
+def connect_with(port: int, data: bytes) -> socket.socket:
     """Its sends and ends are in the kernel once they return, with no turn of the loop between."""
     client = socket.create_connection(("127.0.0.1", port))
     client.sendall(data)
     return client
 
 
-def at_look(monkeypatch: pytest.MonkeyPatch, do: Callable[[], object], number: int = 2) -> None:
+def before_check(monkeypatch: pytest.MonkeyPatch, action: Callable[[], object], number: int = 2) -> None:
     """`do` runs just before that look of all: the first precedes a call, the second, once it has connected,
     its line."""
-    look, looks = Exchange._check_before_send, count(1)
+    check, checks = Exchange._check_before_send, count(1)
 
-    def then_look(self: Exchange, *given: Any) -> object:
-        if next(looks) == number:
-            do()
-        return look(self, *given)
+    def checked(self: Exchange, *arguments: Any) -> object:
+        if next(checks) == number:
+            action()
+        return check(self, *arguments)
 
-    monkeypatch.setattr(Exchange, "_check_before_send", then_look)
+    monkeypatch.setattr(Exchange, "_check_before_send", checked)
 
 
-def leave(client: socket.socket, how: str) -> None:
+def disconnect(client: socket.socket, how: str) -> None:
     if how == "reset":
         sockets.reset_on_close(client)  # type: ignore[arg-type]
     elif how == "behind bytes":
@@ -97,50 +99,50 @@
     [
         (OPEN, "end"),
         (OPEN, "reset"),
-        (MID, "end"),
-        (MID, "reset"),
-        (MID, "behind bytes"),
-        (AT, "behind bytes"),
+        (MID_FLOW_OPEN, "end"),
+        (MID_FLOW_OPEN, "reset"),
+        (MID_FLOW_OPEN, "behind bytes"),
+        (EXISTING_OPEN, "behind bytes"),
     ],
 )
-@pytest.mark.parametrize("look", [1, 2])
+@pytest.mark.parametrize("check", [1, 2])
 def test_a_client_that_left_before_a_call_begins_or_connects_is_not_forwarded(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, how: str, look: int
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, how: str, check: int
 ) -> None:
-    heard, clients = Heard(), list[socket.socket]()
+    heard, clients = SilentServer(), list[socket.socket]()
     monkeypatch.setattr(Exchange, "_watch_client", lambda self: trio.sleep_forever())  # a loop that lags
-    at_look(monkeypatch, lambda: leave(clients[0], how), look)
+    before_check(monkeypatch, lambda: disconnect(clients[0], how), check)
 
     async def client(shared: Relay, port: int) -> None:
-        clients.append(plain_client(port, line))
+        clients.append(connect_with(port, line))
         while not (shared.counters.left or heard.lines):
             await trio.lowlevel.checkpoint()
 
-    counters = play(tmp_path, heard, client).counters
-    assert heard.lines in ([], [b""][: look - 1])  # a connection that ends without a line, or none
+    counters = run_relay(tmp_path, heard, client).counters
+    assert heard.lines in ([], [b""][: check - 1])  # a connection that ends without a line, or none
     assert (counters.left, counters.left_unsent, counters.answered_failed) == (1, 1, 0)
 
 
-@pytest.mark.parametrize("line", [MID, AT])
+@pytest.mark.parametrize("line", [MID_FLOW_OPEN, EXISTING_OPEN])
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("after_s", [0.001, 0.03, 0.06, 0.09])  # one is just after a look
 def test_the_hangup_of_a_client_behind_much_early_data_is_seen_at_once(
     tmp_path: Path, line: bytes, how: str, after_s: float
 ) -> None:
     clock = trio.testing.MockClock(autojump_threshold=0.01)
-    heard = Heard()
+    heard = SilentServer()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = plain_client(port, line + b"M" * 3 * lines.MAX_LINE)
+        stream = connect_with(port, line + b"M" * 3 * lines.MAX_LINE)
         await trio.testing.wait_all_tasks_blocked(0.005)
         await trio.sleep(after_s)
-        leave(stream, how)
+        disconnect(stream, how)
         left_at = trio.current_time()
         while shared.unanswered or not shared.counters.taken:
             await trio.sleep(0.005)
-        assert trio.current_time() - left_at < GONE_S
+        assert trio.current_time() - left_at < MAX_HANGUP_DELAY_S
 
-    assert play(tmp_path, heard, client, clock).counters.left == 1
+    assert run_relay(tmp_path, heard, client, clock).counters.left == 1
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "behind bytes", "behind a flood"])
@@ -154,23 +156,23 @@
 
     async def full(stream: trio.SocketStream) -> None:
         calls.append(await read_line(stream))
-        leave(clients[0], how)
+        disconnect(clients[0], how)
         await stream.send_all(b"BUSY\r\n")
 
     async def client(shared: Relay, port: int) -> None:
-        early = b"M" * FLOOD if how == "behind a flood" else b""
-        clients.append(plain_client(port, MID + early))
+        early = b"M" * FLOOD_BYTES if how == "behind a flood" else b""
+        clients.append(connect_with(port, MID_FLOW_OPEN + early))
         while not shared.counters.left_unsent and len(calls) < 2:
             await trio.lowlevel.checkpoint()
 
-    counters = play(tmp_path, full, client, hosts=3).counters
+    counters = run_relay(tmp_path, full, client, hosts=3).counters
     first = [0, 1] if how == "behind a flood" else [1]  # that may be seen before the first call, or after it
     assert len(calls) in first and counters.left_unsent == 1
 
 
 def test_a_flood_does_not_break_an_existing_connection(tmp_path: Path) -> None:
     async def client(shared: Relay, port: int) -> None:
-        with plain_client(port, AT + b"M" * FLOOD + b"\r\n") as sock:
+        with connect_with(port, EXISTING_OPEN + b"M" * FLOOD_BYTES + b"\r\n") as sock:
             stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
             assert await read_line(stream) == b"UP r1\r\n"
 
@@ -181,23 +183,23 @@
             while await stream.receive_some():
                 pass
 
-    play(tmp_path, server, client)
+    run_relay(tmp_path, server, client)
 
 
-class Held:
+class BlockedDecisions:
     """Decisions whose queue is full just as a connection has come up: who tells them that waits."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.come, self.go_on = trio.Event(), trio.Event()
+        self.reached, self.go_on = trio.Event(), trio.Event()
         tell = Decisions.tell
 
-        async def held(decisions: Decisions, message: Any) -> None:
+        async def blocked(decisions: Decisions, message: Any) -> None:
             if isinstance(message, interface.Established):
-                self.come.set()
+                self.reached.set()
                 await self.go_on.wait()
             await tell(decisions, message)
 
-        monkeypatch.setattr(Decisions, "tell", held)
+        monkeypatch.setattr(Decisions, "tell", blocked)
 
 
 async def up_and_echo(stream: trio.SocketStream) -> None:
@@ -207,31 +209,31 @@
         await stream.send_all(line)
 
 
-@pytest.mark.parametrize("line", [OPEN, MID])
+@pytest.mark.parametrize("line", [OPEN, MID_FLOW_OPEN])
 def test_a_line_sent_right_after_the_receipt_is_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes
 ) -> None:
-    held = Held(monkeypatch)
+    blocked = BlockedDecisions(monkeypatch)
 
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(line)
         assert await read_line(stream) == b"UP r1\r\n"
-        await held.come.wait()
+        await blocked.reached.wait()
         await stream.send_all(b"M 1\r\n")
         await trio.testing.wait_all_tasks_blocked(0.05)
-        held.go_on.set()
+        blocked.go_on.set()
         assert await read_line(stream) == b"M 1\r\n"
         await stream.aclose()
 
-    play(tmp_path, up_and_echo, client)
+    run_relay(tmp_path, up_and_echo, client)
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_a_client_that_closes_as_its_receipt_arrives_leaves_no_state_in_the_decisions(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    held, over = Held(monkeypatch), trio.Event()
+    blocked, over = BlockedDecisions(monkeypatch), trio.Event()
 
     async def server(stream: trio.SocketStream) -> None:
         await read_line(stream)
@@ -241,14 +243,14 @@
         over.set()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = plain_client(port, OPEN)
-        await held.come.wait()
-        leave(stream, how)
+        stream = connect_with(port, OPEN)
+        await blocked.reached.wait()
+        disconnect(stream, how)
         await trio.testing.wait_all_tasks_blocked(0.05)
-        held.go_on.set()
+        blocked.go_on.set()
         await over.wait()  # the end is passed on
 
-    play(tmp_path, server, client)
+    run_relay(tmp_path, server, client)
 
 
 def test_a_client_that_closes_before_its_receipt_is_read_leaves_no_state(
@@ -265,40 +267,41 @@
     monkeypatch.setattr(outbound, "kernel_times", then)
 
     async def client(shared: Relay, port: int) -> None:
-        clients.append(plain_client(port, OPEN))
+        clients.append(connect_with(port, OPEN))
         while not shared.counters.answered_up + shared.counters.left:
             await trio.lowlevel.checkpoint()
 
-    play(tmp_path, up_and_echo, client)
+    run_relay(tmp_path, up_and_echo, client)
 
 
 @pytest.mark.parametrize(
-    ("line", "passed_s", "sent"), [(OPEN, 0.0, False), (MID, 0.9, True), (MID, 1.1, False), (AT, 1.1, True)]
+    ("line", "passed_s", "sent"),
+    [(OPEN, 0.0, False), (MID_FLOW_OPEN, 0.9, True), (MID_FLOW_OPEN, 1.1, False), (EXISTING_OPEN, 1.1, True)],
 )
 def test_a_server_that_drains_while_a_call_connects_gets_no_new_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, passed_s: float, sent: bool
 ) -> None:
     """In mid flow it goes on there, within half of the time for which it may be sent."""
-    heard, clock, relays = Heard(), trio.testing.MockClock(), list[Relay]()
+    heard, clock, relays = SilentServer(), trio.testing.MockClock(), list[Relay]()
 
     def drain() -> None:
-        known = relays[0].destinations.state().known
-        host, port = next(iter(known.values())).address
+        records = relays[0].destinations.state().known
+        host, port = next(iter(records.values())).address
         relays[0].destinations.read(
             {"seq": 2, "whole": False, "hosts": [entry("s-0", f"{host}:{port}", health="terminating")]}
         )  # the decisions have yet to hear of it
         clock.jump(passed_s)
 
-    at_look(monkeypatch, drain)
+    before_check(monkeypatch, drain)
 
     async def client(shared: Relay, port: int) -> None:
         relays.append(shared)
-        stream = plain_client(port, line)
+        stream = connect_with(port, line)
         while not heard.lines:
             await trio.lowlevel.checkpoint()
         stream.close()
 
-    play(tmp_path, heard, client, clock)
+    run_relay(tmp_path, heard, client, clock)
     assert bool(heard.lines[0]) == sent
 
 
@@ -323,7 +326,7 @@
         assert await read_line(first) == b"UP r1\r\n"
         await first.aclose()
 
-    assert play(tmp_path, up_and_echo, client, limits={"sockets": 40}).counters.crowded_out == 1
+    assert run_relay(tmp_path, up_and_echo, client, limits={"sockets": 40}).counters.crowded_out == 1
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -334,14 +337,14 @@
     servers = list[trio.SocketStream]()
     send = passing.send
 
-    async def met(sock: sockets.SocketType, data: bytes) -> None:
+    async def send_to_closed(sock: sockets.SocketType, data: bytes) -> None:
         if data == b"M 2\r\n":
             if how == "reset":
                 sockets.reset_on_close(servers[0].socket)
             servers[0].socket.close()  # with nothing unread: an end, unless it is to be a reset
         await send(sock, data)
 
-    monkeypatch.setattr(passing, "send", met)
+    monkeypatch.setattr(passing, "send", send_to_closed)
 
     async def server(stream: trio.SocketStream) -> None:
         servers.append(stream)
@@ -364,10 +367,10 @@
             assert await stream.receive_some() == b""
         await stream.aclose()
 
-    assert play(tmp_path, server, client).counters.broken == 1
+    assert run_relay(tmp_path, server, client).counters.broken == 1
 
 
-async def spoilt(stream: trio.SocketStream, *parts: bytes, then: str = "hold") -> None:
+async def malformed_answer(stream: trio.SocketStream, *parts: bytes, then: str = "hold") -> None:
     """A push server's answer to the first line, and what it does after that."""
     await read_line(stream)
     for part in parts:
@@ -401,15 +404,15 @@
 
     async def server(stream: trio.SocketStream) -> None:
         with suppress(trio.BrokenResourceError):
-            await spoilt(stream, *parts, then=then)
+            await malformed_answer(stream, *parts, then=then)
 
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(OPEN)
-        got = [await read_line(stream), await read_line(stream)]
-        assert (got[0].split()[0], got[1]) in ((b"BUSY", b""), (b"ERR", b""))
+        answers = [await read_line(stream), await read_line(stream)]
+        assert (answers[0].split()[0], answers[1]) in ((b"BUSY", b""), (b"ERR", b""))
 
-    play(tmp_path, server, client, trio.testing.MockClock())
+    run_relay(tmp_path, server, client, trio.testing.MockClock())
 
 
 def test_a_server_answer_that_trickles_ends_at_the_deadline(tmp_path: Path) -> None:
@@ -430,7 +433,9 @@
         assert trio.current_time() - asked_at < 2.05
         assert await read_line(stream) == b""
 
-    assert play(tmp_path, server, client, clock, hosts=2).counters.calls == 2  # half of that for the first
+    assert (
+        run_relay(tmp_path, server, client, clock, hosts=2).counters.calls == 2
+    )  # half of that for the first
 
 
 @pytest.mark.parametrize("deadline_first", [False, True])
@@ -469,4 +474,4 @@
             await stream.aclose()
         await ended.wait()
 
-    play(tmp_path, server, client, clock)
+    run_relay(tmp_path, server, client, clock)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -27,10 +27,10 @@
 from glenfold.net.sockets import SocketType
 
 SOCKETS = 64  # of the relay, by its configuration and by the kernel's limit
-FILLED_S = 1.5
-EVERY_S = 0.002  # a client comes: faster ones would leave before they are accepted
-MOST_REQUESTS = 60  # held open at a time, several times what the relay has room for
-MOST_OTHERS = 200
+FLOOD_DURATION_S = 1.5
+CLIENT_INTERVAL_S = 0.002  # a client comes: faster ones would leave before they are accepted
+MAX_OPEN_REQUESTS = 60  # held open at a time, several times what the relay has room for
+MAX_OTHER_CLIENTS = 200
 REQUEST = b"OPEN %x 1 c=watch,t=valleys,d=3000\r\n"
 FIRST_BYTES = (b"", b"PING\r\n", b"half a li", b"no line\r\nand more", REQUEST)
 
@@ -42,20 +42,22 @@
         self._port = port
         self._requests: deque[socket.socket] = deque()
         self._others: deque[socket.socket] = deque()
-        self.came = 0
+        self.clients_started = 0
 
-    def one_more(self) -> None:
-        self.came += 1
-        first = FIRST_BYTES[self.came % len(FIRST_BYTES)]
+    def add_client(self) -> None:
+        self.clients_started += 1
+        first = FIRST_BYTES[self.clients_started % len(FIRST_BYTES)]
         requests = first is REQUEST
-        held, most = (self._requests, MOST_REQUESTS) if requests else (self._others, MOST_OTHERS)
+        held, max_count = (
+            (self._requests, MAX_OPEN_REQUESTS) if requests else (self._others, MAX_OTHER_CLIENTS)
+        )
         client = socket.socket()
         held.append(client)
         client.settimeout(0.2)
         with suppress(OSError):  # its answer may have come, and its end
             client.connect(("127.0.0.1", self._port))
-            client.sendall(first % self.came if requests else first)
-        if len(held) > most:
+            client.sendall(first % self.clients_started if requests else first)
+        if len(held) > max_count:
             held.popleft().close()
 
     def end(self) -> None:
@@ -63,39 +65,39 @@
             client.close()
 
 
-class Watched:
+class DescriptorWatch:
     """The most descriptors that a process was seen to hold."""
 
     def __init__(self, process: int) -> None:
-        self.most = 0
-        self._folder, self._over = f"/proc/{process}/fd", threading.Event()
-        self._thread = threading.Thread(target=self._look)
+        self.max_count = 0
+        self._folder, self._stopped = f"/proc/{process}/fd", threading.Event()
+        self._thread = threading.Thread(target=self._poll)
 
-    def __enter__(self) -> "Watched":
+    def __enter__(self) -> "DescriptorWatch":
         self._thread.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._over.set()
+        self._stopped.set()
         self._thread.join()
 
-    def _look(self) -> None:
-        while not self._over.is_set():
-            self.most = max(self.most, len(os.listdir(self._folder)))
+    def _poll(self) -> None:
+        while not self._stopped.is_set():
+            self.max_count = max(self.max_count, len(os.listdir(self._folder)))
             time.sleep(0.0005)
 
 
-class Open:
+class OpenConnections:
     """How many accepted clients are not closed yet."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.count = 0
         connection = Inbound._connection
 
-        async def counted(inbound: Inbound, *given: Any) -> None:
+        async def counted(inbound: Inbound, *arguments: Any) -> None:
             self.count += 1
             try:
-                await connection(inbound, *given)
+                await connection(inbound, *arguments)
             finally:
                 self.count -= 1
 
@@ -127,7 +129,7 @@
 @contextmanager
 def relay_process(folder: Path, discovery: int, server: int) -> Iterator[tuple[subprocess.Popen[str], int]]:
     """Once it listens, with its port."""
-    relaying.write(
+    relaying.write_config(
         folder,
         listen="127.0.0.1:0",
         discovery=f"127.0.0.1:{discovery}",
@@ -171,24 +173,24 @@
         discovery.bind(("127.0.0.1", 0))
         with relay_process(tmp_path, discovery.getsockname()[1], server) as (process, port):
             flood = Flood(port)
-            with Watched(process.pid) as watched:
-                until = time.monotonic() + FILLED_S
-                while time.monotonic() < until:
-                    flood.one_more()
-                    time.sleep(EVERY_S)
+            with DescriptorWatch(process.pid) as descriptor_watch:
+                deadline = time.monotonic() + FLOOD_DURATION_S
+                while time.monotonic() < deadline:
+                    flood.add_client()
+                    time.sleep(CLIENT_INTERVAL_S)
                 discovery.listen()
                 discovery.settimeout(0.001)
-                until = time.monotonic() + MAX_LIST_DELAY_S
-                call = None
-                while call is None and time.monotonic() < until:
-                    flood.one_more()
+                deadline = time.monotonic() + MAX_LIST_DELAY_S
+                discovery_call = None
+                while discovery_call is None and time.monotonic() < deadline:
+                    flood.add_client()
                     with suppress(TimeoutError):
-                        call = discovery.accept()[0]
+                        discovery_call = discovery.accept()[0]
             flood.end()
-            assert call is not None
-            call.close()
+            assert discovery_call is not None
+            discovery_call.close()
     log = (tmp_path / "log").read_text()
-    assert flood.came > 4 * SOCKETS and watched.most < SOCKETS
+    assert flood.clients_started > 4 * SOCKETS and descriptor_watch.max_count < SOCKETS
     assert "connect_failed" not in log and "faults=0" in log
 
 
@@ -196,9 +198,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """However many come in one turn of the loop."""
-    clients = Open(monkeypatch)
+    clients = OpenConnections(monkeypatch)
     conf = relaying.config(tmp_path, limits={"sockets": SOCKETS})
-    most = SOCKETS - OWN_SOCKETS
+    max_count = SOCKETS - OWN_SOCKETS
     seen: list[int] = []
 
     async def silent(stream: trio.SocketStream) -> None:
@@ -209,19 +211,19 @@
         async with relay(conf, silent) as (shared, inbound, port):
             flood = Flood(port)
             for _ in range(2 * SOCKETS - 8):
-                flood.one_more()  # the loop does not turn meanwhile, so no more than the kernel queues
-            while shared.counters.accepted < flood.came:
+                flood.add_client()  # the loop does not turn meanwhile, so no more than the kernel queues
+            while shared.counters.accepted < flood.clients_started:
                 await trio.lowlevel.checkpoint()
                 seen.append(clients.count + inbound._taken)
             flood.end()
 
     trio.run(main, clock=trio.testing.MockClock())
-    assert conf.room.waiting + 2 * conf.room.taken < max(seen) <= most
+    assert conf.room.waiting + 2 * conf.room.taken < max(seen) <= max_count
 
 
 def test_a_client_that_reads_nothing_is_still_closed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Its answer finds no room with the kernel, and nobody waits for that for long."""
-    clients = Open(monkeypatch)
+    clients = OpenConnections(monkeypatch)
 
     async def no_room(sock: SocketType, data: bytes) -> None:
         await trio.sleep_forever()
@@ -229,7 +231,7 @@
     monkeypatch.setattr(inbound_module, "send", no_room)
 
     async def main() -> None:
-        async with relay(relaying.config(tmp_path), relaying.up) as (shared, inbound, port):
+        async with relay(relaying.config(tmp_path), relaying.accept_and_echo) as (shared, inbound, port):
             idle = [socket.create_connection(("127.0.0.1", port)) for _ in range(2)]
             idle[0].sendall(b"no line\r\n")  # and the other says nothing
             with trio.fail_after(FIRST_LINE_TIMEOUT_S + 2 * CLOSING_TIMEOUT_S):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,32 +14,32 @@
 from glenfold.net.discovery import MAX_ASKING_ANSWER_S, MAX_LIST_DELAY_S, Discovery
 from linnetspread import interface
 
-WHOLE, WATCH = b"/v1/servers", b"/v1/servers?watch=1&from=%d"
+WHOLE_LIST_PATH, WATCH_PATH = b"/v1/servers", b"/v1/servers?watch=1&from=%d"
 OK = b"HTTP/1.1 200 OK\r\n"
-LIST = json.dumps(whole(entry("s-1"), seq=41)).encode()
+LIST_BODY = json.dumps(whole(entry("s-1"), seq=41)).encode()
 
 
-def change(seq: int) -> bytes:
+def watch_response(seq: int) -> bytes:
     line = json.dumps(whole(entry("s-2"), seq=seq) | {"whole": False}).encode() + b"\n"
     return OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
 
 
-def whole_list() -> bytes:
-    return OK + b"Content-Length: %d\r\n\r\n" % len(LIST) + LIST
+def whole_list_response() -> bytes:
+    return OK + b"Content-Length: %d\r\n\r\n" % len(LIST_BODY) + LIST_BODY
 
 
-def busy() -> bytes:
+def unavailable_response() -> bytes:
     return b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
-class Scripted:
+class ScriptedAgent:
     """Answers the calls one after the other by a script; what has no answer waits for ever. `asked` has each
     call with its moment."""
 
     def __init__(self, *script: bytes) -> None:
         self.script = list(script)
-        self.asked: list[tuple[float, bytes]] = []
-        self.over = trio.Event()
+        self.requests: list[tuple[float, bytes]] = []
+        self.script_done = trio.Event()
 
     async def answer(self, stream: trio.SocketStream) -> None:
         while line := await read_line(stream):
@@ -47,27 +47,27 @@
                 continue
             while await read_line(stream) != b"\r\n":
                 pass
-            self.asked.append((trio.current_time(), line.split()[1]))
+            self.requests.append((trio.current_time(), line.split()[1]))
             if not self.script:
-                self.over.set()
+                self.script_done.set()
             else:
                 await stream.send_all(self.script.pop(0))
 
 
 def follow(
     tmp_path: Path,
-    agent: Scripted,
+    agent: ScriptedAgent,
     known: bool = False,
     spread_s: float = 0.0,
-    told: list[interface.ServerList] | None = None,
+    received_lists: list[interface.ServerList] | None = None,
 ) -> list[int]:
     """Follows it until its script is used up; the versions heard. `told` takes the lists themselves."""
-    heard: list[int] = []
+    versions: list[int] = []
 
-    async def hear(servers: interface.ServerList) -> None:
-        heard.append(destinations.version)
-        if told is not None:
-            told.append(servers)
+    async def on_list(servers: interface.ServerList) -> None:
+        versions.append(destinations.version)
+        if received_lists is not None:
+            received_lists.append(servers)
 
     destinations = DestinationSet(relaying.config(tmp_path).names)
     if known:
@@ -77,54 +77,63 @@
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(trio.serve_tcp, agent.answer, 0)
             address = ("127.0.0.1", listeners[0].socket.getsockname()[1])
-            discovery = Discovery(address, destinations, hear, Counters(), spread_s, 7)
+            discovery = Discovery(address, destinations, on_list, Counters(), spread_s, 7)
             nursery.start_soon(discovery.follow)
-            await agent.over.wait()
+            await agent.script_done.wait()
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.02))
-    return heard
+    return versions
 
 
 def test_a_silent_watch_is_resumed_from_the_version_known(tmp_path: Path) -> None:
-    agent = Scripted(whole_list(), change(42), change(43))
+    agent = ScriptedAgent(whole_list_response(), watch_response(42), watch_response(43))
     assert follow(tmp_path, agent) == [41, 42, 43]
-    assert [target for _, target in agent.asked] == [WHOLE, WATCH % 41, WATCH % 42, WATCH % 43]
+    assert [target for _, target in agent.requests] == [
+        WHOLE_LIST_PATH,
+        WATCH_PATH % 41,
+        WATCH_PATH % 42,
+        WATCH_PATH % 43,
+    ]
 
 
 def test_a_refused_watch_causes_no_second_whole_list(tmp_path: Path) -> None:
-    agent = Scripted(whole_list(), busy(), change(42))
+    agent = ScriptedAgent(whole_list_response(), unavailable_response(), watch_response(42))
     assert follow(tmp_path, agent) == [41, 42]
-    assert [target for _, target in agent.asked][:3] == [WHOLE, WATCH % 41, WATCH % 41]
+    assert [target for _, target in agent.requests][:3] == [WHOLE_LIST_PATH, WATCH_PATH % 41, WATCH_PATH % 41]
 
 
 def test_a_restarted_relay_asks_only_for_changes_since_its_stored_list(tmp_path: Path) -> None:
-    agent = Scripted(change(41))
+    agent = ScriptedAgent(watch_response(41))
     assert follow(tmp_path, agent, known=True) == [41]
-    assert agent.asked[0][1] == WATCH % 40
+    assert agent.requests[0][1] == WATCH_PATH % 40
 
 
 NO_LIST = OK + b"Content-Length: 2\r\n\r\n{\n"
 
 
-@pytest.mark.parametrize("bad", [change(39), NO_LIST, b"HTTP/1.1 410 Gone\r\n\r\n"])
+@pytest.mark.parametrize("bad", [watch_response(39), NO_LIST, b"HTTP/1.1 410 Gone\r\n\r\n"])
 def test_a_change_that_does_not_apply_leads_to_a_whole_list(tmp_path: Path, bad: bytes) -> None:
-    agent = Scripted(change(41), change(42), bad, whole_list(), change(43))
+    agent = ScriptedAgent(
+        watch_response(41), watch_response(42), bad, whole_list_response(), watch_response(43)
+    )
     assert follow(tmp_path, agent, known=True) == [41, 42, 41, 43]  # a whole list holds, whatever its version
-    assert [target for _, target in agent.asked][3:5] == [WHOLE, WATCH % 41]
+    assert [target for _, target in agent.requests][3:5] == [WHOLE_LIST_PATH, WATCH_PATH % 41]
 
 
 def test_overloaded_discovery_is_called_less_often_and_never_for_a_whole_list(tmp_path: Path) -> None:
-    agent = Scripted(*[busy()] * 12, change(41))
+    agent = ScriptedAgent(*[unavailable_response()] * 12, watch_response(41))
     assert follow(tmp_path, agent, known=True, spread_s=4.0) == [41]
-    assert {target for _, target in agent.asked[:13]} == {WATCH % 40}
-    waits = [later - sooner for (sooner, _), (later, _) in zip(agent.asked, agent.asked[1:13], strict=False)]
+    assert {target for _, target in agent.requests[:13]} == {WATCH_PATH % 40}
+    waits = [
+        later - sooner for (sooner, _), (later, _) in zip(agent.requests, agent.requests[1:13], strict=False)
+    ]
     assert sum(waits[:3]) / 3 < sum(waits[3:]) / 9 and max(waits) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
 
 
 def test_a_slow_answer_of_discovery_is_awaited(tmp_path: Path) -> None:
     """Whoever gives up at once and asks again stands last in the queue, and has cost discovery as much."""
-    agent = Scripted()
+    agent = ScriptedAgent()
     asked: list[float] = []
 
     async def slow(stream: trio.SocketStream) -> None:
@@ -132,8 +141,8 @@
             if line.startswith(b"GET"):
                 asked.append(trio.current_time())
                 await trio.sleep(2.9)
-                await stream.send_all(change(41))
-                agent.over.set()
+                await stream.send_all(watch_response(41))
+                agent.script_done.set()
 
     agent.answer = slow  # type: ignore[method-assign]
     follow(tmp_path, agent, known=True, spread_s=0.1)  # where it has to be asked for
@@ -142,32 +151,32 @@
 
 def test_an_incomplete_line_is_dropped_and_requested_again(tmp_path: Path) -> None:
     half = OK + b'Transfer-Encoding: chunked\r\n\r\na\r\n{"seq":43,\r\n0\r\n\r\n'
-    agent = Scripted(change(41), half, change(43))
+    agent = ScriptedAgent(watch_response(41), half, watch_response(43))
     assert follow(tmp_path, agent, known=True) == [41, 43]
-    assert [target for _, target in agent.asked][:3] == [WATCH % 40, WATCH % 41, WATCH % 41]
+    assert [target for _, target in agent.requests][:3] == [WATCH_PATH % 40, WATCH_PATH % 41, WATCH_PATH % 41]
 
 
 def test_an_invalid_entry_affects_no_other_and_restores_no_departed_server(tmp_path: Path) -> None:
     gone = json.dumps(whole(entry("s-1") | {"health": "terminated"}, seq=42) | {"whole": False})
     mixed = json.dumps(whole(entry("s-3") | {"health": "?"}, entry("s-2"), seq=43) | {"whole": False})
     late = json.dumps(whole(entry("s-1"), seq=41))  # a whole list from before it left
-    agent = Scripted(
-        change(41),
+    agent = ScriptedAgent(
+        watch_response(41),
         *(
             OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n" % (len(line) + 1, line.encode())
             for line in (gone, mixed, late)
         ),
     )
-    told: list[interface.ServerList] = []
-    follow(tmp_path, agent, known=True, told=told)
-    states = {line.server: line.state for servers in told for line in servers.servers}
+    received_lists: list[interface.ServerList] = []
+    follow(tmp_path, agent, known=True, received_lists=received_lists)
+    states = {line.server: line.state for servers in received_lists for line in servers.servers}
     assert states == {
         server_number("s-1"): interface.ServerState.DRAINING,
         server_number("s-2"): interface.ServerState.READY,
     }
 
 
-def watched(*texts: str) -> bytes:
+def chunked_response(*texts: str) -> bytes:
     line = "".join(texts).encode()
     return OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
 
@@ -176,31 +185,39 @@
     changes = [whole(entry(f"s-{seq}"), seq=seq) | {"whole": False} for seq in (42, 43, 44)]
     texts = [json.dumps(change, indent=2) + "\n\n" for change in changes[:2]]
     texts.append(json.dumps(changes[2]) + "\n")
-    agent = Scripted(whole_list(), watched(*texts))
-    heard = follow(tmp_path, agent)
-    assert heard == [41, 42, 43, 44]
-    assert [asked for _, asked in agent.asked] == [WHOLE, WATCH % 41, WATCH % 44]
-
-
-@pytest.mark.parametrize("torn", ['{"seq":42,\n', '{\n  "seq": 42,\n', '{"seq":4"\n'])
-@pytest.mark.parametrize("then", ["\n", json.dumps(whole(entry("s-2"), seq=43) | {"whole": False}) + "\n"])
-def test_an_incomplete_object_leads_to_a_whole_list(tmp_path: Path, torn: str, then: str) -> None:
-    agent = Scripted(whole_list(), watched(torn, then))
+    agent = ScriptedAgent(whole_list_response(), chunked_response(*texts))
+    versions = follow(tmp_path, agent)
+    assert versions == [41, 42, 43, 44]
+    assert [asked for _, asked in agent.requests] == [WHOLE_LIST_PATH, WATCH_PATH % 41, WATCH_PATH % 44]
+
+
+@pytest.mark.parametrize("incomplete_text", ['{"seq":42,\n', '{\n  "seq": 42,\n', '{"seq":4"\n'])
+@pytest.mark.parametrize(
+    "following_text", ["\n", json.dumps(whole(entry("s-2"), seq=43) | {"whole": False}) + "\n"]
+)
+def test_an_incomplete_object_leads_to_a_whole_list(
+    tmp_path: Path, incomplete_text: str, following_text: str
+) -> None:
+    agent = ScriptedAgent(whole_list_response(), chunked_response(incomplete_text, following_text))
     assert follow(tmp_path, agent) == [41]
-    assert [asked for _, asked in agent.asked] == [WHOLE, WATCH % 41, WHOLE]  # told whole, at once
+    assert [asked for _, asked in agent.requests] == [
+        WHOLE_LIST_PATH,
+        WATCH_PATH % 41,
+        WHOLE_LIST_PATH,
+    ]  # told whole, at once
 
 
 def test_only_invalid_and_repeated_entries_of_a_large_list_are_left_out(tmp_path: Path) -> None:
     destinations = DestinationSet(relaying.config(tmp_path).names)
     entries = [entry(f"s-{n}") for n in range(1024)]
     faulty, repeated, leaving = entry("s-bad") | {"dial": "nowhere"}, entry("s-7"), entry("s-8")
-    told = destinations.read(whole(*entries, faulty, repeated, leaving | {"health": "terminating"}))
+    received_lists = destinations.read(whole(*entries, faulty, repeated, leaving | {"health": "terminating"}))
     assert len(destinations.servers()) == 1024
     assert [("nowhere" in fault, "s-7 " in fault, "s-8 " in fault) for fault in destinations.faults] == [
         (True, False, False),
         (False, True, False),
         (False, False, True),
     ]
-    states = {line.server: line.state for line in told.servers}
+    states = {line.server: line.state for line in received_lists.servers}
     assert states[server_number("s-7")] is interface.ServerState.READY
     assert states[server_number("s-8")] is interface.ServerState.DRAINING
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -22,14 +22,14 @@
 from glenfold.net.sockets import has_queued_client
 from linnetspread import interface
 
-LONG = OPEN.replace(b"d=2000", b"d=20000")
+LONG_WAIT_OPEN = OPEN.replace(b"d=2000", b"d=20000")
 
 
-def own(line: bytes, number: int) -> bytes:
+def with_id(line: bytes, number: int) -> bytes:
     return line.replace(b"9b1f03aa", b"%08x" % number)
 
 
-class Ending:
+class StoppingProcess:
     """A whole process with one push server, told to stop by `stop`; it may be killed `deadline_s` later."""
 
     def __init__(self, folder: Path, address: tuple[str, int], deadline_s: float) -> None:
@@ -42,8 +42,8 @@
             listeners=[listener],
             deadline_s=deadline_s,
         )
-        self.over = trio.Event()
-        self.asked: list[bytes] = []
+        self.finished = trio.Event()
+        self.first_lines: list[bytes] = []
         self.finishing = trio.Event()
         self.process.life.watches.append(
             lambda _, now: self.finishing.set() if now is State.FINISHING else None
@@ -51,19 +51,19 @@
 
     async def run(self) -> None:
         await run_by_signals(self.process)
-        self.over.set()
+        self.finished.set()
 
-    def connect(self, said: bytes = b"") -> trio.SocketStream:
+    def connect(self, first_bytes: bytes = b"") -> trio.SocketStream:
         """In no turn of the loop: the kernel has accepted it and has what it said."""
         sock = socket.create_connection(self.address)
-        sock.sendall(said)
+        sock.sendall(first_bytes)
         sock.setblocking(False)
         return trio.SocketStream(trio.socket.from_stdlib_socket(sock))
 
-    async def ended(self) -> None:
+    async def wait_until_ended(self) -> None:
         """In time, and nothing is left behind."""
         with trio.fail_after(5.0):
-            await self.over.wait()
+            await self.finished.wait()
         relay = self.process.relay
         assert (relay.awaiting_first_line, relay.unanswered, len(relay.standing), len(relay.ids)) == (
             0,
@@ -75,7 +75,7 @@
 
 
 @asynccontextmanager
-async def signals_as_before() -> AsyncIterator[None]:
+async def restored_signal_handlers() -> AsyncIterator[None]:
     """A relay that has finished ignores them for good."""
     before = {
         number: signal.getsignal(number)
@@ -88,166 +88,172 @@
             signal.signal(number, handler)
 
 
-def ending(handler: relaying.Handler, deadline_s: float = 1.2) -> relaying.Setting:
+def stopping_process(handler: relaying.Handler, deadline_s: float = 1.2) -> relaying.SetUp:
     @asynccontextmanager
-    async def setting(folder: Path) -> AsyncIterator[Ending]:
-        made: list[Ending] = []
-        async with signals_as_before(), trio.open_nursery() as nursery:
+    async def set_up(folder: Path) -> AsyncIterator[StoppingProcess]:
+        stopping: list[StoppingProcess] = []
+        async with restored_signal_handlers(), trio.open_nursery() as nursery:
 
             async def server(stream: trio.SocketStream) -> None:
                 first = await read_line(stream)
-                made[0].asked.append(first)
+                stopping[0].first_lines.append(first)
                 with suppress(trio.BrokenResourceError):
                     await handler(stream)
 
-            served = await nursery.start(trio.serve_tcp, server, 0)
-            made.append(Ending(folder, served[0].socket.getsockname(), deadline_s))
-            nursery.start_soon(made[0].run)
-            await made[0].process.accepts.wait()
-            yield made[0]
+            push_listeners = await nursery.start(trio.serve_tcp, server, 0)
+            stopping.append(StoppingProcess(folder, push_listeners[0].socket.getsockname(), deadline_s))
+            nursery.start_soon(stopping[0].run)
+            await stopping[0].process.accepts.wait()
+            yield stopping[0]
             nursery.cancel_scope.cancel()
 
-    return setting
+    return set_up
 
 
-async def takes(stream: trio.SocketStream) -> None:
+async def accepts(stream: trio.SocketStream) -> None:
     await stream.send_all(b"UP r1\r\n")
     await stream.receive_some()
 
 
-async def hangs(stream: trio.SocketStream) -> None:
+async def never_answers(stream: trio.SocketStream) -> None:
     await stream.receive_some()
 
 
-def when_arrivals_end(monkeypatch: pytest.MonkeyPatch, then: Callable[[], Awaitable[None]]) -> None:
+def after_arrivals_end(monkeypatch: pytest.MonkeyPatch, action: Callable[[], Awaitable[None]]) -> None:
     """`then` begins in the very turn in which the relay sees that."""
     real = process.last_arrivals
 
-    async def last_arrivals(*given: object) -> None:
-        await real(*given)  # type: ignore[arg-type]
-        await then()
+    async def last_arrivals(*arguments: object) -> None:
+        await real(*arguments)  # type: ignore[arg-type]
+        await action()
 
     monkeypatch.setattr(process, "last_arrivals", last_arrivals)
 
 
-async def moved(stream: trio.SocketStream) -> None:
+async def expect_up_then_move(stream: trio.SocketStream) -> None:
     with trio.fail_after(5.0):
         assert await read_line(stream) == b"UP r1\r\n"
         assert await read_line(stream) == lines.MOVE and not await stream.receive_some()
 
 
-@relaying.scripted(ending(takes, 2.5))
+@relaying.async_test(stopping_process(accepts, 2.5))
 async def test_clients_queued_when_arrivals_end_are_accepted_before_the_listener_closes(
-    made: Ending, monkeypatch: pytest.MonkeyPatch
+    stopping: StoppingProcess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     streams = []
 
-    async def crowd() -> None:
-        streams.extend(made.connect(own(OPEN, n)) for n in range(10))
+    async def connect_many() -> None:
+        streams.extend(stopping.connect(with_id(OPEN, n)) for n in range(10))
 
-    when_arrivals_end(monkeypatch, crowd)
-    made.process.stop()
-    await made.finishing.wait()
+    after_arrivals_end(monkeypatch, connect_many)
+    stopping.process.stop()
+    await stopping.finishing.wait()
     for stream in streams:  # the one server takes some at most of so many at once
         answer = await read_line(stream)
         assert answer.split()[0] in (b"UP", b"BUSY", b"ERR")
         assert await read_line(stream) == (lines.MOVE if answer.startswith(b"UP") else b"")
-    await made.ended()
-    assert made.process.relay.counters.taken == 10
+    await stopping.wait_until_ended()
+    assert stopping.process.relay.counters.taken == 10
 
 
-@relaying.scripted(ending(takes, 2.5))
+@relaying.async_test(stopping_process(accepts, 2.5))
 async def test_the_queue_of_a_paused_listener_is_left_to_the_successor_process(
-    made: Ending, monkeypatch: pytest.MonkeyPatch
+    stopping: StoppingProcess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    listener, seen = made.process.listeners[0], list[float]()
+    listener, seen = stopping.process.listeners[0], list[float]()
     with listener.dup() as other:  # as the next process has it
 
         async def handed_on() -> None:
-            made.process.pause([listener])
-            made.connect(OPEN)
+            stopping.process.pause([listener])
+            stopping.connect(OPEN)
             seen.append(trio.current_time())
 
-        when_arrivals_end(monkeypatch, handed_on)
-        made.process.stop()
-        await made.ended()
+        after_arrivals_end(monkeypatch, handed_on)
+        stopping.process.stop()
+        await stopping.wait_until_ended()
         assert trio.current_time() - seen[0] < 1.0
-        assert has_queued_client(other) and not made.process.relay.counters.accepted
+        assert has_queued_client(other) and not stopping.process.relay.counters.accepted
 
 
-@pytest.mark.parametrize("turns", [0, 3])
-@relaying.scripted(ending(takes, 2.5))
+@pytest.mark.parametrize("delay_turns", [0, 3])
+@relaying.async_test(stopping_process(accepts, 2.5))
 async def test_a_client_being_accepted_as_the_listener_closes_is_served(
-    made: Ending, turns: int, monkeypatch: pytest.MonkeyPatch
+    stopping: StoppingProcess, delay_turns: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    accepted, concrete = trio.Event(), type(made.process.listeners[0])
-    real = concrete.accept
+    accepted, listener_type = trio.Event(), type(stopping.process.listeners[0])
+    real = listener_type.accept
 
     async def accept(listener: object) -> object:
-        got = await real(listener)  # type: ignore[arg-type]
+        accepted_client = await real(listener)  # type: ignore[arg-type]
         accepted.set()
         with trio.CancelScope(shield=True):
-            for _ in range(turns):  # as in trio's own, which goes on in the next turn
+            for _ in range(delay_turns):  # as in trio's own, which goes on in the next turn
                 await trio.lowlevel.checkpoint()
-        return got
+        return accepted_client
 
-    monkeypatch.setattr(concrete, "accept", accept)
-    made.process.pause(made.process.listeners)
-    made.process.accept()
+    monkeypatch.setattr(listener_type, "accept", accept)
+    stopping.process.pause(stopping.process.listeners)
+    stopping.process.accept()
     streams = []
 
-    async def one() -> None:
-        streams.append(made.connect(OPEN))
+    async def connect_client() -> None:
+        streams.append(stopping.connect(OPEN))
         await accepted.wait()
 
-    when_arrivals_end(monkeypatch, one)
-    made.process.stop()
-    await made.finishing.wait()
-    await moved(streams[0])
-    await made.ended()
+    after_arrivals_end(monkeypatch, connect_client)
+    stopping.process.stop()
+    await stopping.finishing.wait()
+    await expect_up_then_move(streams[0])
+    await stopping.wait_until_ended()
 
 
-@relaying.scripted(ending(takes, 2.5))
-async def test_a_first_line_that_completes_after_arrivals_ended_is_served(made: Ending) -> None:
-    stream = made.connect(OPEN[:20])
-    made.process.stop()
-    await made.finishing.wait()
+@relaying.async_test(stopping_process(accepts, 2.5))
+async def test_a_first_line_that_completes_after_arrivals_ended_is_served(stopping: StoppingProcess) -> None:
+    stream = stopping.connect(OPEN[:20])
+    stopping.process.stop()
+    await stopping.finishing.wait()
     await stream.send_all(OPEN[20:])
-    await moved(stream)
-    await made.ended()
+    await expect_up_then_move(stream)
+    await stopping.wait_until_ended()
 
 
-@relaying.scripted(ending(takes, 2.5))
-async def test_a_client_without_a_first_line_is_answered_and_does_not_delay_the_end(made: Ending) -> None:
-    made.process.stop()
-    while not made.process.life.ending:
+@relaying.async_test(stopping_process(accepts, 2.5))
+async def test_a_client_without_a_first_line_is_answered_and_does_not_delay_the_end(
+    stopping: StoppingProcess,
+) -> None:
+    stopping.process.stop()
+    while not stopping.process.life.ending:
         await trio.lowlevel.checkpoint()
-    stream = made.connect(OPEN[:20])
+    stream = stopping.connect(OPEN[:20])
     assert await read_line(stream) == lines.FAILED
-    await made.ended()
+    await stopping.wait_until_ended()
 
 
-@relaying.scripted(ending(hangs))
-async def test_a_request_that_outlasts_the_relay_gets_its_final_answer_in_time(made: Ending) -> None:
-    before = made.connect(own(LONG, 1))
-    while not made.asked:
+@relaying.async_test(stopping_process(never_answers))
+async def test_a_request_that_outlasts_the_relay_gets_its_final_answer_in_time(
+    stopping: StoppingProcess,
+) -> None:
+    before = stopping.connect(with_id(LONG_WAIT_OPEN, 1))
+    while not stopping.first_lines:
         await trio.sleep(0.005)
-    made.process.stop()
-    began = trio.current_time()
-    after = made.connect(own(LONG, 2))
-    await made.finishing.wait()
-    made.process.relay.decisions._pass_on(interface.Move(1))  # it means nothing now, and the first waits anew
+    stopping.process.stop()
+    started_at = trio.current_time()
+    after = stopping.connect(with_id(LONG_WAIT_OPEN, 2))
+    await stopping.finishing.wait()
+    stopping.process.relay.decisions._pass_on(
+        interface.Move(1)
+    )  # it means nothing now, and the first waits anew
     for stream in (before, after):
         assert (await read_line(stream)).split()[0] in (b"ERR", b"BUSY")
-        assert trio.current_time() - began < 0.9
-    await made.ended()
-    told_ms = [int(line.partition(b"d=")[2].partition(b",")[0]) for line in made.asked]
-    assert told_ms[0] > 2_000 and all(told < 800 for told in told_ms[1:])
+        assert trio.current_time() - started_at < 0.9
+    await stopping.wait_until_ended()
+    wait_times_ms = [int(line.partition(b"d=")[2].partition(b",")[0]) for line in stopping.first_lines]
+    assert wait_times_ms[0] > 2_000 and all(wait_ms < 800 for wait_ms in wait_times_ms[1:])
 
 
-@relaying.scripted(ending(hangs))
+@relaying.async_test(stopping_process(never_answers))
 async def test_answers_that_a_lagging_loop_delays_are_sent_before_the_relay_ends(
-    made: Ending, monkeypatch: pytest.MonkeyPatch
+    stopping: StoppingProcess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real = Exchange._answer
 
@@ -256,63 +262,65 @@
         await real(exchange, line)
 
     monkeypatch.setattr(Exchange, "_answer", answer)
-    streams = [made.connect(own(LONG, n)) for n in range(5)]
-    while len(made.asked) < 5:
+    streams = [stopping.connect(with_id(LONG_WAIT_OPEN, n)) for n in range(5)]
+    while len(stopping.first_lines) < 5:
         await trio.sleep(0.005)
-    made.process.stop()
+    stopping.process.stop()
     await trio.sleep(0.7)
     time.sleep(0.4)  # one turn, beyond the moment of the answers and that of the end
     for stream in streams:
         assert await read_line(stream) == lines.FAILED
-    await made.ended()
+    await stopping.wait_until_ended()
 
 
-@relaying.scripted(ending(hangs))
+@relaying.async_test(stopping_process(never_answers))
 async def test_a_client_that_comes_up_as_the_relay_ends_is_moved(
-    made: Ending, monkeypatch: pytest.MonkeyPatch
+    stopping: StoppingProcess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     pass
 
 
-@relaying.scripted(ending(takes, 2.5))
+@relaying.async_test(stopping_process(accepts, 2.5))
 async def test_a_client_that_was_answered_up_as_the_relay_ends_is_moved(
-    made: Ending, monkeypatch: pytest.MonkeyPatch
+    stopping: StoppingProcess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real = Exchange._answer
 
     async def answer(exchange: Exchange, line: bytes) -> None:
         await real(exchange, line)
-        while trio.current_time() < made.process.relay.answers_end + 0.16:  # beyond `leave_at`
+        while trio.current_time() < stopping.process.relay.answers_end + 0.16:  # beyond `leave_at`
             await trio.lowlevel.checkpoint()
 
     monkeypatch.setattr(Exchange, "_answer", answer)
-    stream = made.connect(OPEN)
-    while not made.asked:
+    stream = stopping.connect(OPEN)
+    while not stopping.first_lines:
         await trio.sleep(0.005)
-    made.process.stop()
-    await moved(stream)
-    await made.ended()
+    stopping.process.stop()
+    await expect_up_then_move(stream)
+    await stopping.wait_until_ended()
 
 
-@relaying.scripted(ending(takes, 2.5))
-async def test_further_signals_during_the_end_change_nothing_and_lose_no_client(made: Ending) -> None:
+@relaying.async_test(stopping_process(accepts, 2.5))
+async def test_further_signals_during_the_end_change_nothing_and_lose_no_client(
+    stopping: StoppingProcess,
+) -> None:
     seen = []
 
-    def all_of_them(before: State, now: State) -> None:
+    def send_all_signals(before: State, now: State) -> None:
         if now in (State.DRAINING, State.FINISHING):
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT, signal.SIGTERM):
                 os.kill(os.getpid(), number)
         seen.append(now)
 
-    stands = made.connect(own(OPEN, 1))
-    assert await read_line(stands) == b"UP r1\r\n"
-    made.process.life.watches.append(all_of_them)
+    connected = stopping.connect(with_id(OPEN, 1))
+    assert await read_line(connected) == b"UP r1\r\n"
+    stopping.process.life.watches.append(send_all_signals)
     os.kill(os.getpid(), signal.SIGTERM)
-    waits = made.connect(own(OPEN, 2)[:20])
-    await made.finishing.wait()
-    await waits.send_all(own(OPEN, 2)[20:])
-    await moved(waits)
-    assert await read_line(stands) == lines.MOVE
-    await made.ended()
+    unfinished = stopping.connect(with_id(OPEN, 2)[:20])
+    await stopping.finishing.wait()
+    await unfinished.send_all(with_id(OPEN, 2)[20:])
+    await expect_up_then_move(unfinished)
+    assert await read_line(connected) == lines.MOVE
+    await stopping.wait_until_ended()
     assert seen == [State.DRAINING, State.FINISHING, State.STOPPED]
-    assert not made.process.relay.counters.reloads
+    assert not stopping.process.relay.counters.reloads
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,7 +18,7 @@
 import trio
 from hypothesis import given
 from hypothesis import strategies as st
-from relaying import OPEN, read_line, relay, up
+from relaying import OPEN, accept_and_echo, read_line, relay
 
 from glenfold.daemon.process import Process, finish_taken
 from glenfold.leaving import Leaving, in_order
@@ -27,96 +27,100 @@
 from glenfold.net.inbound import Relay
 from linnetspread import interface
 
-THROUGH = interface.Settings(pass_through=True, classes=(interface.RequestClass(deadline_us=3_000_000),))
+PASS_THROUGH = interface.Settings(pass_through=True, classes=(interface.RequestClass(deadline_us=3_000_000),))
 
 
-def played(
+def simulated_moves(
     leaving: Leaving, standing: int, cost: float, begin: float = 0.0, turn_s: float = 0.0
 ) -> tuple[list[float], int]:
     """When each move is made, where each takes `cost` seconds of the core and each turn of the loop at least
     `turn_s`, and how many the sweep takes."""
-    now, worked, moments, swept = max(begin, leaving.moves_from(standing)), 0.0, [], 0
-    while len(moments) < standing:
-        step = leaving.step(now, worked, standing - len(moments))
-        assert 0 < step.moves <= standing - len(moments)
-        swept = step.moves if step.sweep else 0
-        moments += [now] * step.moves
-        worked += step.moves * cost
+    now, worked_s, move_times, sweep_size = max(begin, leaving.moves_from(standing)), 0.0, [], 0
+    while len(move_times) < standing:
+        step = leaving.step(now, worked_s, standing - len(move_times))
+        assert 0 < step.moves <= standing - len(move_times)
+        sweep_size = step.moves if step.sweep else 0
+        move_times += [now] * step.moves
+        worked_s += step.moves * cost
         now = max(step.again_at, now + max(turn_s, step.moves * cost))
-    return moments, swept
+    return move_times, sweep_size
 
 
 @given(st.integers(1, 700), st.floats(0, 0.0005))
 def test_hundreds_of_moves_are_spread_evenly(standing: int, cost: float) -> None:
-    moments, _ = played(Leaving(10.0, THROUGH), standing, cost)
-    now, usual = 13.4 - 0.3 - 1.5, []
-    for left in range(standing, 0, -1):
-        usual.append(now)
-        now += (13.1 - now) / (1 + left)
-    assert moments == pytest.approx(usual, abs=1e-6)
+    move_times, _ = simulated_moves(Leaving(10.0, PASS_THROUGH), standing, cost)
+    now, expected = 13.4 - 0.3 - 1.5, []
+    for remaining in range(standing, 0, -1):
+        expected.append(now)
+        now += (13.1 - now) / (1 + remaining)
+    assert move_times == pytest.approx(expected, abs=1e-6)
 
 
 @given(st.integers(1, 20_000), st.floats(0, 0.02), st.booleans(), st.floats(0.7, 30))
 def test_no_move_comes_after_the_end_however_many_and_expensive_they_are(
-    standing: int, cost: float, through: bool, deadline_s: float
+    standing: int, cost: float, pass_through: bool, deadline_s: float
 ) -> None:
-    leaving = Leaving(0.0, replace(THROUGH, pass_through=through), deadline_s)
-    moments, swept = played(leaving, standing, cost)
+    leaving = Leaving(0.0, replace(PASS_THROUGH, pass_through=pass_through), deadline_s)
+    move_times, sweep_size = simulated_moves(leaving, standing, cost)
     # One turn may begin just before the sweep, and the first two are not known to take as long as they do.
-    assert moments[-1] <= max(leaving.leave_at + 64 * cost, moments[0] + 2 * 250 * cost) + 1e-6
-    assert not swept or leaving.short
+    assert move_times[-1] <= max(leaving.leave_at + 64 * cost, move_times[0] + 2 * 250 * cost) + 1e-6
+    assert not sweep_size or leaving.short
 
 
 @given(st.floats(0.05, 60.0), st.floats(0.0, 60.0), st.booleans())
 def test_the_phases_of_the_end_are_in_order_for_any_deadline(
-    longest_s: float, last: float, through: bool
+    longest_s: float, last_arrival: float, pass_through: bool
 ) -> None:
     settings = replace(
-        THROUGH,
-        pass_through=through,
+        PASS_THROUGH,
+        pass_through=pass_through,
         classes=tuple(interface.RequestClass(deadline_us=int(s * 1e6)) for s in (0.05, longest_s)),
     )
     leaving = Leaving(0.0, settings)
-    moments = [
-        leaving.arrivals_until(last),
+    move_times = [
+        leaving.arrivals_until(last_arrival),
         leaving.moves_end,
         leaving.answers_end,
         leaving.leave_at,
         leaving.over_at,
         max(3.0, int(longest_s * 1e6) / 1e6) + 0.7,
     ]
-    assert moments[0] > 0.4 and moments == sorted(moments)
-    assert leaving.answers_end >= longest_s and all(b - a > 0.1 for a, b in pairwise(moments))
-    assert leaving.moves_from(100) == pytest.approx(leaving.moves_end - 1.5 if through else 0.0)
+    assert move_times[0] > 0.4 and move_times == sorted(move_times)
+    assert leaving.answers_end >= longest_s and all(b - a > 0.1 for a, b in pairwise(move_times))
+    assert leaving.moves_from(100) == pytest.approx(leaving.moves_end - 1.5 if pass_through else 0.0)
 
 
 @given(st.integers(2_000, 6_000), st.floats(0.0001, 0.0004))
 def test_thousands_of_moves_start_early_enough_to_finish(standing: int, cost: float) -> None:
-    leaving = Leaving(0.0, THROUGH)
-    moments, swept = played(leaving, standing, cost, begin=0.45)
-    assert moments[-1] <= leaving.moves_end + 0.05 and not swept and not leaving.short
-    assert moments[0] <= max(0.45, leaving.moves_end - standing * cost) + 1e-6
+    leaving = Leaving(0.0, PASS_THROUGH)
+    move_times, sweep_size = simulated_moves(leaving, standing, cost, begin=0.45)
+    assert move_times[-1] <= leaving.moves_end + 0.05 and not sweep_size and not leaving.short
+    assert move_times[0] <= max(0.45, leaving.moves_end - standing * cost) + 1e-6
 
 
 def test_a_shortage_of_time_is_detected_early() -> None:
-    leaving = Leaving(0.0, THROUGH)
-    now, worked, left = 0.45, 0.0, 6000
+    leaving = Leaving(0.0, PASS_THROUGH)
+    now, worked_s, remaining = 0.45, 0.0, 6000
     while not leaving.short:
-        step = leaving.step(now, worked, left)
-        worked, left, now = worked + step.moves * 0.001, left - step.moves, now + step.moves * 0.001
+        step = leaving.step(now, worked_s, remaining)
+        worked_s, remaining, now = (
+            worked_s + step.moves * 0.001,
+            remaining - step.moves,
+            now + step.moves * 0.001,
+        )
     assert now < 1.7 and 2500 < step.late < 4500
 
 
 def test_a_loop_with_turns_of_a_second_moves_all_clients_in_time() -> None:
-    leaving = Leaving(0.0, THROUGH)
+    leaving = Leaving(0.0, PASS_THROUGH)
     leaving.came_back(0.9, 0.1)
     leaving.came_back(1.2, 0.45)
-    moments, swept = played(leaving, 6000, 0.0, begin=1.2, turn_s=1.0)
-    assert swept and moments[-1] < leaving.leave_at - 1.0
+    move_times, sweep_size = simulated_moves(leaving, 6000, 0.0, begin=1.2, turn_s=1.0)
+    assert sweep_size and move_times[-1] < leaving.leave_at - 1.0
 
 
 def test_moves_start_earlier_on_a_busy_core() -> None:
-    leaving = Leaving(0.0, THROUGH)
+    leaving = Leaving(0.0, PASS_THROUGH)
     assert leaving.moves_from(3000) == pytest.approx(1.6)
     leaving.busy(0.6)
     assert leaving.moves_from(3000) == pytest.approx(0.1)
@@ -129,15 +133,15 @@
     assert in_order(standing, True) == ["feed 1", "feed 2", "watch 1", "watch 2"]
 
 
-@relaying.scripted(relaying.instance)
-async def test_the_end_counts_from_the_signal_and_not_from_its_handling(told: Process) -> None:
+@relaying.async_test(relaying.instance)
+async def test_the_end_counts_from_the_signal_and_not_from_its_handling(process: Process) -> None:
     with trio.open_signal_receiver(signal.SIGTERM) as signals:
-        told.note_moment(signal.SIGTERM)
+        process.note_moment(signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGTERM)
         sent = trio.current_time()
         time.sleep(0.2)  # a long turn
         await anext(signals)
-        assert told._told_at() - sent < 0.1
+        assert process._told_at() - sent < 0.1
 
 
 # ---- on sockets ----
@@ -146,9 +150,9 @@
 Standing = tuple[Relay, list[trio.SocketStream]]
 
 
-def standing(clients: int, handler: relaying.Handler = up) -> relaying.Setting:
+def standing(clients: int, handler: relaying.Handler = accept_and_echo) -> relaying.SetUp:
     @asynccontextmanager
-    async def setting(folder: Path) -> AsyncIterator[Standing]:
+    async def set_up(folder: Path) -> AsyncIterator[Standing]:
         async with relay(relaying.config(folder), handler) as (shared, _, port):
             streams = []
             for n in range(clients):
@@ -159,48 +163,48 @@
                 await trio.sleep(0.005)
             yield shared, streams
 
-    return setting
+    return set_up
 
 
 def leaving_in(seconds: float) -> Leaving:
-    return Leaving(trio.current_time(), THROUGH, deadline_s=seconds + 0.3)
+    return Leaving(trio.current_time(), PASS_THROUGH, deadline_s=seconds + 0.3)
 
 
-@relaying.scripted(standing(300))
+@relaying.async_test(standing(300))
 async def test_all_clients_are_moved_in_time_on_a_slow_machine(
-    made: Standing, monkeypatch: pytest.MonkeyPatch
+    context: Standing, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    leaving, counters = leaving_in(1.0), made[0].counters
+    leaving, counters = leaving_in(1.0), context[0].counters
     real = leaving.step
     # As on a machine that takes 0.4 s for each turn.
     monkeypatch.setattr(
         leaving,
         "step",
-        lambda now, worked_s, left: replace(step, again_at=step.again_at + 0.4)
-        if (step := real(now, worked_s, left))
+        lambda now, worked_s, remaining: replace(step, again_at=step.again_at + 0.4)
+        if (step := real(now, worked_s, remaining))
         else step,
     )
-    await finish_taken(leaving, made[0])
-    for stream in made[1]:
+    await finish_taken(leaving, context[0])
+    for stream in context[1]:
         assert await read_line(stream) == MOVE and not await stream.receive_some()
     assert counters.moved == 300 and 0 < counters.moved_late < 300 and not counters.not_moved
 
 
-@relaying.scripted(standing(2, partial(up, more=b"half a li")))
-async def test_a_client_with_part_of_a_line_gets_a_reset_and_is_counted(made: Standing) -> None:
-    await finish_taken(leaving_in(0.1), made[0])
-    for stream in made[1]:
+@relaying.async_test(standing(2, partial(accept_and_echo, following_data=b"half a li")))
+async def test_a_client_with_part_of_a_line_gets_a_reset_and_is_counted(context: Standing) -> None:
+    await finish_taken(leaving_in(0.1), context[0])
+    for stream in context[1]:
         assert await stream.receive_some() == b"half a li"
         with pytest.raises(trio.BrokenResourceError):
             await stream.receive_some()
-    assert (made[0].counters.moved, made[0].counters.not_moved) == (0, 2)
+    assert (context[0].counters.moved, context[0].counters.not_moved) == (0, 2)
 
 
-@relaying.scripted(standing(1))
+@relaying.async_test(standing(1))
 async def test_a_partly_sent_move_is_completed_without_other_data_inside(
-    made: Standing, monkeypatch: pytest.MonkeyPatch
+    context: Standing, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    (shared, [stream]), real = made, passing.send_now
+    (shared, [stream]), real = context, passing.send_now
     monkeypatch.setattr(passing, "send_now", lambda sock, data: real(sock, data[:2]))
     assert not next(iter(shared.standing)).move_now()
     await stream.send_all(b"hello\r\n")
--- a/tests/test_quiet_lists.py
+++ b/tests/test_quiet_lists.py
@@ -15,7 +15,7 @@
 import trio
 import trio.testing
 from relaying import entry, read_line, whole
-from test_discovery import OK, WATCH, WHOLE, busy, whole_list
+from test_discovery import OK, WATCH_PATH, WHOLE_LIST_PATH, unavailable_response, whole_list_response
 
 from glenfold.counters import Counters
 from glenfold.daemon.process import Process, calls_spread_s
@@ -53,31 +53,31 @@
         self, folder: Path, *script: Answer, known: bool = True, spread_s: float = 0.0, seed: int = 7
     ) -> None:
         self.script, self.seed = script, seed
-        self.asked: list[tuple[float, bytes]] = []
-        self.heard: list[tuple[float, int]] = []
+        self.requests: list[tuple[float, bytes]] = []
+        self.received: list[tuple[float, int]] = []
         self.silent_at = math.inf
-        self.news = trio.Event()
-        self.may_hear = trio.Event()
-        self.may_hear.set()
+        self.progress = trio.Event()
+        self.may_continue = trio.Event()
+        self.may_continue.set()
         self.destinations = DestinationSet(relaying.config(folder).names)
         if known:
             self.destinations.read(whole(entry("s-1"), seq=40), cached=True)
         self.address = ("127.0.0.1", 0)
         self.spread_s = spread_s
 
-    async def hear(self, servers: ServerList) -> None:
-        self.heard.append((trio.current_time(), self.destinations.version))
-        self.tell()
-        await self.may_hear.wait()
+    async def on_list(self, servers: ServerList) -> None:
+        self.received.append((trio.current_time(), self.destinations.version))
+        self.notify()
+        await self.may_continue.wait()
 
     async def answer(self, stream: trio.SocketStream) -> None:
         while (line := await read_line(stream)).startswith(b"GET"):
             while await read_line(stream) != b"\r\n":
                 pass
-            self.asked.append((trio.current_time(), line.split()[1]))
-            self.tell()
+            self.requests.append((trio.current_time(), line.split()[1]))
+            self.notify()
             try:
-                await self.script[min(len(self.asked), len(self.script)) - 1](self, stream)
+                await self.script[min(len(self.requests), len(self.script)) - 1](self, stream)
             except trio.BrokenResourceError:  # the relay has gone
                 return
 
@@ -89,26 +89,26 @@
         if not self.address[1]:
             await self.listen(nursery)
         discovery = Discovery(
-            self.address, self.destinations, self.hear, Counters(), self.spread_s, self.seed
+            self.address, self.destinations, self.on_list, Counters(), self.spread_s, self.seed
         )
         nursery.start_soon(discovery.follow)
         return discovery
 
-    def tell(self) -> None:
-        self.news.set()
-        self.news = trio.Event()
+    def notify(self) -> None:
+        self.progress.set()
+        self.progress = trio.Event()
 
-    async def has_asked(self, times: int) -> None:
-        while len(self.asked) < times:
-            await self.news.wait()
+    async def wait_for_requests(self, times: int) -> None:
+        while len(self.requests) < times:
+            await self.progress.wait()
 
-    async def has_heard(self, version: int) -> float:
-        while not (moments := [at for at, heard in self.heard if heard == version]):
-            await self.news.wait()
-        return moments[0]
+    async def wait_for_version(self, version: int) -> float:
+        while not (times := [at for at, heard in self.received if heard == version]):
+            await self.progress.wait()
+        return times[0]
 
 
-def run(script: Callable[[trio.Nursery], Awaitable[None]], threshold_s: float = 0.02) -> None:
+def run_script(script: Callable[[trio.Nursery], Awaitable[None]], threshold_s: float = 0.02) -> None:
     async def main() -> None:
         with trio.fail_after(300):
             async with trio.open_nursery() as nursery:
@@ -118,7 +118,7 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=threshold_s))
 
 
-def told(*versions: int, after_s: float = 0.0) -> Answer:
+def sends(*versions: int, after_s: float = 0.0) -> Answer:
     """Sends these changes, and is sound from then on."""
 
     async def answer(agent: Agent, stream: trio.SocketStream) -> None:
@@ -131,7 +131,7 @@
     return answer
 
 
-async def falls_silent(agent: Agent, stream: trio.SocketStream) -> None:
+async def sends_then_falls_silent(agent: Agent, stream: trio.SocketStream) -> None:
     """Just after an empty line, so that the relay knows as late as can be."""
     await stream.send_all(HEAD + chunk(change(41)))
     await trio.sleep(2.0)
@@ -140,54 +140,57 @@
     await trio.sleep_forever()
 
 
-async def silent(agent: Agent, stream: trio.SocketStream) -> None:
+async def stays_silent(agent: Agent, stream: trio.SocketStream) -> None:
     await trio.sleep_forever()
 
 
-async def reset(agent: Agent, stream: trio.SocketStream) -> None:
+async def resets(agent: Agent, stream: trio.SocketStream) -> None:
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     stream.socket.close()
     raise trio.BrokenResourceError
 
 
-async def only_a_head(agent: Agent, stream: trio.SocketStream) -> None:
+async def sends_only_a_head(agent: Agent, stream: trio.SocketStream) -> None:
     await stream.send_all(HEAD)
     await trio.sleep_forever()
 
 
 @pytest.mark.parametrize("relays", [1, 230])
 @pytest.mark.parametrize(
-    ("asks", "between", "answer_s"),
+    ("asks_service", "failures", "answer_s"),
     [
         (False, (), 0.0),
-        (False, (silent,), 0.0),
-        (False, (silent, silent), 0.0),
-        (False, (only_a_head,), 0.0),
-        (False, (reset,) * 4, 0.0),
+        (False, (stays_silent,), 0.0),
+        (False, (stays_silent, stays_silent), 0.0),
+        (False, (sends_only_a_head,), 0.0),
+        (False, (resets,) * 4, 0.0),
         (True, (), 2.0),
-        (True, (reset,), 0.0),
-        (True, (reset, reset), 0.0),
+        (True, (resets,), 0.0),
+        (True, (resets, resets), 0.0),
     ],
 )
 def test_changes_missed_by_a_silent_watch_arrive_within_the_time_limit(
-    tmp_path: Path, relays: int, asks: bool, between: tuple[Answer, ...], answer_s: float
+    tmp_path: Path, relays: int, asks_service: bool, failures: tuple[Answer, ...], answer_s: float
 ) -> None:
-    spread_s = calls_spread_s(Settings(gateways=relays, ask_for_list=asks))
-    script_of_all = falls_silent, *between, told(42, after_s=answer_s)
+    spread_s = calls_spread_s(Settings(gateways=relays, ask_for_list=asks_service))
+    script_of_all = sends_then_falls_silent, *failures, sends(42, after_s=answer_s)
     agents = [Agent(tmp_path, *script_of_all, spread_s=spread_s, seed=seed) for seed in range(8)]
 
     async def script(nursery: trio.Nursery) -> None:
         for agent in agents:
             await agent.follow(nursery)
-        spans = [await agent.has_heard(42) - agent.silent_at for agent in agents]
-        print(f"{relays} relays, asks {asks}, {len(between)} between: {min(spans):.2f} to {max(spans):.2f} s")
-        assert max(spans) <= MAX_LIST_DELAY_S
-        assert all(agent.asked[0][0] <= MAX_LIST_DELAY_S - 2.0 for agent in agents)  # of a new process
+        delays = [await agent.wait_for_version(42) - agent.silent_at for agent in agents]
+        print(
+            f"{relays} relays, asks {asks_service}, {len(failures)} between: "
+            f"{min(delays):.2f} to {max(delays):.2f} s"
+        )
+        assert max(delays) <= MAX_LIST_DELAY_S
+        assert all(agent.requests[0][0] <= MAX_LIST_DELAY_S - 2.0 for agent in agents)  # of a new process
         if spread_s > 1.0:  # nor all at once
-            firsts = sorted(agent.asked[1][0] - agent.silent_at for agent in agents)
+            firsts = sorted(agent.requests[1][0] - agent.silent_at for agent in agents)
             assert firsts[-1] - firsts[0] > 0.4
 
-    run(script)
+    run_script(script)
 
 
 def test_calls_lost_while_discovery_was_down_delay_the_list_little_after_its_return(tmp_path: Path) -> None:
@@ -195,35 +198,35 @@
     returns_at = 10.0
 
     async def swallowed_while_down(agent: Agent, stream: trio.SocketStream) -> None:
-        await (silent if trio.current_time() < returns_at else told(42))(agent, stream)
+        await (stays_silent if trio.current_time() < returns_at else sends(42))(agent, stream)
 
-    agents = [Agent(tmp_path, falls_silent, swallowed_while_down, seed=seed) for seed in range(8)]
+    agents = [Agent(tmp_path, sends_then_falls_silent, swallowed_while_down, seed=seed) for seed in range(8)]
 
     async def script(nursery: trio.Nursery) -> None:
         for agent in agents:
             await agent.follow(nursery)
         assert (
-            max([await agent.has_heard(42) for agent in agents]) - returns_at
+            max([await agent.wait_for_version(42) for agent in agents]) - returns_at
             <= ANSWER_TIMEOUT_S + RETRY_DELAY_S
         )
 
-    run(script)
+    run_script(script)
 
 
 def test_empty_lines_keep_a_watch_without_changes_open(tmp_path: Path) -> None:
-    agent = Agent(tmp_path, told())
+    agent = Agent(tmp_path, sends())
 
     async def script(nursery: trio.Nursery) -> None:
         discovery = await agent.follow(nursery)
         await trio.sleep(9.0)
-        assert len(agent.asked) == 1 and discovery.heard_at == 8.0
+        assert len(agent.requests) == 1 and discovery.heard_at == 8.0
 
-    run(script)
+    run_script(script)
 
 
-def trickles(begun: bytes, piece: bytes) -> Answer:
+def sends_slowly(first_part: bytes, piece: bytes) -> Answer:
     async def answer(agent: Agent, stream: trio.SocketStream) -> None:
-        await stream.send_all(HEAD + chunk(change(41)) + begun)
+        await stream.send_all(HEAD + chunk(change(41)) + first_part)
         agent.silent_at = trio.current_time()
         while piece:
             await trio.sleep(0.5)
@@ -234,7 +237,7 @@
 
 
 @pytest.mark.parametrize(
-    ("begun", "piece"),
+    ("first_part", "piece"),
     [
         (b"", b""),  # in its first second
         (chunk(b'{"seq":42,"who'), b""),  # in the middle of a line
@@ -244,17 +247,21 @@
         (b"1;", b"x"),  # its size never does
     ],
 )
-def test_a_watch_without_complete_lines_counts_as_silent(tmp_path: Path, begun: bytes, piece: bytes) -> None:
-    agent = Agent(tmp_path, trickles(begun, piece), told(42))
+def test_a_watch_without_complete_lines_counts_as_silent(
+    tmp_path: Path, first_part: bytes, piece: bytes
+) -> None:
+    agent = Agent(tmp_path, sends_slowly(first_part, piece), sends(42))
 
     async def script(nursery: trio.Nursery) -> None:
         discovery = await agent.follow(nursery)
         await trio.sleep(MAX_WATCH_SILENCE_S - 0.1)
         assert discovery.heard_at == agent.silent_at
-        assert await agent.has_heard(42) - agent.silent_at <= MAX_WATCH_SILENCE_S + RETRY_DELAY_S + 0.01
-        assert [target for _, target in agent.asked] == [WATCH % 40, WATCH % 41]
+        assert (
+            await agent.wait_for_version(42) - agent.silent_at <= MAX_WATCH_SILENCE_S + RETRY_DELAY_S + 0.01
+        )
+        assert [target for _, target in agent.requests] == [WATCH_PATH % 40, WATCH_PATH % 41]
 
-    run(script)
+    run_script(script)
 
 
 def test_a_lagging_loop_drops_no_healthy_watch(tmp_path: Path) -> None:
@@ -275,8 +282,8 @@
         async with trio.open_nursery() as nursery:
             agent = Agent(tmp_path, sound)
             await agent.follow(nursery)
-            await agent.has_heard(51)
-            assert len(agent.asked) == 1
+            await agent.wait_for_version(51)
+            assert len(agent.requests) == 1
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=clock)
@@ -306,46 +313,46 @@
 
     async def script(nursery: trio.Nursery) -> None:
         await agent.follow(nursery)
-        await agent.has_heard(versions.stop + 2)
-        assert [version for _, version in agent.heard] == [*range(100, versions.stop + 3)]
-        assert len(agent.asked) == 1
+        await agent.wait_for_version(versions.stop + 2)
+        assert [version for _, version in agent.received] == [*range(100, versions.stop + 3)]
+        assert len(agent.requests) == 1
 
-    run(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize("indent", [None, 0, 1])
 def test_reading_an_object_takes_linear_time_in_its_lines(indent: int | None) -> None:
     entries = [entry(f'a "{{[\\" {n}') for n in range(1024)]  # names that look like what they are not
     lines = json.dumps(whole(*entries), indent=indent).encode().split(b"\n")
-    objects, began_s = ObjectReader(), time.process_time()
+    objects, started_s = ObjectReader(), time.process_time()
     assert [bool(objects.take(line)) for line in lines] == [False] * (len(lines) - 1) + [True]
-    assert time.process_time() - began_s < 2.0  # some 0.02; 17 where the whole is read again with each line
+    assert time.process_time() - started_s < 2.0  # some 0.02; 17 where the whole is read again with each line
 
 
-@pytest.mark.parametrize(("parts", "told_whole"), [(6, True), (100, False)])
+@pytest.mark.parametrize(("parts", "is_complete"), [(6, True), (100, False)])
 def test_a_whole_list_may_arrive_slowly_within_a_time_limit(
-    tmp_path: Path, parts: int, told_whole: bool
+    tmp_path: Path, parts: int, is_complete: bool
 ) -> None:
     async def slowly(agent: Agent, stream: trio.SocketStream) -> None:
-        text = whole_list()[:-parts] if told_whole else OK + b"Content-Length: 1000000\r\n\r\n"
+        text = whole_list_response()[:-parts] if is_complete else OK + b"Content-Length: 1000000\r\n\r\n"
         await stream.send_all(text)
-        for part in whole_list()[-parts:]:
+        for part in whole_list_response()[-parts:]:
             await trio.sleep(0.8)
             await stream.send_all(part.to_bytes())
 
-    agent = Agent(tmp_path, slowly, told(42), known=False)
+    agent = Agent(tmp_path, slowly, sends(42), known=False)
 
     async def script(nursery: trio.Nursery) -> None:
         await agent.follow(nursery)
-        await agent.has_asked(2)
-        assert agent.asked[1][1] == (WATCH % 41 if told_whole else WHOLE)
-        assert agent.asked[1][0] <= MAX_LIST_DELAY_S + RETRY_DELAY_S + 0.02
+        await agent.wait_for_requests(2)
+        assert agent.requests[1][1] == (WATCH_PATH % 41 if is_complete else WHOLE_LIST_PATH)
+        assert agent.requests[1][0] <= MAX_LIST_DELAY_S + RETRY_DELAY_S + 0.02
 
-    run(script)
+    run_script(script)
 
 
 def test_a_restarted_agent_is_reached_within_the_retry_delay(tmp_path: Path) -> None:
-    agent = Agent(tmp_path, told(41))
+    agent = Agent(tmp_path, sends(41))
 
     async def script(nursery: trio.Nursery) -> None:
         with trio.socket.socket() as sock:
@@ -355,54 +362,57 @@
             await trio.sleep(5.1)
             sock.listen()
             nursery.start_soon(trio.serve_listeners, agent.answer, [trio.SocketListener(sock)])
-            assert await agent.has_heard(41) - 5.1 <= RETRY_DELAY_S + 0.02
+            assert await agent.wait_for_version(41) - 5.1 <= RETRY_DELAY_S + 0.02
 
-    run(script)
+    run_script(script)
 
 
 def test_a_move_during_the_delivery_of_a_list_drops_the_old_discoverys_further_lists(tmp_path: Path) -> None:
     """Both changes have come when the relay is told to move; the first one is with the decisions."""
-    old, new = Agent(tmp_path, told(41, 42)), Agent(tmp_path, told(43))
+    old, new = Agent(tmp_path, sends(41, 42)), Agent(tmp_path, sends(43))
 
     async def script(nursery: trio.Nursery) -> None:
         await new.listen(nursery)
-        old.may_hear = trio.Event()
+        old.may_continue = trio.Event()
         discovery = await old.follow(nursery)
-        await old.has_heard(41)
+        await old.wait_for_version(41)
         discovery.move_to(new.address)
         await trio.testing.wait_all_tasks_blocked()
-        old.may_hear.set()
-        await new.has_asked(1)
-        assert new.asked[0][1] == WHOLE
-        assert [version for _, version in old.heard] == [41]
+        old.may_continue.set()
+        await new.wait_for_requests(1)
+        assert new.requests[0][1] == WHOLE_LIST_PATH
+        assert [version for _, version in old.received] == [41]
 
-    run(script)
+    run_script(script)
 
 
 def test_a_move_back_during_the_delivery_of_the_new_list_fetches_the_whole_list(tmp_path: Path) -> None:
     async def whole_first(agent: Agent, stream: trio.SocketStream) -> None:
-        old.may_hear = trio.Event()
-        await stream.send_all(whole_list())
+        old.may_continue = trio.Event()
+        await stream.send_all(whole_list_response())
 
-    old, new = Agent(tmp_path, told(42), told(43)), Agent(tmp_path, whole_first)
+    old, new = Agent(tmp_path, sends(42), sends(43)), Agent(tmp_path, whole_first)
 
     async def script(nursery: trio.Nursery) -> None:
         await new.listen(nursery)
         discovery = await old.follow(nursery)
-        await old.has_heard(42)
+        await old.wait_for_version(42)
         discovery.move_to(new.address)
-        await old.has_heard(41)
+        await old.wait_for_version(41)
         discovery.move_to(old.address)
         await trio.testing.wait_all_tasks_blocked()
-        old.may_hear.set()
-        await old.has_asked(2)
-        assert [target for _, target in old.asked] == [WATCH % 40, WHOLE]  # 41 is the other's number
+        old.may_continue.set()
+        await old.wait_for_requests(2)
+        assert [target for _, target in old.requests] == [
+            WATCH_PATH % 40,
+            WHOLE_LIST_PATH,
+        ]  # 41 is the other's number
 
-    run(script)
+    run_script(script)
 
 
-async def refused(agent: Agent, stream: trio.SocketStream) -> None:
-    await stream.send_all(busy())
+async def refuses(agent: Agent, stream: trio.SocketStream) -> None:
+    await stream.send_all(unavailable_response())
 
 
 @pytest.mark.parametrize("spread_s", [0.0, 23.0])
@@ -412,40 +422,40 @@
 ) -> None:
     moved = []
     for seed in range(10):
-        old, new = Agent(tmp_path, refused, spread_s=spread_s, seed=seed), Agent(tmp_path, refused)
+        old, new = Agent(tmp_path, refuses, spread_s=spread_s, seed=seed), Agent(tmp_path, refuses)
 
         async def script(nursery: trio.Nursery, old: Agent = old, new: Agent = new) -> None:
             await new.listen(nursery)
             discovery = await old.follow(nursery)
-            await old.has_asked(refusals)
+            await old.wait_for_requests(refusals)
             await trio.sleep(0.05)
             at = trio.current_time()
             discovery.move_to(new.address)
-            await new.has_asked(2)
-            (first, _), (second, _) = new.asked[:2]
+            await new.wait_for_requests(2)
+            (first, _), (second, _) = new.requests[:2]
             moved.append(first - at)
             assert second - first <= RETRY_DELAY_S + spread_s + 0.01
 
-        run(script)
+        run_script(script)
     assert max(moved) <= (0.75 if spread_s else 0.0)
     assert not spread_s or max(moved) - min(moved) > 0.3
 
 
 def test_an_agent_with_pushed_lists_is_called_at_the_retry_delay(tmp_path: Path) -> None:
-    agent = Agent(tmp_path, *[refused] * 6, told(41))
+    agent = Agent(tmp_path, *[refuses] * 6, sends(41))
 
     async def script(nursery: trio.Nursery) -> None:
         await agent.follow(nursery)
-        assert await agent.has_heard(41) <= 6 * RETRY_DELAY_S
+        assert await agent.wait_for_version(41) <= 6 * RETRY_DELAY_S
 
-    run(script)
+    run_script(script)
 
 
-async def no_list(agent: Agent, stream: trio.SocketStream) -> None:
+async def sends_no_list(agent: Agent, stream: trio.SocketStream) -> None:
     await stream.send_all(OK + b"Content-Length: 3\r\n\r\n{}\n")
 
 
-@pytest.mark.parametrize("answer", [no_list, refused])
+@pytest.mark.parametrize("answer", [sends_no_list, refuses])
 def test_a_service_without_a_whole_list_is_called_as_rarely_as_the_time_limit_allows(
     tmp_path: Path, answer: Answer
 ) -> None:
@@ -456,36 +466,38 @@
 
     async def script(nursery: trio.Nursery) -> None:
         await agent.follow(nursery)
-        await agent.has_asked(12)
-        moments = [at for at, _ in agent.asked]
-        gaps = [later - sooner for sooner, later in pairwise(moments[1:])]
-        assert moments[1] - moments[0] <= 1.0
+        await agent.wait_for_requests(12)
+        times = [at for at, _ in agent.requests]
+        gaps = [later - sooner for sooner, later in pairwise(times[1:])]
+        assert times[1] - times[0] <= 1.0
         assert (
             max(gaps) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
         )  # and then it may take its time for the answer
         assert min(gaps[2:]) >= 0.7 * CALL_INTERVAL_S
-        assert {target for _, target in agent.asked[1:]} == {WHOLE}
+        assert {target for _, target in agent.requests[1:]} == {WHOLE_LIST_PATH}
 
-    run(script)
+    run_script(script)
 
 
-async def refused_late(agent: Agent, stream: trio.SocketStream) -> None:
+async def refuses_late(agent: Agent, stream: trio.SocketStream) -> None:
     await trio.sleep(MAX_ASKING_ANSWER_S)
-    await stream.send_all(busy())
+    await stream.send_all(unavailable_response())
 
 
-async def told_as_late_as_may_be(agent: Agent, stream: trio.SocketStream) -> None:
+async def answers_as_late_as_allowed(agent: Agent, stream: trio.SocketStream) -> None:
     """Either way, by what was asked for."""
     await trio.sleep(MAX_ASKING_ANSWER_S)
-    if agent.asked[-1][1] == WHOLE:
+    if agent.requests[-1][1] == WHOLE_LIST_PATH:
         text = json.dumps(whole(entry("s-2"), seq=42)).encode()
         await stream.send_all(OK + b"Content-Length: %d\r\n\r\n" % len(text) + text)
     else:
-        await told(42)(agent, stream)
+        await sends(42)(agent, stream)
 
 
 @pytest.mark.parametrize("relays", [230, 3_400])
-@pytest.mark.parametrize("fault", [refused, refused_late, silent, only_a_head, reset, no_list])
+@pytest.mark.parametrize(
+    "fault", [refuses, refuses_late, stays_silent, sends_only_a_head, resets, sends_no_list]
+)
 def test_a_change_arrives_in_time_after_any_kind_of_failed_call(
     tmp_path: Path, relays: int, fault: Answer
 ) -> None:
@@ -493,7 +505,7 @@
     worst moment."""
     spread_s = calls_spread_s(Settings(gateways=relays, ask_for_list=True))
     agents = [
-        Agent(tmp_path, *[fault] * failed, told_as_late_as_may_be, spread_s=spread_s, seed=seed)
+        Agent(tmp_path, *[fault] * failed, answers_as_late_as_allowed, spread_s=spread_s, seed=seed)
         for seed, failed in enumerate((1, 1, 1, 2, 2, 4))
     ]
 
@@ -501,15 +513,15 @@
         for agent in agents:
             await agent.follow(nursery)
         for agent in agents:
-            heard_at = await agent.has_heard(42)
-            reached_at = agent.asked[len(agent.script) - 2][0]
+            heard_at = await agent.wait_for_version(42)
+            reached_at = agent.requests[len(agent.script) - 2][0]
             assert heard_at - reached_at <= MAX_LIST_DELAY_S - LOOP_LAG_MARGIN_S + 0.05
         assert (
-            max(agent.asked[0][0] for agent in agents)
+            max(agent.requests[0][0] for agent in agents)
             <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S - LOOP_LAG_MARGIN_S
         )  # of a new process
 
-    run(script, threshold_s=0.01)
+    run_script(script, threshold_s=0.01)
 
 
 def test_a_process_that_asks_makes_its_first_call_before_it_counts_as_informed(tmp_path: Path) -> None:
@@ -518,7 +530,7 @@
         "replicas_of_me": 230,
         "invariants": {"ask_within_us": 500_000},
     }
-    agents = [Agent(tmp_path, told(41)) for _ in range(8)]
+    agents = [Agent(tmp_path, sends(41)) for _ in range(8)]
 
     async def script(nursery: trio.Nursery) -> None:
         for seed, agent in enumerate(agents):
@@ -528,7 +540,7 @@
             process.relay.destinations.read(whole(entry("s-1"), seq=40), cached=True)
             nursery.start_soon(process.discovery.follow)
         for agent in agents:
-            await agent.has_asked(1)
-        assert 0.1 < max(agent.asked[0][0] for agent in agents) <= 0.5
+            await agent.wait_for_requests(1)
+        assert 0.1 < max(agent.requests[0][0] for agent in agents) <= 0.5
 
-    run(script)
+    run_script(script)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -27,7 +27,7 @@
 from linnetspread import interface
 from linnetspread.choice import SEEDS
 
-Client = Callable[[Relay, int], Awaitable[None]]
+ClientScript = Callable[[Relay, int], Awaitable[None]]
 
 
 @pytest.fixture
@@ -35,18 +35,18 @@
     return relaying.config(tmp_path)
 
 
-def play(
-    conf: Config, handler: relaying.Handler, client: Client, clock: trio.abc.Clock | None = None
+def run_relay(
+    conf: Config, handler: relaying.Handler, client: ClientScript, clock: trio.abc.Clock | None = None
 ) -> Relay:
-    seen: list[Relay] = []
+    relays_started: list[Relay] = []
 
     async def main() -> None:
         async with relay(conf, handler) as (shared, _, port):
-            seen.append(shared)
+            relays_started.append(shared)
             await client(shared, port)
 
     trio.run(main, clock=clock)
-    return seen[0]
+    return relays_started[0]
 
 
 async def up_and_echo(stream: trio.SocketStream) -> None:
@@ -58,7 +58,7 @@
         await stream.send_all(line)
 
 
-async def opened(port: int) -> trio.SocketStream:
+async def open_connection(port: int) -> trio.SocketStream:
     stream = await trio.open_tcp_stream("127.0.0.1", port)
     await stream.send_all(OPEN)
     return stream
@@ -68,15 +68,15 @@
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(b"PING\r\n" + OPEN)
-        got = [await read_line(stream) for _ in range(3)]
-        assert got == [b"PONG\r\n", b"UP r1\r\n", b"LOAD 50.5\r\n"]
+        received_lines = [await read_line(stream) for _ in range(3)]
+        assert received_lines == [b"PONG\r\n", b"UP r1\r\n", b"LOAD 50.5\r\n"]
         await stream.send_all(b"M 1\r\n")
         assert await read_line(stream) == b"M 1\r\n"
         await stream.send_eof()
         assert await read_line(stream) == b""
 
     # The clock stands still, so that no time limit can end what the half-close should.
-    shared = play(conf, up_and_echo, client, trio.testing.MockClock())
+    shared = run_relay(conf, up_and_echo, client, trio.testing.MockClock())
     assert (shared.counters.answered_up, shared.counters.ended, shared.counters.faults) == (1, 1, 0)
 
 
@@ -95,7 +95,7 @@
         await stream.send_all(OPEN.replace(b",zz=1", b",at=s-0,zz=1").replace(b"2000", wait))
         assert await read_line(stream) == (answer if answer.startswith(b"UP") else lines.FAILED)
 
-    counters = play(conf, server, client).counters
+    counters = run_relay(conf, server, client).counters
     assert (counters.existing, counters.calls, counters.faults) == (1, 1, 0)
 
 
@@ -111,7 +111,7 @@
         await stream.send_all(b"OPEN 9b1f 7f3a c=watch,d=4294967,at=s-0\r\n")  # 2**32 us: no end
         assert await read_line(stream) == b"UP r1\r\n"
 
-    assert play(conf, server, client).counters.malformed == 0
+    assert run_relay(conf, server, client).counters.malformed == 0
 
 
 def test_a_reset_is_forwarded_while_both_directions_are_read(conf: Config) -> None:
@@ -122,7 +122,7 @@
         sockets.reset_on_close(stream.socket)
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await read_line(stream)
         await stream.send_all(b"M 1\r\n")
         with pytest.raises(trio.BrokenResourceError):
@@ -130,7 +130,7 @@
         while shared.standing:
             await trio.lowlevel.checkpoint()
 
-    assert play(conf, reset, client).counters.faults == 0
+    assert run_relay(conf, reset, client).counters.faults == 0
 
 
 def test_the_client_of_a_silent_server_is_moved_before_it_asks_twice(conf: Config) -> None:
@@ -144,13 +144,13 @@
         await trio.sleep_forever()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await read_line(stream)
         await stream.send_all(b"M 1\r\n")
         assert await read_line(stream) == b"MOVE\r\n"
         assert await read_line(stream) == b""
 
-    assert play(conf, silent, client, clock).counters.silent == 1
+    assert run_relay(conf, silent, client, clock).counters.silent == 1
 
 
 def test_a_client_that_does_not_read_does_not_count_as_a_silent_server(conf: Config) -> None:
@@ -163,7 +163,7 @@
             await stream.send_all(b"N" * 4000 + b"\r\n")
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await read_line(stream)
         for _ in range(3):
             await trio.testing.wait_all_tasks_blocked(0.05)
@@ -172,7 +172,7 @@
         await trio.testing.wait_all_tasks_blocked()
         assert len(shared.standing) == 1
 
-    assert play(conf, flood, client, clock).counters.silent == 0
+    assert run_relay(conf, flood, client, clock).counters.silent == 0
 
 
 def test_a_move_waits_for_a_complete_line_even_with_a_slow_client(conf: Config) -> None:
@@ -184,16 +184,16 @@
                 await stream.send_all(b"N" * 3000 + b"\r\n")
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await trio.testing.wait_all_tasks_blocked(0.05)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(next(iter(shared.standing)).move)
             await trio.testing.wait_all_tasks_blocked(0.05)
-            got = b"".join([part async for part in stream])
-        *whole_lines, last, rest = got.split(b"\r\n")
+            received_lines = b"".join([part async for part in stream])
+        *whole_lines, last, rest = received_lines.split(b"\r\n")
         assert (last, rest) == (b"MOVE", b"") and set(whole_lines) == {b"UP r1", b"N" * 3000}
 
-    play(conf, flood, client, trio.testing.MockClock())
+    run_relay(conf, flood, client, trio.testing.MockClock())
 
 
 @pytest.mark.parametrize("load", [b"nan", b"inf", b"-1", b"much", b"1e300"])
@@ -208,11 +208,11 @@
         await stream.send_all(b"BUSY\r\n")
 
     async def client(shared: Relay, port: int) -> None:
-        word, wait_ms = (await read_line(await opened(port))).split()
+        word, wait_ms = (await read_line(await open_connection(port))).split()
         assert word == b"BUSY" and 233 <= int(wait_ms) <= 700
 
     # With the clock standing still, an answer held back would never come.
-    play(conf, busy, client, trio.testing.MockClock())
+    run_relay(conf, busy, client, trio.testing.MockClock())
 
 
 @pytest.mark.parametrize(
@@ -246,7 +246,7 @@
         assert await read_line(stream) == lines.FAILED
         assert await read_line(stream) == b""
 
-    counters = play(conf, never, client).counters
+    counters = run_relay(conf, never, client).counters
     assert (counters.malformed, counters.calls) == (1, 0)
 
 
@@ -261,7 +261,7 @@
             await stream.send_all(OPEN.replace(b"2000", wait))
             assert await read_line(stream) == word
 
-    play(conf, up_and_echo, client, trio.testing.MockClock())
+    run_relay(conf, up_and_echo, client, trio.testing.MockClock())
 
 
 @pytest.mark.parametrize("up", [True, False])
@@ -272,15 +272,15 @@
         assert await read_line(stream) == b""
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await (read_line(stream) if up else trio.testing.wait_all_tasks_blocked(0.05))
-        assert await read_line(await opened(port)) == lines.FAILED
+        assert await read_line(await open_connection(port)) == lines.FAILED
         await stream.aclose()
         while shared.ids:
             await trio.lowlevel.checkpoint()
 
     # Once it is over the id is free, and nothing of it is kept.
-    assert play(conf, server, client, trio.testing.MockClock()).counters.calls == 1
+    assert run_relay(conf, server, client, trio.testing.MockClock()).counters.calls == 1
 
 
 def test_a_client_that_does_not_wait_for_its_answer_gets_a_failure(conf: Config) -> None:
@@ -293,13 +293,13 @@
         over.set()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await called.wait()
         await stream.send_all(b"frob\r\n" * 300)
         assert await read_line(stream) == lines.FAILED
         await over.wait()
 
-    play(conf, server, client, trio.testing.MockClock())
+    run_relay(conf, server, client, trio.testing.MockClock())
 
 
 def test_silent_clients_displace_each_other_and_no_normal_client(tmp_path: Path) -> None:
@@ -313,7 +313,7 @@
             await trio.testing.wait_all_tasks_blocked(0.01)
         for stream in silent[:2]:  # the oldest give way, at once
             assert await read_line(stream) == lines.FAILED
-        usual = await opened(port)
+        usual = await open_connection(port)
         assert await read_line(usual) == b"UP r1\r\n"
         await silent[-1].send_all(lines.PING + lines.END)
         assert await read_line(silent[-1]) == lines.PONG
@@ -321,7 +321,7 @@
         for stream in silent[3:]:
             assert await read_line(stream) == lines.FAILED
 
-    counters = play(conf, up_and_echo, client, clock).counters
+    counters = run_relay(conf, up_and_echo, client, clock).counters
     assert (counters.silent_clients, counters.crowded_out) == (5, 3)
 
 
@@ -332,7 +332,7 @@
             while True:  # with the clock standing still, only the count of bytes can end it
                 await stream.send_all(b"k" * 65536)
 
-    assert play(conf, up_and_echo, client, trio.testing.MockClock()).counters.malformed == 1
+    assert run_relay(conf, up_and_echo, client, trio.testing.MockClock()).counters.malformed == 1
 
 
 @pytest.mark.parametrize(
@@ -361,8 +361,8 @@
                 listener.listen()
                 nursery.start_soon(inbound.serve, NoneLeft(listener), nursery)  # type: ignore[arg-type]
                 port = listener.getsockname()[1]
-                assert await read_line(await opened(port)) == b"BUSY 700\r\n"
-                assert await read_line(await opened(port)) == b"UP r1\r\n"
+                assert await read_line(await open_connection(port)) == b"BUSY 700\r\n"
+                assert await read_line(await open_connection(port)) == b"UP r1\r\n"
                 nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -391,16 +391,16 @@
         await stream.send_all(b"UP r1\r\n")
         await read_line(stream)
 
-    play(conf, server, client, clock)
+    run_relay(conf, server, client, clock)
 
 
 def test_a_relay_without_clients_ends_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
-        began = trio.current_time()
-        await finish_taken(Leaving(began, conf.settings, 30.0), shared)
-        assert trio.current_time() - began < 1.0
+        started_at = trio.current_time()
+        await finish_taken(Leaving(started_at, conf.settings, 30.0), shared)
+        assert trio.current_time() - started_at < 1.0
 
-    play(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
+    run_relay(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
 
 
 def test_partial_gathered_writes_continue_where_they_stopped() -> None:
@@ -447,15 +447,15 @@
 ) -> None:
     destinations = DestinationSet(conf.names)
     destinations.read(whole(entry("s-1"), entry("s-3")))
-    told = destinations.read({"seq": 2, "whole": True, "hosts": [bad, entry("s-2")]})
-    named = {line.server for line in told.servers if line.state is interface.ServerState.READY}
-    held = {
+    server_list = destinations.read({"seq": 2, "whole": True, "hosts": [bad, entry("s-2")]})
+    ready_servers = {line.server for line in server_list.servers if line.state is interface.ServerState.READY}
+    addressed = {
         server_number(host)
         for host in ("s-1", "s-2", "s-3")
         if destinations.address(server_number(host)) is not None
     }
     known = {server_number("s-1"), server_number("s-2")} if bad != 7 else {server_number("s-2")}
-    assert named == held == known and len(destinations.faults) == 1
+    assert ready_servers == addressed == known and len(destinations.faults) == 1
 
 
 def test_an_older_whole_list_is_applied_but_restores_no_departed_server(conf: Config) -> None:
@@ -469,12 +469,12 @@
             "hosts": [entry("s-1", health="terminating"), entry("s-2", health="terminated")],
         }
     )
-    again = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-4"), seq=7))
+    repeated_list = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-4"), seq=7))
     drains, ready = interface.ServerState.DRAINING, interface.ServerState.READY
-    assert [line.state for line in again.servers] == [drains, drains, ready]
-    assert again.version > heard.version and destinations.address(server_number("s-3")) is None
-    back = destinations.read({"seq": 8, "whole": False, "hosts": [entry("s-2", born_ms=5)]})
-    assert back.servers[0].state is interface.ServerState.READY
+    assert [line.state for line in repeated_list.servers] == [drains, drains, ready]
+    assert repeated_list.version > heard.version and destinations.address(server_number("s-3")) is None
+    restored = destinations.read({"seq": 8, "whole": False, "hosts": [entry("s-2", born_ms=5)]})
+    assert restored.servers[0].state is interface.ServerState.READY
 
 
 def test_two_hosts_with_the_same_number_are_not_mixed_up(
@@ -492,16 +492,16 @@
             raise KeyError(0)
 
         shared.decisions.dispatch.balancer.handle = fail  # type: ignore[method-assign]
-        assert await read_line(await opened(port)) == lines.FAILED
+        assert await read_line(await open_connection(port)) == lines.FAILED
 
-    play(conf, up_and_echo, client, trio.testing.MockClock())
+    run_relay(conf, up_and_echo, client, trio.testing.MockClock())
 
 
 class Agent:
     """A discovery agent on an ephemeral port: one list, then a watch that says nothing."""
 
     def __init__(self, watched: Callable[[], None], *entries: dict[str, object], seq: int = 41) -> None:
-        self.asked: list[bytes] = []
+        self.requests: list[bytes] = []
         self.body = json.dumps(whole(*entries, seq=seq)).encode()
         self.watched = watched
         self.address = ("", 0)
@@ -513,10 +513,10 @@
     async def answer(self, stream: trio.SocketStream) -> None:
         while line := await read_line(stream):
             if line.startswith(b"GET"):
-                self.asked.append(line.split()[1])
+                self.requests.append(line.split()[1])
             if line != b"\r\n":
                 continue
-            if b"watch" in self.asked[-1]:
+            if b"watch" in self.requests[-1]:
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n\r\n\r\n")
                 self.watched()
                 await trio.sleep_forever()
@@ -549,11 +549,11 @@
             shared, destinations = process.relay, process.relay.destinations
             nursery.start_soon(process.discovery.follow)
             await watched[0].wait()
-            for fault in ({"discovery": "nowhere"}, {"discovery": new, "settings": {}}):
-                relaying.write(tmp_path, **fault)
+            for faulty_changes in ({"discovery": "nowhere"}, {"discovery": new, "settings": {}}):
+                relaying.write_config(tmp_path, **faulty_changes)
                 process.reload()
             assert shared.config == conf and not watched[1].is_set()
-            relaying.write(tmp_path, discovery=new, limits={"sockets": 300}, name="other")
+            relaying.write_config(tmp_path, discovery=new, limits={"sockets": 300}, name="other")
             with trio.open_signal_receiver(signal.SIGHUP) as signals:
                 os.kill(os.getpid(), signal.SIGHUP)  # unheeded, it would end the process
                 nursery.start_soon(heed, signals, {signal.SIGHUP: process.reload})
@@ -588,25 +588,25 @@
     assert relaying.config(tmp_path, {"LB_LISTEN": "127.9.9.9:1"}).listen == ("127.9.9.9", 1)
 
 
-@pytest.mark.parametrize(("weight", "stays"), [(2.0, True), (0.8, False)])
-def test_a_weak_server_is_full_sooner_without_delay_reports(weight: float, stays: bool) -> None:
+@pytest.mark.parametrize(("weight", "stays_at_home"), [(2.0, True), (0.8, False)])
+def test_a_weak_server_is_full_sooner_without_delay_reports(weight: float, stays_at_home: bool) -> None:
     """On sockets nothing tells that messages take long: the load and the listed weight must show it."""
     gateway = Gateway(servers=0, weighted=True)
     gateway.servers(
         interface.ListKind.CACHED, *(listed(100 + n, weight=weight if n == 0 else 2.0) for n in range(4))
     )
     keys: dict[int, list[int]] = {100 + n: [] for n in range(4)}
-    opened: dict[int, list[int]] = {server: [] for server in keys}
+    open_connection: dict[int, list[int]] = {server: [] for server in keys}
     anchor = gateway.balancer.anchor
     assert anchor is not None
     for key in range(1, 400):
         keys[anchor.lookup(key, SEEDS[0]) or 0].append(key)
     for turn in range(12):  # the same load everywhere
         for server in keys:
-            opened[server].append(gateway.open(keys[server][turn]))
-    at_home = sum(gateway.where[number] == 100 for number in opened[100])
+            open_connection[server].append(gateway.open(keys[server][turn]))
+    at_home = sum(gateway.where[number] == 100 for number in open_connection[100])
     # 12 connections are within a strong server's part of 48, and far beyond a weak one's.
-    assert (at_home == 12) == stays
+    assert (at_home == 12) == stays_at_home
 
 
 def test_the_names_of_kinds_come_from_the_settings(conf: Config) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -12,7 +12,16 @@
 import trio
 import trio.testing
 from relaying import entry, whole
-from test_quiet_lists import Agent, Answer, refused, refused_late, reset, run, silent, told_as_late_as_may_be
+from test_quiet_lists import (
+    Agent,
+    Answer,
+    answers_as_late_as_allowed,
+    refuses,
+    refuses_late,
+    resets,
+    run_script,
+    stays_silent,
+)
 
 from glenfold.daemon.process import Process
 from glenfold.daemon.readiness import LATEST_S
@@ -24,18 +33,18 @@
 
 
 @pytest.fixture(autouse=True)
-def _collecting() -> Iterator[None]:
+def _restored_garbage_collection() -> Iterator[None]:
     """A process freezes what stands when it starts."""
     yield
     gc.unfreeze()
     gc.enable()
 
 
-async def ready_after(folder: Path, agent: Agent, **changes: Any) -> float:
+async def seconds_until_ready(folder: Path, agent: Agent, **changes: Any) -> float:
     """Seconds from the start of a process that asks this agent until PING is answered."""
     settings = relaying.SETTINGS | {"registry_mode": "ask", "replicas_of_me": RELAYS}
     written = {"discovery": f"127.0.0.1:{agent.address[1]}", "settings": settings, **changes}
-    began = trio.current_time()
+    started_at = trio.current_time()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         config = relaying.config(folder, **written)
         process = Process(config, lambda config: (config, []), listeners=[listener])
@@ -44,10 +53,10 @@
             with trio.move_on_after(2 * READY_S):
                 await process.relay.ready.wait()
             nursery.cancel_scope.cancel()
-    return trio.current_time() - began
+    return trio.current_time() - started_at
 
 
-@pytest.mark.parametrize("fault", [refused, silent])
+@pytest.mark.parametrize("fault", [refuses, stays_silent])
 def test_a_relay_with_a_stored_list_does_not_wait_for_discovery(tmp_path: Path, fault: Answer) -> None:
     """Nor for its part of a core to cover the start, where that would take too long."""
     known = whole(*(entry(f"s-{n}") for n in range(SERVERS)))
@@ -55,24 +64,24 @@
     async def script(nursery: trio.Nursery) -> None:
         agent = Agent(tmp_path, fault)
         await agent.listen(nursery)
-        after_s = await ready_after(tmp_path, agent, known=known, limits={"cores": 0.01})
+        after_s = await seconds_until_ready(tmp_path, agent, known=known, limits={"cores": 0.01})
         assert LATEST_S <= after_s <= READY_S
 
-    run(script, threshold_s=0.001)
+    run_script(script, threshold_s=0.001)
 
 
-@pytest.mark.parametrize("fault", [refused_late, reset])
+@pytest.mark.parametrize("fault", [refuses_late, resets])
 def test_a_relay_without_a_readable_list_is_ready_although_two_calls_fail(
     tmp_path: Path, fault: Answer
 ) -> None:
     """Each as late as may be, and the third is answered as late."""
 
     async def script(nursery: trio.Nursery) -> None:
-        agent = Agent(tmp_path, fault, fault, told_as_late_as_may_be)
+        agent = Agent(tmp_path, fault, fault, answers_as_late_as_allowed)
         await agent.listen(nursery)
         for seed in range(2):
-            agent.asked.clear()
-            after_s = await ready_after(tmp_path, agent, known={"seq": "none"}, seed=f"{seed:x}")
+            agent.requests.clear()
+            after_s = await seconds_until_ready(tmp_path, agent, known={"seq": "none"}, seed=f"{seed:x}")
             assert after_s <= 2 * (MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S) + MAX_ASKING_ANSWER_S <= READY_S
 
-    run(script, threshold_s=0.001)
+    run_script(script, threshold_s=0.001)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -207,15 +207,15 @@
     async def serve(config: Any) -> None:
         served.append(config)
 
-    relaying.write(tmp_path, settings=told("classes.0.hard_limit_us", "soon"))
+    relaying.write_config(tmp_path, settings=told("classes.0.hard_limit_us", "soon"))
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     monkeypatch.setattr(platform, "serve", serve)
     assert platform.main() == 0
     out, err = capfd.readouterr()
     assert "WARNING configuration: settings.classes.0.hard_limit_us: 'soon' is not a" in err and not out
     environment = {"LB_CONFIG": str(tmp_path / "config.json")}
-    relaying.write(tmp_path, discovery="127.0.0.1:8", settings=told("classes.0.hard_limit_us", "soon"))
+    relaying.write_config(tmp_path, discovery="127.0.0.1:8", settings=told("classes.0.hard_limit_us", "soon"))
     assert read_again(environment, served[0])[0].discovery == ("127.0.0.1", 8)  # nothing new is amiss
-    relaying.write(tmp_path, settings=told("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
+    relaying.write_config(tmp_path, settings=told("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
     with pytest.raises(ConfigError, match=r"^settings\.classes\.0\.semantics: 'twice' is not one of"):
         read_again(environment, served[0])
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -144,7 +144,7 @@
 def test_no_signal_ends_a_relay_that_heeds_it_not_yet_or_no_more(words, logged, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    relaying.write(tmp_path, listen=f"127.0.0.1:{port}")
+    relaying.write_config(tmp_path, listen=f"127.0.0.1:{port}")
     (tmp_path / "glenfold.toml").write_text(FILE.format(port))
     words = [str(tmp_path / word) if word == "glenfold.toml" else word for word in words]
     environment = os.environ | {"LB_CONFIG": str(tmp_path / "config.json")}
