--- a/tests/relaying.py
+++ b/tests/relaying.py
@@ -1,4 +1,4 @@
-"""A relay in this process on ephemeral loopback ports, with push servers that a test scripts."""
+"""Runs a relay in the test process on ephemeral loopback ports, with push servers scripted by the test."""
 
 import json
 import os
@@ -82,7 +82,7 @@
 
 
 async def accept_and_echo(stream: trio.SocketStream, following_data: bytes = b"") -> None:
-    """A push server that accepts, and sends one line back."""
+    """A push server that accepts a connection and sends its first line back."""
     await read_line(stream)
     await stream.send_all(b"UP r1\r\n" + following_data)
     await stream.send_all(await read_line(stream))
@@ -91,7 +91,7 @@
 
 @asynccontextmanager
 async def instance(folder: Path) -> AsyncIterator[Process]:
-    """It does not run; it can't read its configuration again where there is a file `faulty`."""
+    """Yields a process that is not running; reloading its configuration fails if a file `faulty` exists."""
 
     def read_again(current: Config) -> tuple[Config, list[str]]:
         if (folder / "faulty").exists():
@@ -114,8 +114,11 @@
 def async_test(
     set_up: SetUp, **run_options: Any
 ) -> Callable[[Callable[..., Awaitable[None]]], Callable[..., None]]:
-    """A test of an async function: its first argument is what the setting, made in `tmp_path`, yields; the
-    others are fixtures and parameters as usual. `how` goes to trio.run."""
+    """Turns an async function into a test that runs in trio.
+
+    The function's first argument is what `set_up(tmp_path)` yields; the others are fixtures and parameters as
+    usual. `run_options` are passed to trio.run.
+    """
 
     def decorate(script: Callable[..., Awaitable[None]]) -> Callable[..., None]:
         parameters = list(signature(script).parameters.values())[1:]
@@ -142,7 +145,7 @@
 
 @contextmanager
 def full_pipe() -> Iterator[tuple[BinaryIO, BinaryIO, int]]:
-    """Nobody has read from it: the next write blocks. Also how much there is to be read."""
+    """Yields both ends of a pipe that is full, so that the next write blocks, and the bytes in it."""
     descriptors = os.pipe()
     with open(descriptors[0], "rb", 0) as reader, open(descriptors[1], "wb", 0) as writer:
         os.set_blocking(writer.fileno(), False)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two things at one instant, on real sockets: each crossing is forced, in the order that costs something."""
+"""Race conditions between two events on real sockets, each forced in the order that causes the fault."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -22,10 +22,9 @@
 MID_FLOW_OPEN = OPEN.replace(b",zz=1", b",mid=1,zz=1")
 EXISTING_OPEN = OPEN.replace(b",zz=1", b",at=s-0,zz=1")
 LIMITS = {"invariants": {"stop_sending_within_us": 2_000_000}, "ceilings": {"connect_timeout_us": 5_000_000}}
-FLOOD_BYTES = (
-    300_000  # bytes: more than the kernel takes for who reads none, so that an end behind them is unseen
-)
-MAX_HANGUP_DELAY_S = 0.1  # after its end a client may have no attempt that begins later
+# More than the kernel buffers for a receiver that does not read, so that the end behind the data is not seen.
+FLOOD_BYTES = 300_000
+MAX_HANGUP_DELAY_S = 0.1  # No attempt may begin later than this after its client disconnected.
 ClientScript = Callable[[Relay, int], Awaitable[None]]
 
 
@@ -37,7 +36,7 @@
     hosts: int = 1,
     **changes: Any,
 ) -> Relay:
-    """Whatever crossed, nothing of it is left behind."""
+    """Runs a client against a relay and checks that no state of the client is left behind."""
     relays_started: list[Relay] = []
 
     async def main() -> None:
@@ -56,7 +55,7 @@
 
 
 class SilentServer:
-    """A push server that answers nothing, and what it was sent."""
+    """A push server that answers nothing and records the lines sent to it."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -67,15 +66,17 @@
 
 
 def connect_with(port: int, data: bytes) -> socket.socket:
-    """Its sends and ends are in the kernel once they return, with no turn of the loop between."""
+    """Returns a blocking socket: its sends and closes reach the kernel before the event loop runs again."""
     client = socket.create_connection(("127.0.0.1", port))
     client.sendall(data)
     return client
 
 
 def before_check(monkeypatch: pytest.MonkeyPatch, action: Callable[[], object], number: int = 2) -> None:
-    """`do` runs just before that look of all: the first precedes a call, the second, once it has connected,
-    its line."""
+    """Runs `action` just before the given one of all checks.
+
+    The first check precedes a call; the second, after the call has connected, precedes its line.
+    """
     check, checks = Exchange._check_before_send, count(1)
 
     def checked(self: Exchange, *arguments: Any) -> object:
@@ -109,28 +110,32 @@
 def test_a_client_that_left_before_a_call_begins_or_connects_is_not_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, how: str, check: int
 ) -> None:
-    heard, clients = SilentServer(), list[socket.socket]()
-    monkeypatch.setattr(Exchange, "_watch_client", lambda self: trio.sleep_forever())  # a loop that lags
+    silent_server, clients = SilentServer(), list[socket.socket]()
+    monkeypatch.setattr(
+        Exchange, "_watch_client", lambda self: trio.sleep_forever()
+    )  # simulates a lagging loop
     before_check(monkeypatch, lambda: disconnect(clients[0], how), check)
 
     async def client(shared: Relay, port: int) -> None:
         clients.append(connect_with(port, line))
-        while not (shared.counters.left or heard.lines):
+        while not (shared.counters.left or silent_server.lines):
             await trio.lowlevel.checkpoint()
 
-    counters = run_relay(tmp_path, heard, client).counters
-    assert heard.lines in ([], [b""][: check - 1])  # a connection that ends without a line, or none
+    counters = run_relay(tmp_path, silent_server, client).counters
+    assert silent_server.lines in ([], [b""][: check - 1])  # no connection, or one that ends without a line
     assert (counters.left, counters.left_unsent, counters.answered_failed) == (1, 1, 0)
 
 
 @pytest.mark.parametrize("line", [MID_FLOW_OPEN, EXISTING_OPEN])
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize("after_s", [0.001, 0.03, 0.06, 0.09])  # one is just after a look
+@pytest.mark.parametrize(
+    "after_s", [0.001, 0.03, 0.06, 0.09]
+)  # one of them is just after a poll for the hang-up
 def test_the_hangup_of_a_client_behind_much_early_data_is_seen_at_once(
     tmp_path: Path, line: bytes, how: str, after_s: float
 ) -> None:
     clock = trio.testing.MockClock(autojump_threshold=0.01)
-    heard = SilentServer()
+    silent_server = SilentServer()
 
     async def client(shared: Relay, port: int) -> None:
         stream = connect_with(port, line + b"M" * 3 * lines.MAX_LINE)
@@ -142,16 +147,16 @@
             await trio.sleep(0.005)
         assert trio.current_time() - left_at < MAX_HANGUP_DELAY_S
 
-    assert run_relay(tmp_path, heard, client, clock).counters.left == 1
+    assert run_relay(tmp_path, silent_server, client, clock).counters.left == 1
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "behind bytes", "behind a flood"])
 def test_a_client_that_leaves_during_its_first_attempt_gets_no_second(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """Not even a connection: the loop has not seen the end, or can't, behind bytes that nobody reads."""
+    """No second call even connects, although the loop has not seen the end or can't, behind unread data."""
     calls, clients = [], list[socket.socket]()
-    if how != "behind a flood":  # that is to be seen though the watch for the end looks
+    if how != "behind a flood":  # the flood has to be noticed even with the regular check running
         monkeypatch.setattr(Exchange, "_watch_client", lambda self: trio.sleep_forever())
 
     async def full(stream: trio.SocketStream) -> None:
@@ -166,7 +171,7 @@
             await trio.lowlevel.checkpoint()
 
     counters = run_relay(tmp_path, full, client, hosts=3).counters
-    first = [0, 1] if how == "behind a flood" else [1]  # that may be seen before the first call, or after it
+    first = [0, 1] if how == "behind a flood" else [1]  # seen before or after the first call
     assert len(calls) in first and counters.left_unsent == 1
 
 
@@ -187,7 +192,7 @@
 
 
 class BlockedDecisions:
-    """Decisions whose queue is full just as a connection has come up: who tells them that waits."""
+    """Decisions whose queue is full just as a connection has come up, so that its exchange has to wait."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.reached, self.go_on = trio.Event(), trio.Event()
@@ -233,14 +238,14 @@
 def test_a_client_that_closes_as_its_receipt_arrives_leaves_no_state_in_the_decisions(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    blocked, over = BlockedDecisions(monkeypatch), trio.Event()
+    blocked, connection_ended = BlockedDecisions(monkeypatch), trio.Event()
 
     async def server(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"UP r1\r\n")
         with suppress(trio.BrokenResourceError):
             assert await stream.receive_some() == b""
-        over.set()
+        connection_ended.set()
 
     async def client(shared: Relay, port: int) -> None:
         stream = connect_with(port, OPEN)
@@ -248,7 +253,7 @@
         disconnect(stream, how)
         await trio.testing.wait_all_tasks_blocked(0.05)
         blocked.go_on.set()
-        await over.wait()  # the end is passed on
+        await connection_ended.wait()  # the server sees the end of the connection
 
     run_relay(tmp_path, server, client)
 
@@ -256,7 +261,7 @@
 def test_a_client_that_closes_before_its_receipt_is_read_leaves_no_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The other order: its end is there before the receipt."""
+    """The opposite order: the client's end arrives before the receipt."""
     clients = list[socket.socket]()
     kernel_times = outbound.kernel_times
 
@@ -281,15 +286,15 @@
 def test_a_server_that_drains_while_a_call_connects_gets_no_new_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, passed_s: float, sent: bool
 ) -> None:
-    """In mid flow it goes on there, within half of the time for which it may be sent."""
-    heard, clock, relays = SilentServer(), trio.testing.MockClock(), list[Relay]()
+    """A connection in mid-flow still goes to the draining server during half of the drain grace."""
+    silent_server, clock, relays = SilentServer(), trio.testing.MockClock(), list[Relay]()
 
     def drain() -> None:
         records = relays[0].destinations.state().known
         host, port = next(iter(records.values())).address
         relays[0].destinations.read(
             {"seq": 2, "whole": False, "hosts": [entry("s-0", f"{host}:{port}", health="terminating")]}
-        )  # the decisions have yet to hear of it
+        )  # the decisions have not received this change yet
         clock.jump(passed_s)
 
     before_check(monkeypatch, drain)
@@ -297,12 +302,12 @@
     async def client(shared: Relay, port: int) -> None:
         relays.append(shared)
         stream = connect_with(port, line)
-        while not heard.lines:
+        while not silent_server.lines:
             await trio.lowlevel.checkpoint()
         stream.close()
 
-    run_relay(tmp_path, heard, client, clock)
-    assert bool(heard.lines[0]) == sent
+    run_relay(tmp_path, silent_server, client, clock)
+    assert bool(silent_server.lines[0]) == sent
 
 
 def test_a_first_line_that_completes_as_its_client_is_crowded_out_is_accepted(
@@ -318,7 +323,7 @@
     monkeypatch.setattr(Inbound, "_make_room", line_comes_first)
 
     async def client(shared: Relay, port: int) -> None:
-        for n in range(4):  # three may wait at once
+        for n in range(4):  # the limit is three clients without a first line
             silent.append(socket.create_connection(("127.0.0.1", port)))
             while shared.counters.accepted <= n:
                 await trio.lowlevel.checkpoint()
@@ -333,7 +338,7 @@
 def test_the_end_of_a_server_is_passed_on_although_a_line_is_being_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """The line that a client sends uses up the error; what the server had said before comes through."""
+    """Sending a client's line consumes the socket error; data that the server sent before still arrives."""
     servers = list[trio.SocketStream]()
     send = passing.send
 
@@ -341,7 +346,7 @@
         if data == b"M 2\r\n":
             if how == "reset":
                 sockets.reset_on_close(servers[0].socket)
-            servers[0].socket.close()  # with nothing unread: an end, unless it is to be a reset
+            servers[0].socket.close()  # nothing is unread, so this sends FIN unless a reset is set
         await send(sock, data)
 
     monkeypatch.setattr(passing, "send", send_to_closed)
@@ -371,7 +376,7 @@
 
 
 async def malformed_answer(stream: trio.SocketStream, *parts: bytes, then: str = "hold") -> None:
-    """A push server's answer to the first line, and what it does after that."""
+    """Sends a push server's answer to the first line in parts, then does what `then` says."""
     await read_line(stream)
     for part in parts:
         await stream.send_all(part)
@@ -400,7 +405,7 @@
 def test_a_malformed_or_second_server_answer_gives_one_final_answer_at_once(
     tmp_path: Path, parts: tuple[bytes, ...], then: str
 ) -> None:
-    """With the clock standing still, only what comes can end a call."""
+    """The clock stands still, so no timeout can end the call."""
 
     async def server(stream: trio.SocketStream) -> None:
         with suppress(trio.BrokenResourceError):
@@ -427,7 +432,7 @@
 
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
-        await stream.send_all(OPEN)  # it waits for 2 s
+        await stream.send_all(OPEN)  # its wait time is 2 s
         asked_at = trio.current_time()
         assert (await read_line(stream)).split()[0] in (b"BUSY", b"ERR")
         assert trio.current_time() - asked_at < 2.05
@@ -435,14 +440,14 @@
 
     assert (
         run_relay(tmp_path, server, client, clock, hosts=2).counters.calls == 2
-    )  # half of that for the first
+    )  # the first call may take half of the wait time
 
 
 @pytest.mark.parametrize("deadline_first", [False, True])
 def test_a_receipt_that_arrives_at_the_deadline_gives_one_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, deadline_first: bool
 ) -> None:
-    """And the server sees the end of a connection whose client was not told of it."""
+    """The server sees the end of a connection of which its client was not informed."""
     clock, answered, ended = trio.testing.MockClock(), trio.Event(), trio.Event()
 
     async def read_but_not_told(self: Exchange, call: Any) -> None:
@@ -452,7 +457,7 @@
             with trio.CancelScope(shield=True):
                 await answered.wait()
         self._inbox_sender.send_nowait(receipt)
-        clock.jump(2.1)  # to the inbox first, though the deadline passes before it is looked at
+        clock.jump(2.1)  # the receipt is in the inbox before the deadline passes, but is read after it
 
     monkeypatch.setattr(Exchange, "_run_call", read_but_not_told)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Clients without end, idle or not, while discovery is down: what is left of a relay's descriptors."""
+"""Descriptor limits: a flood of clients, idle or not, must leave a relay enough descriptors for discovery."""
 
 import os
 import resource
@@ -26,17 +26,17 @@
 from glenfold.net.inbound import CLOSING_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, Inbound
 from glenfold.net.sockets import SocketType
 
-SOCKETS = 64  # of the relay, by its configuration and by the kernel's limit
+SOCKETS = 64  # The relay's descriptor limit, in its configuration and in the kernel.
 FLOOD_DURATION_S = 1.5
-CLIENT_INTERVAL_S = 0.002  # a client comes: faster ones would leave before they are accepted
-MAX_OPEN_REQUESTS = 60  # held open at a time, several times what the relay has room for
+CLIENT_INTERVAL_S = 0.002  # At a shorter interval clients would disconnect before they are accepted.
+MAX_OPEN_REQUESTS = 60  # Several times the relay's room for requests.
 MAX_OTHER_CLIENTS = 200
 REQUEST = b"OPEN %x 1 c=watch,t=valleys,d=3000\r\n"
 FIRST_BYTES = (b"", b"PING\r\n", b"half a li", b"no line\r\nand more", REQUEST)
 
 
 class Flood:
-    """Clients that connect, send what one of their kind sends first, and rest. The oldest leave."""
+    """Clients that connect, send one of `FIRST_BYTES` and stay idle; the oldest ones disconnect."""
 
     def __init__(self, port: int) -> None:
         self._port = port
@@ -54,7 +54,7 @@
         client = socket.socket()
         held.append(client)
         client.settimeout(0.2)
-        with suppress(OSError):  # its answer may have come, and its end
+        with suppress(OSError):  # the relay may have answered and closed already
             client.connect(("127.0.0.1", self._port))
             client.sendall(first % self.clients_started if requests else first)
         if len(held) > max_count:
@@ -66,7 +66,7 @@
 
 
 class DescriptorWatch:
-    """The most descriptors that a process was seen to hold."""
+    """Polls the number of open descriptors of a process and keeps the maximum."""
 
     def __init__(self, process: int) -> None:
         self.max_count = 0
@@ -88,7 +88,7 @@
 
 
 class OpenConnections:
-    """How many accepted clients are not closed yet."""
+    """Counts the accepted clients whose connections are not closed yet."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.count = 0
@@ -106,7 +106,7 @@
 
 @contextmanager
 def silent_server() -> Iterator[int]:
-    """A push server that accepts and says nothing, so that each call to it holds a descriptor."""
+    """Yields the port of a push server that accepts and never answers: each call to it holds a descriptor."""
     held: list[socket.socket] = []
 
     def accept(listener: socket.socket) -> None:
@@ -128,7 +128,7 @@
 
 @contextmanager
 def relay_process(folder: Path, discovery: int, server: int) -> Iterator[tuple[subprocess.Popen[str], int]]:
-    """Once it listens, with its port."""
+    """Starts a relay process; yields the process and its port once it listens."""
     relaying.write_config(
         folder,
         listen="127.0.0.1:0",
@@ -167,7 +167,7 @@
     tmp_path: Path,
 ) -> None:
     with (
-        socket.socket() as discovery,  # refuses until it listens
+        socket.socket() as discovery,  # refuses connections until it listens
         silent_server() as server,
     ):
         discovery.bind(("127.0.0.1", 0))
@@ -197,7 +197,7 @@
 def test_clients_and_their_calls_leave_enough_descriptors_for_the_relay_itself(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """However many come in one turn of the loop."""
+    """The limit holds however many clients arrive in one turn of the event loop."""
     clients = OpenConnections(monkeypatch)
     conf = relaying.config(tmp_path, limits={"sockets": SOCKETS})
     max_count = SOCKETS - OWN_SOCKETS
@@ -211,7 +211,7 @@
         async with relay(conf, silent) as (shared, inbound, port):
             flood = Flood(port)
             for _ in range(2 * SOCKETS - 8):
-                flood.add_client()  # the loop does not turn meanwhile, so no more than the kernel queues
+                flood.add_client()  # no more than the kernel's queue holds: the loop does not run meanwhile
             while shared.counters.accepted < flood.clients_started:
                 await trio.lowlevel.checkpoint()
                 seen.append(clients.count + inbound._taken)
@@ -222,7 +222,7 @@
 
 
 def test_a_client_that_reads_nothing_is_still_closed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its answer finds no room with the kernel, and nobody waits for that for long."""
+    """The kernel has no buffer for the client's answer; the relay waits only a limited time for it."""
     clients = OpenConnections(monkeypatch)
 
     async def no_room(sock: SocketType, data: bytes) -> None:
@@ -233,7 +233,7 @@
     async def main() -> None:
         async with relay(relaying.config(tmp_path), relaying.accept_and_echo) as (shared, inbound, port):
             idle = [socket.create_connection(("127.0.0.1", port)) for _ in range(2)]
-            idle[0].sendall(b"no line\r\n")  # and the other says nothing
+            idle[0].sendall(b"no line\r\n")  # the other client sends nothing
             with trio.fail_after(FIRST_LINE_TIMEOUT_S + 2 * CLOSING_TIMEOUT_S):
                 while shared.counters.accepted < len(idle) or clients.count:
                     await trio.sleep(0.1)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""How a relay goes on after a fault of discovery, on loopback sockets with a clock that jumps."""
+"""Recovery of a relay after failures of discovery, on loopback sockets with a virtual clock."""
 
 import json
 from pathlib import Path
@@ -33,8 +33,10 @@
 
 
 class ScriptedAgent:
-    """Answers the calls one after the other by a script; what has no answer waits for ever. `asked` has each
-    call with its moment."""
+    """A discovery agent that answers calls in the order of a script; calls after its end wait for ever.
+
+    `requests` has the time and the target of each call.
+    """
 
     def __init__(self, *script: bytes) -> None:
         self.script = list(script)
@@ -61,7 +63,10 @@
     spread_s: float = 0.0,
     received_lists: list[interface.ServerList] | None = None,
 ) -> list[int]:
-    """Follows it until its script is used up; the versions heard. `told` takes the lists themselves."""
+    """Follows `agent` to the end of its script and returns the versions received.
+
+    `received_lists` collects the lists themselves.
+    """
     versions: list[int] = []
 
     async def on_list(servers: interface.ServerList) -> None:
@@ -117,7 +122,12 @@
     agent = ScriptedAgent(
         watch_response(41), watch_response(42), bad, whole_list_response(), watch_response(43)
     )
-    assert follow(tmp_path, agent, known=True) == [41, 42, 41, 43]  # a whole list holds, whatever its version
+    assert follow(tmp_path, agent, known=True) == [
+        41,
+        42,
+        41,
+        43,
+    ]  # a whole list applies whatever its version is
     assert [target for _, target in agent.requests][3:5] == [WHOLE_LIST_PATH, WATCH_PATH % 41]
 
 
@@ -132,7 +142,7 @@
 
 
 def test_a_slow_answer_of_discovery_is_awaited(tmp_path: Path) -> None:
-    """Whoever gives up at once and asks again stands last in the queue, and has cost discovery as much."""
+    """A relay that gave up and called again would be last in the queue and cost discovery another call."""
     agent = ScriptedAgent()
     asked: list[float] = []
 
@@ -145,7 +155,7 @@
                 agent.script_done.set()
 
     agent.answer = slow  # type: ignore[method-assign]
-    follow(tmp_path, agent, known=True, spread_s=0.1)  # where it has to be asked for
+    follow(tmp_path, agent, known=True, spread_s=0.1)  # a spread means that lists are asked for, not pushed
     assert len(asked) == 1
 
 
@@ -159,7 +169,7 @@
 def test_an_invalid_entry_affects_no_other_and_restores_no_departed_server(tmp_path: Path) -> None:
     gone = json.dumps(whole(entry("s-1") | {"health": "terminated"}, seq=42) | {"whole": False})
     mixed = json.dumps(whole(entry("s-3") | {"health": "?"}, entry("s-2"), seq=43) | {"whole": False})
-    late = json.dumps(whole(entry("s-1"), seq=41))  # a whole list from before it left
+    late = json.dumps(whole(entry("s-1"), seq=41))  # a whole list from before the server left
     agent = ScriptedAgent(
         watch_response(41),
         *(
@@ -204,7 +214,7 @@
         WHOLE_LIST_PATH,
         WATCH_PATH % 41,
         WHOLE_LIST_PATH,
-    ]  # told whole, at once
+    ]  # the whole list, at once
 
 
 def test_only_invalid_and_repeated_entries_of_a_large_list_are_left_out(tmp_path: Path) -> None:
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -1,4 +1,4 @@
-"""What is still owed in the last moments of a relay: each crossing is forced, none is waited for."""
+"""Race conditions at the end of a relay: each client still gets its answer or MOVE. Each race is forced."""
 
 import os
 import signal
@@ -30,7 +30,7 @@
 
 
 class StoppingProcess:
-    """A whole process with one push server, told to stop by `stop`; it may be killed `deadline_s` later."""
+    """A relay process with one push server; it may be killed `deadline_s` seconds after `process.stop()`."""
 
     def __init__(self, folder: Path, address: tuple[str, int], deadline_s: float) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -54,14 +54,14 @@
         self.finished.set()
 
     def connect(self, first_bytes: bytes = b"") -> trio.SocketStream:
-        """In no turn of the loop: the kernel has accepted it and has what it said."""
+        """Connects and sends `first_bytes` without a checkpoint: the kernel has both when this returns."""
         sock = socket.create_connection(self.address)
         sock.sendall(first_bytes)
         sock.setblocking(False)
         return trio.SocketStream(trio.socket.from_stdlib_socket(sock))
 
     async def wait_until_ended(self) -> None:
-        """In time, and nothing is left behind."""
+        """Waits until the process has ended and checks that no client state is left."""
         with trio.fail_after(5.0):
             await self.finished.wait()
         relay = self.process.relay
@@ -76,7 +76,7 @@
 
 @asynccontextmanager
 async def restored_signal_handlers() -> AsyncIterator[None]:
-    """A relay that has finished ignores them for good."""
+    """Restores the signal handlers, as a relay that has finished ignores the signals for good."""
     before = {
         number: signal.getsignal(number)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT)
@@ -120,7 +120,7 @@
 
 
 def after_arrivals_end(monkeypatch: pytest.MonkeyPatch, action: Callable[[], Awaitable[None]]) -> None:
-    """`then` begins in the very turn in which the relay sees that."""
+    """Runs `action` in the same turn of the event loop in which the relay sees that arrivals have ended."""
     real = process.last_arrivals
 
     async def last_arrivals(*arguments: object) -> None:
@@ -148,7 +148,7 @@
     after_arrivals_end(monkeypatch, connect_many)
     stopping.process.stop()
     await stopping.finishing.wait()
-    for stream in streams:  # the one server takes some at most of so many at once
+    for stream in streams:  # the only server may refuse some of so many at once
         answer = await read_line(stream)
         assert answer.split()[0] in (b"UP", b"BUSY", b"ERR")
         assert await read_line(stream) == (lines.MOVE if answer.startswith(b"UP") else b"")
@@ -161,7 +161,7 @@
     stopping: StoppingProcess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     listener, seen = stopping.process.listeners[0], list[float]()
-    with listener.dup() as other:  # as the next process has it
+    with listener.dup() as other:  # the successor process has the same socket
 
         async def handed_on() -> None:
             stopping.process.pause([listener])
@@ -187,7 +187,7 @@
         accepted_client = await real(listener)  # type: ignore[arg-type]
         accepted.set()
         with trio.CancelScope(shield=True):
-            for _ in range(delay_turns):  # as in trio's own, which goes on in the next turn
+            for _ in range(delay_turns):  # trio's accept also returns in a later turn
                 await trio.lowlevel.checkpoint()
         return accepted_client
 
@@ -242,7 +242,7 @@
     await stopping.finishing.wait()
     stopping.process.relay.decisions._pass_on(
         interface.Move(1)
-    )  # it means nothing now, and the first waits anew
+    )  # has no meaning now and only restarts the first one's wait
     for stream in (before, after):
         assert (await read_line(stream)).split()[0] in (b"ERR", b"BUSY")
         assert trio.current_time() - started_at < 0.9
@@ -258,7 +258,7 @@
     real = Exchange._answer
 
     async def answer(exchange: Exchange, line: bytes) -> None:
-        await trio.lowlevel.checkpoint()  # the end might come in this turn
+        await trio.lowlevel.checkpoint()  # the relay could end in this turn
         await real(exchange, line)
 
     monkeypatch.setattr(Exchange, "_answer", answer)
@@ -267,7 +267,7 @@
         await trio.sleep(0.005)
     stopping.process.stop()
     await trio.sleep(0.7)
-    time.sleep(0.4)  # one turn, beyond the moment of the answers and that of the end
+    time.sleep(0.4)  # one turn of the loop, past the deadline of the answers and the end
     for stream in streams:
         assert await read_line(stream) == lines.FAILED
     await stopping.wait_until_ended()
@@ -288,7 +288,7 @@
 
     async def answer(exchange: Exchange, line: bytes) -> None:
         await real(exchange, line)
-        while trio.current_time() < stopping.process.relay.answers_end + 0.16:  # beyond `leave_at`
+        while trio.current_time() < stopping.process.relay.answers_end + 0.16:  # past `leave_at`
             await trio.lowlevel.checkpoint()
 
     monkeypatch.setattr(Exchange, "_answer", answer)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,6 +1,6 @@
-"""The plan of an end in virtual time, and ends of a relay that has more to move than there is time for.
+"""The schedule of moves at the end of a relay, in virtual time, and ends with too little time for all moves.
 
-The full size, 6,000 connections to a real process, is in `benchmarks/leave.py`.
+`benchmarks/leave.py` runs the full size, 6,000 connections to a real process.
 """
 
 import os
@@ -33,8 +33,10 @@
 def simulated_moves(
     leaving: Leaving, standing: int, cost: float, begin: float = 0.0, turn_s: float = 0.0
 ) -> tuple[list[float], int]:
-    """When each move is made, where each takes `cost` seconds of the core and each turn of the loop at least
-    `turn_s`, and how many the sweep takes."""
+    """Returns the time of each move, and how many the final sweep makes.
+
+    Each move takes `cost` seconds of processor time, each turn of the event loop at least `turn_s`.
+    """
     now, worked_s, move_times, sweep_size = max(begin, leaving.moves_from(standing)), 0.0, [], 0
     while len(move_times) < standing:
         step = leaving.step(now, worked_s, standing - len(move_times))
@@ -62,7 +64,7 @@
 ) -> None:
     leaving = Leaving(0.0, replace(PASS_THROUGH, pass_through=pass_through), deadline_s)
     move_times, sweep_size = simulated_moves(leaving, standing, cost)
-    # One turn may begin just before the sweep, and the first two are not known to take as long as they do.
+    # One turn may begin just before the sweep, and the cost of the first two turns is not known in advance.
     assert move_times[-1] <= max(leaving.leave_at + 64 * cost, move_times[0] + 2 * 250 * cost) + 1e-6
     assert not sweep_size or leaving.short
 
@@ -139,12 +141,12 @@
         process.note_moment(signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGTERM)
         sent = trio.current_time()
-        time.sleep(0.2)  # a long turn
+        time.sleep(0.2)  # a long turn of the event loop
         await anext(signals)
         assert process._told_at() - sent < 0.1
 
 
-# ---- on sockets ----
+# ---- With real sockets ----
 
 
 Standing = tuple[Relay, list[trio.SocketStream]]
@@ -176,7 +178,7 @@
 ) -> None:
     leaving, counters = leaving_in(1.0), context[0].counters
     real = leaving.step
-    # As on a machine that takes 0.4 s for each turn.
+    # Simulates a machine on which each turn of the event loop takes 0.4 s.
     monkeypatch.setattr(
         leaving,
         "step",
--- a/tests/test_quiet_lists.py
+++ b/tests/test_quiet_lists.py
@@ -1,5 +1,7 @@
-"""Lists that go quiet: how long until a relay has been told what it missed, on loopback sockets with a clock
-that jumps. A moment is in seconds of that clock."""
+"""Watches that fall silent: the time until a relay has the changes that it missed.
+
+Runs on loopback sockets with a virtual clock; all times are in seconds of that clock.
+"""
 
 import json
 import math
@@ -46,8 +48,11 @@
 
 
 class Agent:
-    """Answers the calls one after the other as the script says, the last way for all that come after it.
-    `asked` has each call with its moment, `heard` each version that was taken in."""
+    """A discovery agent that answers calls in the order of a script, and all further ones like the last.
+
+    `requests` has the time and the target of each call, `received` the time and the version of each list that
+    the relay applied.
+    """
 
     def __init__(
         self, folder: Path, *script: Answer, known: bool = True, spread_s: float = 0.0, seed: int = 7
@@ -78,7 +83,7 @@
             self.notify()
             try:
                 await self.script[min(len(self.requests), len(self.script)) - 1](self, stream)
-            except trio.BrokenResourceError:  # the relay has gone
+            except trio.BrokenResourceError:  # the relay has closed the connection
                 return
 
     async def listen(self, nursery: trio.Nursery) -> None:
@@ -119,7 +124,7 @@
 
 
 def sends(*versions: int, after_s: float = 0.0) -> Answer:
-    """Sends these changes, and is sound from then on."""
+    """Sends these changes, then keeps the watch open with empty lines."""
 
     async def answer(agent: Agent, stream: trio.SocketStream) -> None:
         await trio.sleep(after_s)
@@ -132,7 +137,7 @@
 
 
 async def sends_then_falls_silent(agent: Agent, stream: trio.SocketStream) -> None:
-    """Just after an empty line, so that the relay knows as late as can be."""
+    """Falls silent just after an empty line, so that the relay notices as late as possible."""
     await stream.send_all(HEAD + chunk(change(41)))
     await trio.sleep(2.0)
     await stream.send_all(chunk(b"\n"))
@@ -185,8 +190,10 @@
             f"{min(delays):.2f} to {max(delays):.2f} s"
         )
         assert max(delays) <= MAX_LIST_DELAY_S
-        assert all(agent.requests[0][0] <= MAX_LIST_DELAY_S - 2.0 for agent in agents)  # of a new process
-        if spread_s > 1.0:  # nor all at once
+        assert all(
+            agent.requests[0][0] <= MAX_LIST_DELAY_S - 2.0 for agent in agents
+        )  # first call of a new process
+        if spread_s > 1.0:  # the calls are also spread
             firsts = sorted(agent.requests[1][0] - agent.silent_at for agent in agents)
             assert firsts[-1] - firsts[0] > 0.4
 
@@ -194,7 +201,7 @@
 
 
 def test_calls_lost_while_discovery_was_down_delay_the_list_little_after_its_return(tmp_path: Path) -> None:
-    """What the agent gets then counts at once where lists are pushed, and drains have 2 s."""
+    """Where lists are pushed, the agent's list counts as received at once, and a drain leaves only 2 s."""
     returns_at = 10.0
 
     async def swallowed_while_down(agent: Agent, stream: trio.SocketStream) -> None:
@@ -239,12 +246,12 @@
 @pytest.mark.parametrize(
     ("first_part", "piece"),
     [
-        (b"", b""),  # in its first second
-        (chunk(b'{"seq":42,"who'), b""),  # in the middle of a line
+        (b"", b""),  # silent from the start
+        (chunk(b'{"seq":42,"who'), b""),  # silent in the middle of a line
         (chunk(b'{"seq":42,"who'), chunk(b"x")),  # a line that never ends
         (chunk(b'{\n  "seq": 42,\n'), chunk(b'  "x": 1,\n')),  # an object that never ends
         (b"1000\r\n{", b" "),  # a chunk that never ends
-        (b"1;", b"x"),  # its size never does
+        (b"1;", b"x"),  # a chunk size that never ends
     ],
 )
 def test_a_watch_without_complete_lines_counts_as_silent(
@@ -265,7 +272,7 @@
 
 
 def test_a_lagging_loop_drops_no_healthy_watch(tmp_path: Path) -> None:
-    """What came while it lagged is read, and what goes on with it."""
+    """Data that arrived while the loop lagged is read, as is the rest that follows."""
     clock = trio.testing.MockClock()
 
     async def sound(agent: Agent, stream: trio.SocketStream) -> None:
@@ -274,7 +281,7 @@
             for part in (change(version)[:20], change(version)[20:] + b"\n"):
                 await trio.testing.wait_all_tasks_blocked()
                 if len(part) == 20:
-                    clock.jump(2 * MAX_WATCH_SILENCE_S - 0.1)  # the loop has not turned when it is sent
+                    clock.jump(2 * MAX_WATCH_SILENCE_S - 0.1)  # the loop does not run before the part is sent
                 await stream.send_all(chunk(part))
         await trio.sleep_forever()
 
@@ -322,11 +329,11 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 1])
 def test_reading_an_object_takes_linear_time_in_its_lines(indent: int | None) -> None:
-    entries = [entry(f'a "{{[\\" {n}') for n in range(1024)]  # names that look like what they are not
+    entries = [entry(f'a "{{[\\" {n}') for n in range(1024)]  # names with quotes and brackets
     lines = json.dumps(whole(*entries), indent=indent).encode().split(b"\n")
     objects, started_s = ObjectReader(), time.process_time()
     assert [bool(objects.take(line)) for line in lines] == [False] * (len(lines) - 1) + [True]
-    assert time.process_time() - started_s < 2.0  # some 0.02; 17 where the whole is read again with each line
+    assert time.process_time() - started_s < 2.0  # about 0.02 s; 17 s if each line rescans the object
 
 
 @pytest.mark.parametrize(("parts", "is_complete"), [(6, True), (100, False)])
@@ -356,7 +363,7 @@
 
     async def script(nursery: trio.Nursery) -> None:
         with trio.socket.socket() as sock:
-            await sock.bind(("127.0.0.1", 0))  # refuses until it listens
+            await sock.bind(("127.0.0.1", 0))  # refuses connections until it listens
             agent.address = sock.getsockname()
             await agent.follow(nursery)
             await trio.sleep(5.1)
@@ -368,7 +375,7 @@
 
 
 def test_a_move_during_the_delivery_of_a_list_drops_the_old_discoverys_further_lists(tmp_path: Path) -> None:
-    """Both changes have come when the relay is told to move; the first one is with the decisions."""
+    """Both changes have arrived at the move; the decisions are still applying the first one."""
     old, new = Agent(tmp_path, sends(41, 42)), Agent(tmp_path, sends(43))
 
     async def script(nursery: trio.Nursery) -> None:
@@ -406,7 +413,7 @@
         assert [target for _, target in old.requests] == [
             WATCH_PATH % 40,
             WHOLE_LIST_PATH,
-        ]  # 41 is the other's number
+        ]  # version 41 is the other agent's
 
     run_script(script)
 
@@ -416,7 +423,7 @@
 
 
 @pytest.mark.parametrize("spread_s", [0.0, 23.0])
-@pytest.mark.parametrize("refusals", [0, 6])  # before its first call, or after some were refused
+@pytest.mark.parametrize("refusals", [0, 6])  # before the first call, or after refused ones
 def test_a_new_discovery_is_called_at_once_whatever_failures_the_old_one_had(
     tmp_path: Path, spread_s: float, refusals: int
 ) -> None:
@@ -472,7 +479,7 @@
         assert times[1] - times[0] <= 1.0
         assert (
             max(gaps) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
-        )  # and then it may take its time for the answer
+        )  # the answer may still take MAX_ASKING_ANSWER_S
         assert min(gaps[2:]) >= 0.7 * CALL_INTERVAL_S
         assert {target for _, target in agent.requests[1:]} == {WHOLE_LIST_PATH}
 
@@ -485,7 +492,7 @@
 
 
 async def answers_as_late_as_allowed(agent: Agent, stream: trio.SocketStream) -> None:
-    """Either way, by what was asked for."""
+    """Answers a whole-list call or a watch after the longest time allowed."""
     await trio.sleep(MAX_ASKING_ANSWER_S)
     if agent.requests[-1][1] == WHOLE_LIST_PATH:
         text = json.dumps(whole(entry("s-2"), seq=42)).encode()
@@ -501,8 +508,7 @@
 def test_a_change_arrives_in_time_after_any_kind_of_failed_call(
     tmp_path: Path, relays: int, fault: Answer
 ) -> None:
-    """At each relay it can be reached again just after the last of its calls to fail has begun, which is the
-    worst moment."""
+    """Worst case: discovery becomes reachable just after the relay's last failing call has begun."""
     spread_s = calls_spread_s(Settings(gateways=relays, ask_for_list=True))
     agents = [
         Agent(tmp_path, *[fault] * failed, answers_as_late_as_allowed, spread_s=spread_s, seed=seed)
@@ -519,7 +525,7 @@
         assert (
             max(agent.requests[0][0] for agent in agents)
             <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S - LOOP_LAG_MARGIN_S
-        )  # of a new process
+        )  # first call of a new process
 
     run_script(script, threshold_s=0.01)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -52,7 +52,7 @@
 async def up_and_echo(stream: trio.SocketStream) -> None:
     first = await read_line(stream)
     assert first.startswith(b"OPEN 9b1f03aa 7f3a9c21e0b4d655 c=watch,t=valleys,d=")
-    assert first.endswith(b",zz=1,g=5c0f\r\n")  # what means nothing to the relay goes on unchanged
+    assert first.endswith(b",zz=1,g=5c0f\r\n")  # fields unknown to the relay are forwarded unchanged
     await stream.send_all(b"UP r1\r\nLOAD 50.5\r\n")
     while line := await read_line(stream):
         await stream.send_all(line)
@@ -75,12 +75,12 @@
         await stream.send_eof()
         assert await read_line(stream) == b""
 
-    # The clock stands still, so that no time limit can end what the half-close should.
+    # The clock stands still, so that only the half-close can end the connection, not a timeout.
     shared = run_relay(conf, up_and_echo, client, trio.testing.MockClock())
     assert (shared.counters.answered_up, shared.counters.ended, shared.counters.faults) == (1, 1, 0)
 
 
-@pytest.mark.parametrize("wait", [b"2000", b"4294967"])  # it has no deadline: 2 ** 32 us stand for none
+@pytest.mark.parametrize("wait", [b"2000", b"4294967"])  # 2 ** 32 us stands for no deadline
 @pytest.mark.parametrize("answer", [b"UP r1\r\n", b"BUSY\r\n"])
 def test_an_existing_connection_goes_to_its_server_and_no_other(
     conf: Config, answer: bytes, wait: bytes
@@ -108,7 +108,7 @@
 
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
-        await stream.send_all(b"OPEN 9b1f 7f3a c=watch,d=4294967,at=s-0\r\n")  # 2**32 us: no end
+        await stream.send_all(b"OPEN 9b1f 7f3a c=watch,d=4294967,at=s-0\r\n")  # 2 ** 32 us: no deadline
         assert await read_line(stream) == b"UP r1\r\n"
 
     assert run_relay(conf, server, client).counters.malformed == 0
@@ -179,7 +179,7 @@
     async def flood(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"UP r1\r\n")
-        with suppress(trio.BrokenResourceError):  # the relay ends it with the move
+        with suppress(trio.BrokenResourceError):  # the relay closes it after MOVE
             while True:
                 await stream.send_all(b"N" * 3000 + b"\r\n")
 
@@ -211,7 +211,7 @@
         word, wait_ms = (await read_line(await open_connection(port))).split()
         assert word == b"BUSY" and 233 <= int(wait_ms) <= 700
 
-    # With the clock standing still, an answer held back would never come.
+    # The clock stands still, so a delayed answer would never arrive.
     run_relay(conf, busy, client, trio.testing.MockClock())
 
 
@@ -279,7 +279,7 @@
         while shared.ids:
             await trio.lowlevel.checkpoint()
 
-    # Once it is over the id is free, and nothing of it is kept.
+    # After the end of the request its id is free again, and no state of it is left.
     assert run_relay(conf, server, client, trio.testing.MockClock()).counters.calls == 1
 
 
@@ -289,7 +289,7 @@
     async def server(stream: trio.SocketStream) -> None:
         await read_line(stream)
         called.set()
-        assert await read_line(stream) == b""  # nothing more of such a client, and the call is over
+        assert await read_line(stream) == b""  # no more data of this client arrives and the call ends
         over.set()
 
     async def client(shared: Relay, port: int) -> None:
@@ -304,20 +304,22 @@
 
 def test_silent_clients_displace_each_other_and_no_normal_client(tmp_path: Path) -> None:
     clock = trio.testing.MockClock()
-    conf = relaying.config(tmp_path, limits={"sockets": 40})  # three may wait at once
+    conf = relaying.config(
+        tmp_path, limits={"sockets": 40}
+    )  # the limit is three clients without a first line
 
     async def client(shared: Relay, port: int) -> None:
         silent = []
         for _ in range(5):
             silent.append(await trio.open_tcp_stream("127.0.0.1", port))
             await trio.testing.wait_all_tasks_blocked(0.01)
-        for stream in silent[:2]:  # the oldest give way, at once
+        for stream in silent[:2]:  # the oldest clients are refused at once
             assert await read_line(stream) == lines.FAILED
         usual = await open_connection(port)
         assert await read_line(usual) == b"UP r1\r\n"
         await silent[-1].send_all(lines.PING + lines.END)
         assert await read_line(silent[-1]) == lines.PONG
-        clock.jump(2.5)  # the rest in time, whatever they sent short of a whole first line
+        clock.jump(2.5)  # the others time out, whatever they sent before a complete first line
         for stream in silent[3:]:
             assert await read_line(stream) == lines.FAILED
 
@@ -329,7 +331,7 @@
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         with pytest.raises(trio.BrokenResourceError):
-            while True:  # with the clock standing still, only the count of bytes can end it
+            while True:  # the clock stands still, so only the limit on bytes can end it
                 await stream.send_all(b"k" * 65536)
 
     assert run_relay(conf, up_and_echo, client, trio.testing.MockClock()).counters.malformed == 1
@@ -380,7 +382,7 @@
             nursery.start_soon(finish_taken, Leaving(trio.current_time(), conf.settings), shared)
             for passed, standing in ((1.5, 4), (0.2, 3), (0.4, 2), (1.2, 0)):
                 clock.jump(passed)
-                for _ in range(3):  # a loopback socket may need a moment to show its end
+                for _ in range(3):  # the end of a loopback socket may take several turns to arrive
                     await trio.testing.wait_all_tasks_blocked(0.01)
                 assert len(shared.standing) == standing
         for stream in streams:
@@ -459,7 +461,7 @@
 
 
 def test_an_older_whole_list_is_applied_but_restores_no_departed_server(conf: Config) -> None:
-    """An agent may lag behind the one before it, or count anew; no new work may go to what drains."""
+    """An agent may be behind the previous one or number anew; draining servers get no new connections."""
     destinations = DestinationSet(conf.names)
     heard = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-3"), seq=40))
     destinations.read(
@@ -498,7 +500,7 @@
 
 
 class Agent:
-    """A discovery agent on an ephemeral port: one list, then a watch that says nothing."""
+    """A discovery agent on an ephemeral port that answers with one list, then a watch without changes."""
 
     def __init__(self, watched: Callable[[], None], *entries: dict[str, object], seq: int = 41) -> None:
         self.requests: list[bytes] = []
@@ -555,10 +557,10 @@
             assert shared.config == conf and not watched[1].is_set()
             relaying.write_config(tmp_path, discovery=new, limits={"sockets": 300}, name="other")
             with trio.open_signal_receiver(signal.SIGHUP) as signals:
-                os.kill(os.getpid(), signal.SIGHUP)  # unheeded, it would end the process
+                os.kill(os.getpid(), signal.SIGHUP)  # without a handler it would end the process
                 nursery.start_soon(heed, signals, {signal.SIGHUP: process.reload})
                 await watched[1].wait()
-            # The file's address wins now, though the environment went before it at the start.
+            # On reload the address in the file applies, although the environment overrides it at the start.
             assert (shared.config.room.waiting, shared.config.name) == (35, "relay")
             assert (shared.counters.reloads, shared.counters.reloads_refused) == (1, 2)
             assert destinations.address(server_number("s-1")) == ("127.0.0.1", 1)
@@ -590,22 +592,22 @@
 
 @pytest.mark.parametrize(("weight", "stays_at_home"), [(2.0, True), (0.8, False)])
 def test_a_weak_server_is_full_sooner_without_delay_reports(weight: float, stays_at_home: bool) -> None:
-    """On sockets nothing tells that messages take long: the load and the listed weight must show it."""
+    """On sockets no message delays are reported, so only load and listed weight show a weak server."""
     gateway = Gateway(servers=0, weighted=True)
     gateway.servers(
         interface.ListKind.CACHED, *(listed(100 + n, weight=weight if n == 0 else 2.0) for n in range(4))
     )
     keys: dict[int, list[int]] = {100 + n: [] for n in range(4)}
-    open_connection: dict[int, list[int]] = {server: [] for server in keys}
+    requests_by_server: dict[int, list[int]] = {server: [] for server in keys}
     anchor = gateway.balancer.anchor
     assert anchor is not None
     for key in range(1, 400):
         keys[anchor.lookup(key, SEEDS[0]) or 0].append(key)
-    for turn in range(12):  # the same load everywhere
+    for turn in range(12):  # the same load on every server
         for server in keys:
-            open_connection[server].append(gateway.open(keys[server][turn]))
-    at_home = sum(gateway.where[number] == 100 for number in open_connection[100])
-    # 12 connections are within a strong server's part of 48, and far beyond a weak one's.
+            requests_by_server[server].append(gateway.open(keys[server][turn]))
+    at_home = sum(gateway.where[number] == 100 for number in requests_by_server[100])
+    # 12 connections are within a strong server's share of 48 and far beyond a weak server's.
     assert (at_home == 12) == stays_at_home
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,5 +1,8 @@
-"""A restarted relay is ready in time, whatever discovery, its list and its clock do. Moments are in seconds
-of a clock that jumps, so the processor time of the start is by another clock, as where clocks are led."""
+"""A restarted relay is ready in time, whatever the state of discovery and of its stored list.
+
+Times are in seconds of a virtual clock, so the processor time of the start is counted by another clock, as in
+simulations with a virtual clock.
+"""
 
 import gc
 import socket
@@ -27,21 +30,21 @@
 from glenfold.daemon.readiness import LATEST_S
 from glenfold.net.discovery import MAX_ASKING_ANSWER_S, MAX_LIST_DELAY_S
 
-READY_S = 10.0  # within which nine in ten restarted relays have to be ready
+READY_S = 10.0  # Nine in ten restarted relays have to be ready within this time.
 RELAYS = 3_400
-SERVERS = 1_024  # in a large list of the last run
+SERVERS = 1_024  # The number of servers in a large list.
 
 
 @pytest.fixture(autouse=True)
 def _restored_garbage_collection() -> Iterator[None]:
-    """A process freezes what stands when it starts."""
+    """Undoes the changes to garbage collection that a process makes at its start."""
     yield
     gc.unfreeze()
     gc.enable()
 
 
 async def seconds_until_ready(folder: Path, agent: Agent, **changes: Any) -> float:
-    """Seconds from the start of a process that asks this agent until PING is answered."""
+    """Returns the seconds from the start of a process that calls `agent` until PING would be answered."""
     settings = relaying.SETTINGS | {"registry_mode": "ask", "replicas_of_me": RELAYS}
     written = {"discovery": f"127.0.0.1:{agent.address[1]}", "settings": settings, **changes}
     started_at = trio.current_time()
@@ -58,7 +61,7 @@
 
 @pytest.mark.parametrize("fault", [refuses, stays_silent])
 def test_a_relay_with_a_stored_list_does_not_wait_for_discovery(tmp_path: Path, fault: Answer) -> None:
-    """Nor for its part of a core to cover the start, where that would take too long."""
+    """Nor does it wait until its share of a core covers the cost of the start, if that takes too long."""
     known = whole(*(entry(f"s-{n}") for n in range(SERVERS)))
 
     async def script(nursery: trio.Nursery) -> None:
@@ -74,7 +77,7 @@
 def test_a_relay_without_a_readable_list_is_ready_although_two_calls_fail(
     tmp_path: Path, fault: Answer
 ) -> None:
-    """Each as late as may be, and the third is answered as late."""
+    """Both calls fail as late as possible, and the third is answered as late as possible."""
 
     async def script(nursery: trio.Nursery) -> None:
         agent = Agent(tmp_path, fault, fault, answers_as_late_as_allowed)
