--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -216,9 +216,8 @@
             self.life.to(State.READY)
 
     async def _accept(self, scope: trio.CancelScope, listener: SocketType, nursery: trio.Nursery) -> None:
-        self.relay.awaiting_first_line += (
-            1  # one that it has just accepted, when it is paused, is known a turn later
-        )
+        # one that it has just accepted, when it is paused, is known a turn later
+        self.relay.awaiting_first_line += 1
         with scope:
             try:
                 await self.inbound.serve(listener, nursery)
--- a/glenfold/net/discovery.py
+++ b/glenfold/net/discovery.py
@@ -155,8 +155,7 @@
         return False
 
     def _log(self, error: Exception) -> None:
-        """Logs `error` unless it equals the last one: an agent that is down fails with the same error on each
-        call."""
+        """Logs `error` unless it equals the last one: an agent that is down always fails the same way."""
         last_reported, self._last_reported = self._last_reported, repr(error)
         if self._last_reported == last_reported:
             return
@@ -177,13 +176,9 @@
                 self._version_source = address
                 self.heard_at = trio.current_time()
                 connection.start_next_cycle()
-            line, objects, silence_timeout = (
-                b"",
-                ObjectReader(),
-                SilenceTimeout(trio.current_time() + self._answer_s),
-            )
+            line, objects, silence = b"", ObjectReader(), SilenceTimeout(trio.current_time() + self._answer_s)
             target = f"/v1/servers?watch=1&from={self._destinations.version}"
-            async for part in self._get(connection, stream, target, silence_timeout):
+            async for part in self._get(connection, stream, target, silence):
                 *lines, line = (line + part).split(b"\n")
                 if len(line) + objects.size > MAX_LINE_BYTES:
                     raise BadList("a line or JSON object of a watch is longer than 4 MiB")
@@ -193,7 +188,7 @@
                         await self._apply(change)
                     has_complete_line = has_complete_line or not objects.size
                 if has_complete_line or not part:  # bytes of an incomplete line do not count as activity
-                    silence_timeout.deadline = trio.current_time() + MAX_WATCH_SILENCE_S
+                    silence.deadline = trio.current_time() + MAX_WATCH_SILENCE_S
                 if has_complete_line:
                     self.heard_at = trio.current_time()
                     self._version_source = address
@@ -202,15 +197,14 @@
                 raise BadList("a watch ended in the middle of a JSON object")
 
     async def _full_list(self, connection: h11.Connection, stream: trio.SocketStream) -> bytes:
+        """Fetches the JSON text of the whole list."""
         started_at, body = trio.current_time(), bytearray()
-        silence_timeout = SilenceTimeout(started_at + self._answer_s)
-        async for part in self._get(connection, stream, "/v1/servers", silence_timeout):
+        silence = SilenceTimeout(started_at + self._answer_s)
+        async for part in self._get(connection, stream, "/v1/servers", silence):
             body += part
             if len(body) > MAX_LINE_BYTES:
                 raise BadList("the whole list is longer than 4 MiB")
-            silence_timeout.deadline = min(
-                trio.current_time() + self._answer_s, started_at + FULL_LIST_TIMEOUT_S
-            )
+            silence.deadline = min(trio.current_time() + self._answer_s, started_at + FULL_LIST_TIMEOUT_S)
         return bytes(body)
 
     async def _get(
@@ -218,29 +212,27 @@
         connection: h11.Connection,
         stream: trio.SocketStream,
         target: str,
-        silence_timeout: SilenceTimeout,
+        silence: SilenceTimeout,
     ) -> AsyncIterator[bytes]:
         """Yields empty bytes when a response with status 200 has begun, then its body part by part.
 
         Raises Unavailable for a 5xx status, BadList for any other.
         """
         exchange = HttpExchange(connection, stream)
-        response = await exchange.begin(self._address, target, silence_timeout.receive)
+        response = await exchange.begin(self._address, target, silence.receive)
         if response.status_code >= 500:
             raise Unavailable(f"{target} answers {response.status_code}")
         if response.status_code != 200:
             raise BadList(f"{target} answers {response.status_code}")
         yield b""
-        while (part := await exchange.part(silence_timeout.receive)) is not None:
+        while (part := await exchange.part(silence.receive)) is not None:
             yield part
 
     async def _apply(self, text: bytes) -> None:
+        """Reads a list or a change from its JSON text and passes it to the callback; raises BadList."""
         try:
             document = json.loads(text)
-        except (
-            ValueError,
-            RecursionError,
-        ) as error:  # RecursionError: a document nested too deep must not end the relay
+        except (ValueError, RecursionError) as error:  # deep nesting must not end the relay
             raise BadList(f"not JSON: {error}") from error
         servers = self._destinations.read(document)
         self._last_reported = record_list(self._destinations, self._counters, self._last_reported)
@@ -248,6 +240,5 @@
         # different lists.
         with trio.CancelScope(shield=True):
             await self._on_list(servers)
-        await (
-            trio.lowlevel.checkpoint_if_cancelled()
-        )  # after `move_to`, further lists of the old address are dropped
+        # After `move_to`, further lists of the old address are dropped.
+        await trio.lowlevel.checkpoint_if_cancelled()
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -27,9 +27,8 @@
 
 LISTEN_BACKLOG = 1024
 INBOX_CAPACITY = 16  # Inputs of one request that wait to be processed.
-FIRST_LINE_TIMEOUT_S = (
-    2.0  # From the accept to a complete first line, PING included; clients are promised 3 s.
-)
+# From the accept to a complete first line, PING included. Clients are promised 3 s.
+FIRST_LINE_TIMEOUT_S = 2.0
 HANGUP_POLL_S = 0.05  # Between checks for a hang-up of a client that is not read any more.
 # Unread bytes of a client above which a flood is assumed. With somewhat more the kernel's buffer is full, and
 # the end of the stream behind them can't be seen.
@@ -52,9 +51,8 @@
     awaiting_first_line: int = 0
     unanswered: int = 0  # requests without a final answer
     ids: Counter[bytes] = field(default_factory=Counter)  # ids of the open requests and connections
-    standing: dict[StandingConnection, float] = field(
-        default_factory=dict
-    )  # worth of each connection, oldest first
+    # Worth of each standing connection, oldest first.
+    standing: dict[StandingConnection, float] = field(default_factory=dict)
     ready: trio.Event = field(default_factory=trio.Event)  # set once ready for full load; PONG waits for it
     answers_end: float = math.inf  # deadline of all answers, finite once the relay has been told to stop
     group_parts: "GroupParts | None" = None  # None if large groups are not split into parts
@@ -108,10 +106,9 @@
         self._max_wait_ms = max(
             lines.MOST_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
         )
-        self._waiting: dict[
-            SocketType, trio.CancelScope
-        ] = {}  # clients without a complete first line, oldest first
-        self._taken = 0  # clients with one; each takes two sockets
+        # Clients without a complete first line, oldest first.
+        self._waiting: dict[SocketType, trio.CancelScope] = {}
+        self._taken = 0  # clients with a complete first line; each takes two sockets
         self._refusing = 0
         self._spare_descriptor: int | None = os.open(os.devnull, os.O_RDONLY)
         self.last_arrival = float("-inf")
@@ -122,6 +119,7 @@
         return self._relay.config.room
 
     async def serve(self, listener: SocketType, nursery: trio.Nursery) -> None:
+        """Accepts clients until cancelled or the listener is closed; each runs as a task in `nursery`."""
         while True:
             try:
                 sock, _ = await listener.accept()
@@ -234,9 +232,9 @@
             self._taken -= 1
 
     async def _refuse(self, sock: SocketType, answer: bytes, more: bool) -> None:
-        """Sends `answer` and closes; with `more` bytes unread, reads some of them first.
+        """Sends the refusal `answer`; if the client has sent `more` data, also reads some of it.
 
-        Closing a socket with unread bytes resets the connection, which may discard the answer. The time and
+        Closing a socket with unread data resets the connection, which may discard the answer. The time and
         the bytes read are limited, so that a client that floods can't hold the connection.
         """
         await self._send_answer(sock, answer)
@@ -253,8 +251,7 @@
             self._refusing -= 1
 
     async def _send_answer(self, sock: SocketType, answer: bytes) -> None:
-        """Sends `answer`, but waits only `CLOSING_TIMEOUT_S`: a client that reads nothing must not hold its
-        descriptor."""
+        """Sends `answer` with a time limit, as a client that reads nothing must not hold its descriptor."""
         with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S):
             await send(sock, answer)
 
@@ -283,9 +280,8 @@
         exchange = Exchange(
             self._relay, sock, first, self._request(first), buffer.after(end), self._existing_server_of(first)
         )
-        if (
-            exchange.is_continuation
-        ):  # its client may send early, and its id may still be open at its former connection
+        if exchange.is_continuation:
+            # Its client may send early, and its id may still be in use by its former connection.
             return exchange
         if buffer.filled > end:
             raise lines.Malformed("the client sent data before its request was answered")
--- a/glenfold/net/outbound.py
+++ b/glenfold/net/outbound.py
@@ -83,9 +83,8 @@
             without_delay(sock)
             with trio.fail_at(self.connect_by):
                 await sock.connect(self.address)
-            if (
-                failure := self._check_before_send()
-            ) is not None:  # no checkpoint between this check and the first byte
+            # There is no checkpoint between this check and the first byte.
+            if (failure := self._check_before_send()) is not None:
                 return failure
             with trio.fail_at(self.deadline):
                 left = self.deadline - trio.current_time()
--- a/glenfold/net/passing.py
+++ b/glenfold/net/passing.py
@@ -10,9 +10,7 @@
 from linnetspread.interface import Outcome
 
 CHUNK_BYTES = 16 * 1024
-SERVER_SILENCE_TIMEOUT_S = (
-    1.2  # A server that leaves a client's line unanswered for this long counts as failed.
-)
+SERVER_SILENCE_TIMEOUT_S = 1.2  # A server that leaves a client's line unanswered so long counts as failed.
 HALF_CLOSE_TIMEOUT_S = 0.7  # Time for a side to close after the other side has closed.
 LINE_COMPLETION_TIMEOUT_S = 0.3  # Time that a move waits for the end of a line.
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -111,9 +111,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: bytes, how: str, check: int
 ) -> None:
     silent_server, clients = SilentServer(), list[socket.socket]()
-    monkeypatch.setattr(
-        Exchange, "_watch_client", lambda self: trio.sleep_forever()
-    )  # simulates a lagging loop
+    # Simulates a lagging event loop.
+    monkeypatch.setattr(Exchange, "_watch_client", lambda self: trio.sleep_forever())
     before_check(monkeypatch, lambda: disconnect(clients[0], how), check)
 
     async def client(shared: Relay, port: int) -> None:
@@ -128,9 +127,7 @@
 
 @pytest.mark.parametrize("line", [MID_FLOW_OPEN, EXISTING_OPEN])
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize(
-    "after_s", [0.001, 0.03, 0.06, 0.09]
-)  # one of them is just after a poll for the hang-up
+@pytest.mark.parametrize("after_s", [0.001, 0.03, 0.06, 0.09])  # one is just after a poll for the hang-up
 def test_the_hangup_of_a_client_behind_much_early_data_is_seen_at_once(
     tmp_path: Path, line: bytes, how: str, after_s: float
 ) -> None:
@@ -292,9 +289,10 @@
     def drain() -> None:
         records = relays[0].destinations.state().known
         host, port = next(iter(records.values())).address
+        # The decisions have not received this change yet.
         relays[0].destinations.read(
             {"seq": 2, "whole": False, "hosts": [entry("s-0", f"{host}:{port}", health="terminating")]}
-        )  # the decisions have not received this change yet
+        )
         clock.jump(passed_s)
 
     before_check(monkeypatch, drain)
@@ -438,9 +436,8 @@
         assert trio.current_time() - asked_at < 2.05
         assert await read_line(stream) == b""
 
-    assert (
-        run_relay(tmp_path, server, client, clock, hosts=2).counters.calls == 2
-    )  # the first call may take half of the wait time
+    # The first call may take half of the wait time.
+    assert run_relay(tmp_path, server, client, clock, hosts=2).counters.calls == 2
 
 
 @pytest.mark.parametrize("deadline_first", [False, True])
@@ -450,7 +447,7 @@
     """The server sees the end of a connection of which its client was not informed."""
     clock, answered, ended = trio.testing.MockClock(), trio.Event(), trio.Event()
 
-    async def read_but_not_told(self: Exchange, call: Any) -> None:
+    async def read_but_not_answered(self: Exchange, call: Any) -> None:
         receipt = await call.run()
         if deadline_first:
             clock.jump(2.1)
@@ -459,7 +456,7 @@
         self._inbox_sender.send_nowait(receipt)
         clock.jump(2.1)  # the receipt is in the inbox before the deadline passes, but is read after it
 
-    monkeypatch.setattr(Exchange, "_run_call", read_but_not_told)
+    monkeypatch.setattr(Exchange, "_run_call", read_but_not_answered)
 
     async def server(stream: trio.SocketStream) -> None:
         await read_line(stream)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -122,12 +122,8 @@
     agent = ScriptedAgent(
         watch_response(41), watch_response(42), bad, whole_list_response(), watch_response(43)
     )
-    assert follow(tmp_path, agent, known=True) == [
-        41,
-        42,
-        41,
-        43,
-    ]  # a whole list applies whatever its version is
+    # A whole list applies whatever its version is.
+    assert follow(tmp_path, agent, known=True) == [41, 42, 41, 43]
     assert [target for _, target in agent.requests][3:5] == [WHOLE_LIST_PATH, WATCH_PATH % 41]
 
 
@@ -144,19 +140,19 @@
 def test_a_slow_answer_of_discovery_is_awaited(tmp_path: Path) -> None:
     """A relay that gave up and called again would be last in the queue and cost discovery another call."""
     agent = ScriptedAgent()
-    asked: list[float] = []
+    call_times: list[float] = []
 
     async def slow(stream: trio.SocketStream) -> None:
         while line := await read_line(stream):
             if line.startswith(b"GET"):
-                asked.append(trio.current_time())
+                call_times.append(trio.current_time())
                 await trio.sleep(2.9)
                 await stream.send_all(watch_response(41))
                 agent.script_done.set()
 
     agent.answer = slow  # type: ignore[method-assign]
     follow(tmp_path, agent, known=True, spread_s=0.1)  # a spread means that lists are asked for, not pushed
-    assert len(asked) == 1
+    assert len(call_times) == 1
 
 
 def test_an_incomplete_line_is_dropped_and_requested_again(tmp_path: Path) -> None:
@@ -198,7 +194,7 @@
     agent = ScriptedAgent(whole_list_response(), chunked_response(*texts))
     versions = follow(tmp_path, agent)
     assert versions == [41, 42, 43, 44]
-    assert [asked for _, asked in agent.requests] == [WHOLE_LIST_PATH, WATCH_PATH % 41, WATCH_PATH % 44]
+    assert [target for _, target in agent.requests] == [WHOLE_LIST_PATH, WATCH_PATH % 41, WATCH_PATH % 44]
 
 
 @pytest.mark.parametrize("incomplete_text", ['{"seq":42,\n', '{\n  "seq": 42,\n', '{"seq":4"\n'])
@@ -210,24 +206,21 @@
 ) -> None:
     agent = ScriptedAgent(whole_list_response(), chunked_response(incomplete_text, following_text))
     assert follow(tmp_path, agent) == [41]
-    assert [asked for _, asked in agent.requests] == [
-        WHOLE_LIST_PATH,
-        WATCH_PATH % 41,
-        WHOLE_LIST_PATH,
-    ]  # the whole list, at once
+    # The relay fetches the whole list at once.
+    assert [target for _, target in agent.requests] == [WHOLE_LIST_PATH, WATCH_PATH % 41, WHOLE_LIST_PATH]
 
 
 def test_only_invalid_and_repeated_entries_of_a_large_list_are_left_out(tmp_path: Path) -> None:
     destinations = DestinationSet(relaying.config(tmp_path).names)
     entries = [entry(f"s-{n}") for n in range(1024)]
     faulty, repeated, leaving = entry("s-bad") | {"dial": "nowhere"}, entry("s-7"), entry("s-8")
-    received_lists = destinations.read(whole(*entries, faulty, repeated, leaving | {"health": "terminating"}))
+    server_list = destinations.read(whole(*entries, faulty, repeated, leaving | {"health": "terminating"}))
     assert len(destinations.servers()) == 1024
     assert [("nowhere" in fault, "s-7 " in fault, "s-8 " in fault) for fault in destinations.faults] == [
         (True, False, False),
         (False, True, False),
         (False, False, True),
     ]
-    states = {line.server: line.state for line in received_lists.servers}
+    states = {line.server: line.state for line in server_list.servers}
     assert states[server_number("s-7")] is interface.ServerState.READY
     assert states[server_number("s-8")] is interface.ServerState.DRAINING
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -240,9 +240,8 @@
     started_at = trio.current_time()
     after = stopping.connect(with_id(LONG_WAIT_OPEN, 2))
     await stopping.finishing.wait()
-    stopping.process.relay.decisions._pass_on(
-        interface.Move(1)
-    )  # has no meaning now and only restarts the first one's wait
+    # This MOVE has no meaning now; it only restarts the wait of the first request.
+    stopping.process.relay.decisions._pass_on(interface.Move(1))
     for stream in (before, after):
         assert (await read_line(stream)).split()[0] in (b"ERR", b"BUSY")
         assert trio.current_time() - started_at < 0.9
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -79,7 +79,7 @@
         classes=tuple(interface.RequestClass(deadline_us=int(s * 1e6)) for s in (0.05, longest_s)),
     )
     leaving = Leaving(0.0, settings)
-    move_times = [
+    phase_times = [
         leaving.arrivals_until(last_arrival),
         leaving.moves_end,
         leaving.answers_end,
@@ -87,8 +87,8 @@
         leaving.over_at,
         max(3.0, int(longest_s * 1e6) / 1e6) + 0.7,
     ]
-    assert move_times[0] > 0.4 and move_times == sorted(move_times)
-    assert leaving.answers_end >= longest_s and all(b - a > 0.1 for a, b in pairwise(move_times))
+    assert phase_times[0] > 0.4 and phase_times == sorted(phase_times)
+    assert leaving.answers_end >= longest_s and all(b - a > 0.1 for a, b in pairwise(phase_times))
     assert leaving.moves_from(100) == pytest.approx(leaving.moves_end - 1.5 if pass_through else 0.0)
 
 
--- a/tests/test_quiet_lists.py
+++ b/tests/test_quiet_lists.py
@@ -108,7 +108,7 @@
             await self.progress.wait()
 
     async def wait_for_version(self, version: int) -> float:
-        while not (times := [at for at, heard in self.received if heard == version]):
+        while not (times := [at for at, received in self.received if received == version]):
             await self.progress.wait()
         return times[0]
 
@@ -190,9 +190,8 @@
             f"{min(delays):.2f} to {max(delays):.2f} s"
         )
         assert max(delays) <= MAX_LIST_DELAY_S
-        assert all(
-            agent.requests[0][0] <= MAX_LIST_DELAY_S - 2.0 for agent in agents
-        )  # first call of a new process
+        # The first call of a new process.
+        assert all(agent.requests[0][0] <= MAX_LIST_DELAY_S - 2.0 for agent in agents)
         if spread_s > 1.0:  # the calls are also spread
             firsts = sorted(agent.requests[1][0] - agent.silent_at for agent in agents)
             assert firsts[-1] - firsts[0] > 0.4
@@ -410,10 +409,8 @@
         await trio.testing.wait_all_tasks_blocked()
         old.may_continue.set()
         await old.wait_for_requests(2)
-        assert [target for _, target in old.requests] == [
-            WATCH_PATH % 40,
-            WHOLE_LIST_PATH,
-        ]  # version 41 is the other agent's
+        # The relay must not resume from version 41, which is the other agent's.
+        assert [target for _, target in old.requests] == [WATCH_PATH % 40, WHOLE_LIST_PATH]
 
     run_script(script)
 
@@ -477,9 +474,8 @@
         times = [at for at, _ in agent.requests]
         gaps = [later - sooner for sooner, later in pairwise(times[1:])]
         assert times[1] - times[0] <= 1.0
-        assert (
-            max(gaps) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
-        )  # the answer may still take MAX_ASKING_ANSWER_S
+        # The answer may still take MAX_ASKING_ANSWER_S after that.
+        assert max(gaps) <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S
         assert min(gaps[2:]) >= 0.7 * CALL_INTERVAL_S
         assert {target for _, target in agent.requests[1:]} == {WHOLE_LIST_PATH}
 
@@ -522,10 +518,11 @@
             heard_at = await agent.wait_for_version(42)
             reached_at = agent.requests[len(agent.script) - 2][0]
             assert heard_at - reached_at <= MAX_LIST_DELAY_S - LOOP_LAG_MARGIN_S + 0.05
+        # The first call of a new process.
         assert (
             max(agent.requests[0][0] for agent in agents)
             <= MAX_LIST_DELAY_S - MAX_ASKING_ANSWER_S - LOOP_LAG_MARGIN_S
-        )  # first call of a new process
+        )
 
     run_script(script, threshold_s=0.01)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -304,9 +304,7 @@
 
 def test_silent_clients_displace_each_other_and_no_normal_client(tmp_path: Path) -> None:
     clock = trio.testing.MockClock()
-    conf = relaying.config(
-        tmp_path, limits={"sockets": 40}
-    )  # the limit is three clients without a first line
+    conf = relaying.config(tmp_path, limits={"sockets": 40})  # allows three clients without a first line
 
     async def client(shared: Relay, port: int) -> None:
         silent = []
@@ -315,8 +313,8 @@
             await trio.testing.wait_all_tasks_blocked(0.01)
         for stream in silent[:2]:  # the oldest clients are refused at once
             assert await read_line(stream) == lines.FAILED
-        usual = await open_connection(port)
-        assert await read_line(usual) == b"UP r1\r\n"
+        normal_client = await open_connection(port)
+        assert await read_line(normal_client) == b"UP r1\r\n"
         await silent[-1].send_all(lines.PING + lines.END)
         assert await read_line(silent[-1]) == lines.PONG
         clock.jump(2.5)  # the others time out, whatever they sent before a complete first line
@@ -463,7 +461,7 @@
 def test_an_older_whole_list_is_applied_but_restores_no_departed_server(conf: Config) -> None:
     """An agent may be behind the previous one or number anew; draining servers get no new connections."""
     destinations = DestinationSet(conf.names)
-    heard = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-3"), seq=40))
+    first_list = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-3"), seq=40))
     destinations.read(
         {
             "seq": 41,
@@ -474,7 +472,7 @@
     repeated_list = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-4"), seq=7))
     drains, ready = interface.ServerState.DRAINING, interface.ServerState.READY
     assert [line.state for line in repeated_list.servers] == [drains, drains, ready]
-    assert repeated_list.version > heard.version and destinations.address(server_number("s-3")) is None
+    assert repeated_list.version > first_list.version and destinations.address(server_number("s-3")) is None
     restored = destinations.read({"seq": 8, "whole": False, "hosts": [entry("s-2", born_ms=5)]})
     assert restored.servers[0].state is interface.ServerState.READY
 
@@ -502,10 +500,10 @@
 class Agent:
     """A discovery agent on an ephemeral port that answers with one list, then a watch without changes."""
 
-    def __init__(self, watched: Callable[[], None], *entries: dict[str, object], seq: int = 41) -> None:
+    def __init__(self, on_watch: Callable[[], None], *entries: dict[str, object], seq: int = 41) -> None:
         self.requests: list[bytes] = []
         self.body = json.dumps(whole(*entries, seq=seq)).encode()
-        self.watched = watched
+        self.on_watch = on_watch
         self.address = ("", 0)
 
     async def start(self, nursery: trio.Nursery) -> None:
@@ -520,7 +518,7 @@
                 continue
             if b"watch" in self.requests[-1]:
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n\r\n\r\n")
-                self.watched()
+                self.on_watch()
                 await trio.sleep_forever()
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.body)
             await stream.send_all(head + self.body)
@@ -528,10 +526,10 @@
 
 @pytest.mark.parametrize("text", [b"{", b"[" * 200_000, b'{"seq":"x"}', b"\xff"])
 def test_an_invalid_list_never_ends_the_relay(conf: Config, text: bytes) -> None:
-    async def heard(servers: interface.ServerList) -> None:
-        raise AssertionError("it was taken for a list")
+    async def on_list(servers: interface.ServerList) -> None:
+        raise AssertionError("an invalid document was accepted as a list")
 
-    discovery = Discovery(("127.0.0.1", 9), DestinationSet(conf.names), heard, Counters())
+    discovery = Discovery(("127.0.0.1", 9), DestinationSet(conf.names), on_list, Counters())
     with pytest.raises(BadList):
         trio.run(discovery._apply, text)
 
