--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -73,7 +73,7 @@
 
 
 def before_check(monkeypatch: pytest.MonkeyPatch, action: Callable[[], object], number: int = 2) -> None:
-    """Runs `action` just before the given one of all checks.
+    """Runs `action` just before check number `number` of all calls.
 
     The first check precedes a call; the second, after the call has connected, precedes its line.
     """
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -201,7 +201,7 @@
     clients = OpenConnections(monkeypatch)
     conf = relaying.config(tmp_path, limits={"sockets": SOCKETS})
     max_count = SOCKETS - OWN_SOCKETS
-    seen: list[int] = []
+    counts: list[int] = []
 
     async def silent(stream: trio.SocketStream) -> None:
         while await stream.receive_some():
@@ -214,11 +214,11 @@
                 flood.add_client()  # no more than the kernel's queue holds: the loop does not run meanwhile
             while shared.counters.accepted < flood.clients_started:
                 await trio.lowlevel.checkpoint()
-                seen.append(clients.count + inbound._taken)
+                counts.append(clients.count + inbound._taken)
             flood.end()
 
     trio.run(main, clock=trio.testing.MockClock())
-    assert conf.room.waiting + 2 * conf.room.taken < max(seen) <= max_count
+    assert conf.room.waiting + 2 * conf.room.taken < max(counts) <= max_count
 
 
 def test_a_client_that_reads_nothing_is_still_closed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -160,18 +160,18 @@
 async def test_the_queue_of_a_paused_listener_is_left_to_the_successor_process(
     stopping: StoppingProcess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    listener, seen = stopping.process.listeners[0], list[float]()
+    listener, paused_at = stopping.process.listeners[0], list[float]()
     with listener.dup() as other:  # the successor process has the same socket
 
         async def handed_on() -> None:
             stopping.process.pause([listener])
             stopping.connect(OPEN)
-            seen.append(trio.current_time())
+            paused_at.append(trio.current_time())
 
         after_arrivals_end(monkeypatch, handed_on)
         stopping.process.stop()
         await stopping.wait_until_ended()
-        assert trio.current_time() - seen[0] < 1.0
+        assert trio.current_time() - paused_at[0] < 1.0
         assert has_queued_client(other) and not stopping.process.relay.counters.accepted
 
 
@@ -303,13 +303,13 @@
 async def test_further_signals_during_the_end_change_nothing_and_lose_no_client(
     stopping: StoppingProcess,
 ) -> None:
-    seen = []
+    states = []
 
     def send_all_signals(before: State, now: State) -> None:
         if now in (State.DRAINING, State.FINISHING):
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT, signal.SIGTERM):
                 os.kill(os.getpid(), number)
-        seen.append(now)
+        states.append(now)
 
     connected = stopping.connect(with_id(OPEN, 1))
     assert await read_line(connected) == b"UP r1\r\n"
@@ -321,5 +321,5 @@
     await expect_up_then_move(unfinished)
     assert await read_line(connected) == lines.MOVE
     await stopping.wait_until_ended()
-    assert seen == [State.DRAINING, State.FINISHING, State.STOPPED]
+    assert states == [State.DRAINING, State.FINISHING, State.STOPPED]
     assert not stopping.process.relay.counters.reloads
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -284,20 +284,20 @@
 
 
 def test_a_client_that_does_not_wait_for_its_answer_gets_a_failure(conf: Config) -> None:
-    called, over = trio.Event(), trio.Event()
+    called, call_ended = trio.Event(), trio.Event()
 
     async def server(stream: trio.SocketStream) -> None:
         await read_line(stream)
         called.set()
         assert await read_line(stream) == b""  # no more data of this client arrives and the call ends
-        over.set()
+        call_ended.set()
 
     async def client(shared: Relay, port: int) -> None:
         stream = await open_connection(port)
         await called.wait()
         await stream.send_all(b"frob\r\n" * 300)
         assert await read_line(stream) == lines.FAILED
-        await over.wait()
+        await call_ended.wait()
 
     run_relay(conf, server, client, trio.testing.MockClock())
 
