--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Clients without end, idle or not, while discovery is down: what is left of a relay's descriptors."""
+"""Descriptor limits: a flood of clients, idle or not, must leave a relay enough descriptors for discovery."""
 
 import os
 import resource
@@ -22,40 +22,42 @@
 
 from glenfold.config.platform import OWN_SOCKETS
 from glenfold.net import inbound as inbound_module
-from glenfold.net.discovery import MISSED_S
-from glenfold.net.inbound import FIRST_LINE_S, PARTING_S, Inbound
+from glenfold.net.discovery import MAX_LIST_DELAY_S
+from glenfold.net.inbound import CLOSING_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, Inbound
 from glenfold.net.sockets import SocketType
 
-SOCKETS = 64  # of the relay, by its configuration and by the kernel's limit
-FILLED_S = 1.5
-EVERY_S = 0.002  # a client comes: faster ones would leave before they are accepted
-MOST_REQUESTS = 60  # held open at a time, several times what the relay has room for
-MOST_OTHERS = 200
+SOCKETS = 64  # The relay's descriptor limit, in its configuration and in the kernel.
+FLOOD_DURATION_S = 1.5
+CLIENT_INTERVAL_S = 0.002  # At a shorter interval clients would disconnect before they are accepted.
+MAX_OPEN_REQUESTS = 60  # Several times the relay's room for requests.
+MAX_OTHER_CLIENTS = 200
 REQUEST = b"OPEN %x 1 c=watch,t=valleys,d=3000\r\n"
 FIRST_BYTES = (b"", b"PING\r\n", b"half a li", b"no line\r\nand more", REQUEST)
 
 
 class Flood:
-    """Clients that connect, send what one of their kind sends first, and rest. The oldest leave."""
+    """Clients that connect, send one of `FIRST_BYTES` and stay idle; the oldest ones disconnect."""
 
     def __init__(self, port: int) -> None:
         self._port = port
         self._requests: deque[socket.socket] = deque()
         self._others: deque[socket.socket] = deque()
-        self.came = 0
+        self.clients_started = 0
 
-    def one_more(self) -> None:
-        self.came += 1
-        first = FIRST_BYTES[self.came % len(FIRST_BYTES)]
+    def add_client(self) -> None:
+        self.clients_started += 1
+        first = FIRST_BYTES[self.clients_started % len(FIRST_BYTES)]
         requests = first is REQUEST
-        held, most = (self._requests, MOST_REQUESTS) if requests else (self._others, MOST_OTHERS)
+        held, max_count = (
+            (self._requests, MAX_OPEN_REQUESTS) if requests else (self._others, MAX_OTHER_CLIENTS)
+        )
         client = socket.socket()
         held.append(client)
         client.settimeout(0.2)
-        with suppress(OSError):  # its answer may have come, and its end
+        with suppress(OSError):  # the relay may have answered and closed already
             client.connect(("127.0.0.1", self._port))
-            client.sendall(first % self.came if requests else first)
-        if len(held) > most:
+            client.sendall(first % self.clients_started if requests else first)
+        if len(held) > max_count:
             held.popleft().close()
 
     def end(self) -> None:
@@ -63,39 +65,39 @@
             client.close()
 
 
-class Watched:
-    """The most descriptors that a process was seen to hold."""
+class DescriptorWatch:
+    """Polls the number of open descriptors of a process and keeps the maximum."""
 
     def __init__(self, process: int) -> None:
-        self.most = 0
-        self._folder, self._over = f"/proc/{process}/fd", threading.Event()
-        self._thread = threading.Thread(target=self._look)
+        self.max_count = 0
+        self._folder, self._stopped = f"/proc/{process}/fd", threading.Event()
+        self._thread = threading.Thread(target=self._poll)
 
-    def __enter__(self) -> "Watched":
+    def __enter__(self) -> "DescriptorWatch":
         self._thread.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._over.set()
+        self._stopped.set()
         self._thread.join()
 
-    def _look(self) -> None:
-        while not self._over.is_set():
-            self.most = max(self.most, len(os.listdir(self._folder)))
+    def _poll(self) -> None:
+        while not self._stopped.is_set():
+            self.max_count = max(self.max_count, len(os.listdir(self._folder)))
             time.sleep(0.0005)
 
 
-class Open:
-    """How many accepted clients are not closed yet."""
+class OpenConnections:
+    """Counts the accepted clients whose connections are not closed yet."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.count = 0
         connection = Inbound._connection
 
-        async def counted(inbound: Inbound, *given: Any) -> None:
+        async def counted(inbound: Inbound, *arguments: Any) -> None:
             self.count += 1
             try:
-                await connection(inbound, *given)
+                await connection(inbound, *arguments)
             finally:
                 self.count -= 1
 
@@ -104,7 +106,7 @@
 
 @contextmanager
 def silent_server() -> Iterator[int]:
-    """A push server that accepts and says nothing, so that each call to it holds a descriptor."""
+    """Yields the port of a push server that accepts and never answers: each call to it holds a descriptor."""
     held: list[socket.socket] = []
 
     def accept(listener: socket.socket) -> None:
@@ -126,8 +128,8 @@
 
 @contextmanager
 def relay_process(folder: Path, discovery: int, server: int) -> Iterator[tuple[subprocess.Popen[str], int]]:
-    """Once it listens, with its port."""
-    relaying.write(
+    """Starts a relay process; yields the process and its port once it listens."""
+    relaying.write_config(
         folder,
         listen="127.0.0.1:0",
         discovery=f"127.0.0.1:{discovery}",
@@ -161,45 +163,45 @@
             process.kill()
 
 
-def test_with_clients_without_end_discovery_and_accepted_clients_still_get_descriptors(
+def test_discovery_and_accepted_clients_get_descriptors_during_a_flood_of_clients(
     tmp_path: Path,
 ) -> None:
     with (
-        socket.socket() as discovery,  # refuses until it listens
+        socket.socket() as discovery,  # refuses connections until it listens
         silent_server() as server,
     ):
         discovery.bind(("127.0.0.1", 0))
         with relay_process(tmp_path, discovery.getsockname()[1], server) as (process, port):
             flood = Flood(port)
-            with Watched(process.pid) as watched:
-                until = time.monotonic() + FILLED_S
-                while time.monotonic() < until:
-                    flood.one_more()
-                    time.sleep(EVERY_S)
+            with DescriptorWatch(process.pid) as descriptor_watch:
+                deadline = time.monotonic() + FLOOD_DURATION_S
+                while time.monotonic() < deadline:
+                    flood.add_client()
+                    time.sleep(CLIENT_INTERVAL_S)
                 discovery.listen()
                 discovery.settimeout(0.001)
-                until = time.monotonic() + MISSED_S
-                call = None
-                while call is None and time.monotonic() < until:
-                    flood.one_more()
+                deadline = time.monotonic() + MAX_LIST_DELAY_S
+                discovery_call = None
+                while discovery_call is None and time.monotonic() < deadline:
+                    flood.add_client()
                     with suppress(TimeoutError):
-                        call = discovery.accept()[0]
+                        discovery_call = discovery.accept()[0]
             flood.end()
-            assert call is not None
-            call.close()
+            assert discovery_call is not None
+            discovery_call.close()
     log = (tmp_path / "log").read_text()
-    assert flood.came > 4 * SOCKETS and watched.most < SOCKETS
+    assert flood.clients_started > 4 * SOCKETS and descriptor_watch.max_count < SOCKETS
     assert "connect_failed" not in log and "faults=0" in log
 
 
-def test_clients_and_their_calls_leave_the_relay_its_own_descriptors(
+def test_clients_and_their_calls_leave_enough_descriptors_for_the_relay_itself(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """However many come in one turn of the loop."""
-    clients = Open(monkeypatch)
+    """The limit holds however many clients arrive in one turn of the event loop."""
+    clients = OpenConnections(monkeypatch)
     conf = relaying.config(tmp_path, limits={"sockets": SOCKETS})
-    most = SOCKETS - OWN_SOCKETS
-    seen: list[int] = []
+    max_count = SOCKETS - OWN_SOCKETS
+    counts: list[int] = []
 
     async def silent(stream: trio.SocketStream) -> None:
         while await stream.receive_some():
@@ -209,21 +211,19 @@
         async with relay(conf, silent) as (shared, inbound, port):
             flood = Flood(port)
             for _ in range(2 * SOCKETS - 8):
-                flood.one_more()  # the loop does not turn meanwhile, so no more than the kernel queues
-            while shared.counters.accepted < flood.came:
+                flood.add_client()  # no more than the kernel's queue holds: the loop does not run meanwhile
+            while shared.counters.accepted < flood.clients_started:
                 await trio.lowlevel.checkpoint()
-                seen.append(clients.count + inbound._taken)
+                counts.append(clients.count + inbound._taken)
             flood.end()
 
     trio.run(main, clock=trio.testing.MockClock())
-    assert conf.room.waiting + 2 * conf.room.taken < max(seen) <= most
+    assert conf.room.waiting + 2 * conf.room.taken < max(counts) <= max_count
 
 
-def test_a_client_that_reads_nothing_is_closed_all_the_same(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Its answer finds no room with the kernel, and nobody waits for that for long."""
-    clients = Open(monkeypatch)
+def test_a_client_that_reads_nothing_is_still_closed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The kernel has no buffer for the client's answer; the relay waits only a limited time for it."""
+    clients = OpenConnections(monkeypatch)
 
     async def no_room(sock: SocketType, data: bytes) -> None:
         await trio.sleep_forever()
@@ -231,10 +231,10 @@
     monkeypatch.setattr(inbound_module, "send", no_room)
 
     async def main() -> None:
-        async with relay(relaying.config(tmp_path), relaying.up) as (shared, inbound, port):
+        async with relay(relaying.config(tmp_path), relaying.accept_and_echo) as (shared, inbound, port):
             idle = [socket.create_connection(("127.0.0.1", port)) for _ in range(2)]
-            idle[0].sendall(b"no line\r\n")  # and the other says nothing
-            with trio.fail_after(FIRST_LINE_S + 2 * PARTING_S):
+            idle[0].sendall(b"no line\r\n")  # the other client sends nothing
+            with trio.fail_after(FIRST_LINE_TIMEOUT_S + 2 * CLOSING_TIMEOUT_S):
                 while shared.counters.accepted < len(idle) or clients.count:
                     await trio.sleep(0.1)
             for client in idle:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -215,18 +215,20 @@
     async def serve(config: Any) -> None:
         served.append(config)
 
-    relaying.write(tmp_path, settings=settings_with("classes.0.hard_limit_us", "soon"))
+    relaying.write_config(tmp_path, settings=settings_with("classes.0.hard_limit_us", "soon"))
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     monkeypatch.setattr(platform, "serve", serve)
     assert platform.main() == 0
     out, err = capfd.readouterr()
     assert "WARNING configuration: settings.classes.0.hard_limit_us: 'soon' is not a" in err and not out
     environment = {"LB_CONFIG": str(tmp_path / "config.json")}
-    relaying.write(
+    relaying.write_config(
         tmp_path, discovery="127.0.0.1:8", settings=settings_with("classes.0.hard_limit_us", "soon")
     )
     # The reload adds no new problem.
     assert read_again(environment, served[0])[0].discovery == ("127.0.0.1", 8)
-    relaying.write(tmp_path, settings=settings_with("classes.0.semantics", "twice"), discovery="127.0.0.1:7")
+    relaying.write_config(
+        tmp_path, settings=settings_with("classes.0.semantics", "twice"), discovery="127.0.0.1:7"
+    )
     with pytest.raises(ConfigError, match=r"^settings\.classes\.0\.semantics: 'twice' is not one of"):
         read_again(environment, served[0])
