--- a/glenfold/config/checks.py
+++ b/glenfold/config/checks.py
@@ -13,7 +13,7 @@
 from glenfold.config.tables import Reading
 from glenfold.config.terms import RequestClass, Tenant, Terms
 from glenfold.destinations import BadList, DestinationSet
-from glenfold.located import Key, nearest
+from glenfold.toml_file import Key, nearest
 
 FILE_NAME = re.compile(r"[A-Za-z0-9][\w.-]*", re.ASCII)
 WORD = re.compile(r"[!-+\--~]+")  # what a client can say in its first line: no blank, no comma
--- a/glenfold/config/operators.py
+++ b/glenfold/config/operators.py
@@ -23,7 +23,7 @@
 from glenfold.config.settings import as_platform, relays
 from glenfold.config.tables import Faults, Table, read_file
 from glenfold.config.terms import Terms
-from glenfold.located import Key, Located, written
+from glenfold.toml_file import Key, Located, written
 
 AT_ONCE = ("list", "limits", "logging", "fleet")  # not to wait for a restart: `fleet` is its supervisor's
 
--- a/glenfold/config/places.py
+++ b/glenfold/config/places.py
@@ -8,7 +8,7 @@
 
 from glenfold.config.platform import Address, read_address
 from glenfold.config.terms import Terms
-from glenfold.located import Key
+from glenfold.toml_file import Key
 
 MOST_SOCKET_PATH = 107  # bytes that the name of a Unix socket may have
 
--- a/glenfold/config/replica.py
+++ b/glenfold/config/replica.py
@@ -14,7 +14,7 @@
 from glenfold.config.platform import Address, Parent, read_address
 from glenfold.config.tables import Faults, Reading, Table, read_file
 from glenfold.config.terms import AddressText, Length, ListParent, Logging, Name
-from glenfold.located import Key
+from glenfold.toml_file import Key
 
 MB = 1 << 20
 NAME = re.compile(r"[A-Za-z0-9][\w.-]*", re.ASCII)  # also in a Via header field
--- a/glenfold/config/tables.py
+++ b/glenfold/config/tables.py
@@ -15,7 +15,7 @@
 from msgspec import inspect
 from msgspec.structs import FieldInfo
 
-from glenfold.located import BadFile, Key, Located, nearest, read_text, scan, short
+from glenfold.toml_file import BadFile, Key, Located, nearest, read_text, scan, short
 
 T = TypeVar("T", bound=msgspec.Struct)
 
--- a/glenfold/daemon/fleet_orders.py
+++ b/glenfold/daemon/fleet_orders.py
@@ -18,8 +18,8 @@
 from glenfold.daemon.keep import write_whole
 from glenfold.daemon.logfiles import LogFiles
 from glenfold.daemon.supervisor import FileRefused, Order, Orders, Place, Supervisor
-from glenfold.located import BadFile, parse, read_text
 from glenfold.rules.fleet.terms import Terms
+from glenfold.toml_file import BadFile, parse, read_text
 
 LOG_BYTES = 16 << 20  # of one instance, twice: the file and the one before
 
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -24,11 +24,11 @@
 from glenfold.daemon.warming import warm_up
 from glenfold.decisions import Decisions
 from glenfold.destinations import BadList, DestinationSet
-from glenfold.leaving import ANSWER_TURNS, ANSWERS_S, Leaving, in_order
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import BACKLOG, Inbound, Relay
 from glenfold.net.passing import Passage
 from glenfold.net.sockets import SocketType, queued
+from glenfold.shutdown import ANSWER_TURNS, ANSWERS_S, Leaving, in_order
 from linnetspread import interface as i
 
 if TYPE_CHECKING:
--- a/glenfold_lab/commands/experiment.py
+++ b/glenfold_lab/commands/experiment.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from glenfold.located import BadFile
+from glenfold.toml_file import BadFile
 from glenfold_lab.experiments import pool
 from glenfold_lab.experiments.compare import differences
 from glenfold_lab.experiments.export import Found, differences_grid, figures_grid, write_json
--- a/glenfold_lab/commands/load.py
+++ b/glenfold_lab/commands/load.py
@@ -21,7 +21,7 @@
 from rich.table import Table
 
 from glenfold.config import Address, read_address
-from glenfold.located import BadFile, Located
+from glenfold.toml_file import BadFile, Located
 from glenfold_lab.load import echo, plan, terms, worker_pool
 from glenfold_lab.load.offer import Offer
 from glenfold_lab.load.result import ENDED_EARLY, LoadResult, summarize, window_us
--- a/glenfold_lab/commands/scenarios.py
+++ b/glenfold_lab/commands/scenarios.py
@@ -4,7 +4,7 @@
 
 import click
 
-from glenfold.located import BadFile
+from glenfold.toml_file import BadFile
 from glenfold_lab import scenario
 
 
--- a/glenfold_lab/experiments/export.py
+++ b/glenfold_lab/experiments/export.py
@@ -9,7 +9,7 @@
 import msgspec
 from rich.table import Table as Grid
 
-from glenfold.located import BadFile
+from glenfold.toml_file import BadFile
 from glenfold_lab.experiments.compare import Difference, Table
 from glenfold_lab.experiments.plan import Cell, Plan
 from glenfold_lab.experiments.store import Outcome, Short, Store, sync_folder
--- a/glenfold_lab/experiments/factors.py
+++ b/glenfold_lab/experiments/factors.py
@@ -7,7 +7,7 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from glenfold.located import BadFile, Key, Located, written
+from glenfold.toml_file import BadFile, Key, Located, written
 from glenfold_lab import scenario
 from glenfold_lab.spec import Scenario
 
--- a/glenfold_lab/experiments/plan.py
+++ b/glenfold_lab/experiments/plan.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta
 
-from glenfold import located
-from glenfold.located import BadFile, Located
+from glenfold import toml_file
+from glenfold.toml_file import BadFile, Located
 from glenfold_lab import scenario
 from glenfold_lab.experiments import factors, revisions
 from glenfold_lab.experiments.factors import Factor, Variant
@@ -90,7 +90,7 @@
 def load(path: str, against: Sequence[str] = ()) -> Plan:
     """Raises BadFile with key, line and reason, and BadRevision. `against`: revisions to compare with, which
     go ahead of the file's own."""
-    file = located.read(path)
+    file = toml_file.read(path)
     terms = file.convert(Terms)
     _check_differ(file, terms)
     chosen = factors.read(file)
--- a/glenfold_lab/experiments/store.py
+++ b/glenfold_lab/experiments/store.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from glenfold.located import BadFile
+from glenfold.toml_file import BadFile
 from glenfold_lab.results import RunResult
 
 MAGIC = b"glenfold-experiment 1\n"
--- a/glenfold_lab/load/terms.py
+++ b/glenfold_lab/load/terms.py
@@ -7,9 +7,9 @@
 
 from msgspec import Meta
 
-from glenfold import located
+from glenfold import toml_file
 from glenfold.lines import MOST_WAIT_MS
-from glenfold.located import Key, Located
+from glenfold.toml_file import Key, Located
 from glenfold_lab.spec import Name, Part, Positive, Share
 
 MOST_STARTS = 5_000_000  # of one plan: what the tables of its workers can hold
@@ -93,7 +93,7 @@
 
 def read(path: str | Path) -> LoadPlan:
     """Raises BadFile, with key and line, for the first fault."""
-    return checked(located.read(path))
+    return checked(toml_file.read(path))
 
 
 def checked(values: Located) -> LoadPlan:
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -13,9 +13,9 @@
 
 from glenfold import request as r
 from glenfold.dispatch import Dispatch, RequestAction
-from glenfold.leaving import ANSWERS_S, Leaving, in_order
 from glenfold.net.inbound import BACKLOG
 from glenfold.net.passing import SILENT_S
+from glenfold.shutdown import ANSWERS_S, Leaving, in_order
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.relay_settings import Costs
 from glenfold_lab.model.wire import Call, Machines
--- a/glenfold_lab/reports/read.py
+++ b/glenfold_lab/reports/read.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from glenfold.located import BadFile
+from glenfold.toml_file import BadFile
 from glenfold_lab.experiments import store
 from glenfold_lab.experiments.compare import Difference
 from glenfold_lab.results import FORMAT, RunResult
--- a/glenfold_lab/scenario.py
+++ b/glenfold_lab/scenario.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from glenfold import located
-from glenfold.located import BadFile, Key, Located
+from glenfold import toml_file
+from glenfold.toml_file import BadFile, Key, Located
 from glenfold_lab.spec import Fault, Pair, Part, Range, Scenario
 
 FOLDER = Path(__file__).parent / "scenarios"
@@ -104,10 +104,10 @@
 def find(name_or_path: str, beside: Path | None = None) -> Located:
     """The unchecked values of that file. A path is taken from the folder `beside`, if there is one."""
     if name_or_path in shipped():
-        return located.read(FOLDER / f"{name_or_path}.toml")
+        return toml_file.read(FOLDER / f"{name_or_path}.toml")
     if "/" in name_or_path or name_or_path.endswith(".toml"):
-        return located.read((beside or Path()) / name_or_path)
-    raise BadFile(name_or_path, "no scenario of this name; " + located.nearest(name_or_path, shipped()))
+        return toml_file.read((beside or Path()) / name_or_path)
+    raise BadFile(name_or_path, "no scenario of this name; " + toml_file.nearest(name_or_path, shipped()))
 
 
 def check(file: Located) -> Scenario:
@@ -200,7 +200,7 @@
     if latest >= scenario.length_s:
         raise file.fault((*key, "at_s"), f"{latest:g} is beyond length_s ({scenario.length_s:g})")
     if fault.zone is not None and fault.zone not in scenario.zones.names:
-        reason = f"no zone {fault.zone!r}; " + located.nearest(fault.zone, list(scenario.zones.names))
+        reason = f"no zone {fault.zone!r}; " + toml_file.nearest(fault.zone, list(scenario.zones.names))
         raise file.fault((*key, "zone"), reason)
     machines = scenario.relays.count if fault.kind.startswith("relay") else scenario.servers.count
     if fault.count is not None and fault.kind != "start_servers" and fault.count > machines:
--- a/tests/glenfold_lab/test_scenario_files.py
+++ b/tests/glenfold_lab/test_scenario_files.py
@@ -5,8 +5,8 @@
 import pytest
 from click.testing import CliRunner
 
-from glenfold import located
-from glenfold.located import BadFile
+from glenfold import toml_file
+from glenfold.toml_file import BadFile
 from glenfold_lab import scenario
 from glenfold_lab.commands.scenarios import command
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("text, line, message", BAD)
 def test_a_mistake_is_refused_with_key_line_and_reason(text: str, line: int, message: str) -> None:
     with pytest.raises(BadFile) as caught:
-        scenario.check(located.parse(GOOD + text, "bad.toml"))
+        scenario.check(toml_file.parse(GOOD + text, "bad.toml"))
     assert caught.value.message.startswith(f"bad.toml:{line}: {message}")
 
 
@@ -72,7 +72,7 @@
 )
 def test_a_mistake_at_the_top_is_refused_with_key_line_and_reason(text: str, line: int, message: str) -> None:
     with pytest.raises(BadFile) as caught:
-        scenario.check(located.parse(text, "bad.toml"))
+        scenario.check(toml_file.parse(text, "bad.toml"))
     assert caught.value.message.startswith(f"bad.toml:{line}: {message}")
 
 
--- a/tests/glenfold_lab/test_scenarios_page.py
+++ b/tests/glenfold_lab/test_scenarios_page.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from glenfold import located
+from glenfold import toml_file
 from glenfold_lab import scenario
 from glenfold_lab.experiments import plan
 
@@ -15,4 +15,4 @@
     for name, text in blocks:
         (tmp_path / name).write_text(text)
     assert plan.load(str(tmp_path / "question.toml")).size == 80
-    assert scenario.check(located.read(tmp_path / "restart.toml")).name == "restart"
+    assert scenario.check(toml_file.read(tmp_path / "restart.toml")).name == "restart"
--- a/tests/glenfold_lab/test_store.py
+++ b/tests/glenfold_lab/test_store.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from glenfold.located import BadFile
+from glenfold.toml_file import BadFile
 from glenfold_lab.experiments.store import MAGIC, Header, Outcome, Short, go_on, look
 
 HEADER = Header("one", "what?", 3, {"scenarios": "abc", "revisions": ["here 1"]})
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,10 +21,10 @@
 from relaying import OPEN, read_line, relay, up
 
 from glenfold.daemon.process import Process, finish_taken
-from glenfold.leaving import Leaving, in_order
 from glenfold.lines import MOVE
 from glenfold.net import passing
 from glenfold.net.inbound import Relay
+from glenfold.shutdown import Leaving, in_order
 from linnetspread import interface as i
 
 THROUGH = i.Settings(pass_through=True, classes=(i.RequestClass(deadline_us=3_000_000),))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -20,10 +20,10 @@
 from glenfold.counters import Counters
 from glenfold.daemon.process import Process, finish_taken, heed
 from glenfold.destinations import BadList, DestinationSet, server_number
-from glenfold.leaving import Leaving
 from glenfold.net import sockets
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import Relay
+from glenfold.shutdown import Leaving
 from linnetspread import interface as i
 from linnetspread.choice import SEEDS
 
--- a/tests/test_located.py
+++ b/tests/test_toml_file.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glenfold import located
-from glenfold.located import BadFile, Key
+from glenfold import toml_file
+from glenfold.toml_file import BadFile, Key
 
 # Entries, the names in which N makes unlike each other; and the line of each key, from the entry's own on.
 ENTRIES: list[tuple[str, dict[Key, int]]] = [
@@ -75,9 +75,9 @@
                 note((*at, *numbered(key, number)), offset)
             text += entry.replace("N", f"k-{number}")
         number += 1
-    file = located.parse(text, "made.toml")
+    file = toml_file.parse(text, "made.toml")
     assert file.lines == lines
-    assert {key for key, _ in located.leaves(file.data)} <= lines.keys()
+    assert {key for key, _ in toml_file.leaves(file.data)} <= lines.keys()
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
 )
 def test_what_is_not_toml_is_refused_with_its_line(text: str, line: int | None, reason: str) -> None:
     with pytest.raises(BadFile) as caught:
-        located.parse(text, "bad.toml")
+        toml_file.parse(text, "bad.toml")
     assert caught.value.message.startswith(f"bad.toml:{line}: {reason}" if line else f"bad.toml: {reason}")
     assert "\n" not in caught.value.message
     assert caught.value.exit_code == 2
@@ -103,7 +103,7 @@
 
 def test_a_file_that_cannot_be_read_or_is_not_utf8(tmp_path: Any) -> None:
     with pytest.raises(BadFile, match=r"none\.toml: can't be read: No such file"):
-        located.read(tmp_path / "none.toml")
+        toml_file.read(tmp_path / "none.toml")
     (tmp_path / "latin.toml").write_bytes(b'a = 1\nb = "caf\xe9"\n')
     with pytest.raises(BadFile, match=r"latin\.toml:2: byte 14 is not UTF-8"):
-        located.read(tmp_path / "latin.toml")
+        toml_file.read(tmp_path / "latin.toml")
