--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -264,7 +264,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["serve"]:
-        logs.begin(logs.Terms(), NAME)
+        logs.begin(logs.Options(), NAME)
         trio.run(serve, Path(sys.argv[2]))
         logs.finish()
     else:
--- a/glenfold/cli/fleet/up.py
+++ b/glenfold/cli/fleet/up.py
@@ -23,7 +23,7 @@
     Exit status: 0 the fleet went down or the supervisor was told to end, 1 another supervisor runs or the
     machine refused something, 2 the words or the file are at fault.
     """
-    logs.begin(logs.Terms(), "supervisor")
+    logs.begin(logs.Options(), "supervisor")
     try:
         trio.run(_supervise, fleet_of(file))
     except* FileRefused as group:
--- a/glenfold/config/checks.py
+++ b/glenfold/config/checks.py
@@ -13,7 +13,7 @@
 from glenfold.config.tables import Reading
 from glenfold.config.terms import RequestClass, Tenant, Terms
 from glenfold.destinations import BadList, DestinationSet
-from glenfold.toml_file import Key, nearest
+from glenfold.toml_file import Key, suggest_name
 
 FILE_NAME = re.compile(r"[A-Za-z0-9][\w.-]*", re.ASCII)
 WORD = re.compile(r"[!-+\--~]+")  # what a client can say in its first line: no blank, no comma
@@ -156,7 +156,7 @@
             taken.add(parent.address)
             yield from self._upstream((*key, "address"), parent.address, "the parent's address")
             if self.sound("settings.zones") and zones and parent.zone not in (None, *zones):
-                meant = nearest(str(parent.zone), list(zones))
+                meant = suggest_name(str(parent.zone), list(zones))
                 yield (*key, "zone"), f"{parent.zone!r} is not in settings.zones; {meant}"
 
     def _upstream(self, key: Key, told: str, right: str) -> Found:
@@ -215,7 +215,7 @@
     def zone(self) -> Found:
         zone, zones = self.terms.settings.zone, self.terms.settings.zones
         if self.sound("settings.zones", "settings.zone") and zone is not None and zone not in zones:
-            meant = nearest(zone, list(zones)) if zones else "name it there"
+            meant = suggest_name(zone, list(zones)) if zones else "name it there"
             yield "settings.zone", f"{zone!r} is not in settings.zones; {meant}"
 
     def rules(self) -> Found:
@@ -241,8 +241,8 @@
         except (OSError, ValueError, RecursionError, BadList) as error:
             yield key, f"can't be read: {error}; give a file with a list as discovery tells it"
             return
-        if destinations.faults:
-            yield key, f"{len(destinations.faults)} faulty entries; the first: {destinations.faults[0]}"
+        if destinations.problems:
+            yield key, f"{len(destinations.problems)} faulty entries; the first: {destinations.problems[0]}"
 
     def folders(self) -> Found:
         paths = {"instance": self.terms.instance.folder, "snapshot": self.terms.snapshot.folder}
--- a/glenfold/config/operators.py
+++ b/glenfold/config/operators.py
@@ -23,7 +23,7 @@
 from glenfold.config.settings import as_platform, relays
 from glenfold.config.tables import Faults, Table, read_file
 from glenfold.config.terms import Terms
-from glenfold.toml_file import Key, Located, written
+from glenfold.toml_file import Key, TomlFile, format_key
 
 AT_ONCE = ("list", "limits", "logging", "fleet")  # not to wait for a restart: `fleet` is its supervisor's
 
@@ -41,7 +41,7 @@
 class Operators:
     """A sound file. `terms` are its tables; paths in them are relative to `base`."""
 
-    def __init__(self, located: Located, terms: Terms, base: Path) -> None:
+    def __init__(self, located: TomlFile, terms: Terms, base: Path) -> None:
         self._located, self.terms, self.base = located, terms, base
         self.path = Path(located.name)
 
@@ -119,7 +119,7 @@
             for n, one in enumerate(value):
                 yield from self._values(one, (*key, n))
         elif key in self._located.lines:
-            yield Value(written(key), value, f"{self._located.name}:{self._located.lines[key]}")
+            yield Value(format_key(key), value, f"{self._located.name}:{self._located.lines[key]}")
         else:
             yield self._implied(key, value)
 
@@ -137,7 +137,7 @@
                 folder = self.terms.instance.folder or ""
                 found = str(Path(folder, "{name}.sock" if key[0] == "control" else "snapshots"))
                 origin = "from instance.folder"
-        return Value(written(key), found, origin)
+        return Value(format_key(key), found, origin)
 
     def _has_place(self, part: str | int) -> bool:
         """For what is written; else that part is off."""
--- a/glenfold/config/tables.py
+++ b/glenfold/config/tables.py
@@ -15,7 +15,7 @@
 from msgspec import inspect
 from msgspec.structs import FieldInfo
 
-from glenfold.toml_file import BadFile, Key, Located, nearest, read_text, scan, short
+from glenfold.toml_file import BadFile, Key, TomlFile, read_text, scan, shorten, suggest_name
 
 T = TypeVar("T", bound=msgspec.Struct)
 
@@ -109,21 +109,21 @@
     reading = Reading(located)
     terms = reading.table(located.data, kind)
     if located.data.get("format", 1) != 1:  # whatever else it says may mean something else there
-        raise Faults([located.fault(("format",), "this glenfold reads format 1 only")])
+        raise Faults([located.error(("format",), "this glenfold reads format 1 only")])
     return reading, terms
 
 
 class Reading:
     """`faults` grows as it reads; what is at fault takes its default, None where it must be given."""
 
-    def __init__(self, located: Located) -> None:
+    def __init__(self, located: TomlFile) -> None:
         self.located = located
         self.faults: dict[Key, BadFile] = {}
         self._unsound: set[Key] = set()
 
     def fault(self, key: Key, reason: str) -> None:
         """The first one of a key counts: the others follow from it."""
-        self.faults.setdefault(key, self.located.fault(key, reason))
+        self.faults.setdefault(key, self.located.error(key, reason))
         self._unsound.add(key)
 
     def sound(self, *keys: Key) -> bool:
@@ -134,8 +134,8 @@
         fields = {field.name: field for field in msgspec.structs.fields(kind)}
         for name in data:
             if name not in fields:
-                reason = "unknown key; " + nearest(name, list(fields))
-                self.faults[*key, name] = self.located.fault((*key, name), reason)
+                reason = "unknown key; " + suggest_name(name, list(fields))
+                self.faults[*key, name] = self.located.error((*key, name), reason)
         return kind(**{name: self._field(data, field, (*key, name)) for name, field in fields.items()})
 
     def _field(self, data: dict[str, Any], field: FieldInfo, key: Key) -> Any:
@@ -162,5 +162,5 @@
                 raise msgspec.ValidationError
             return msgspec.convert(data, kind)
         except msgspec.ValidationError:
-            self.fault(key, f"expected {described(kind)}, not {short(data)}")
+            self.fault(key, f"expected {described(kind)}, not {shorten(data)}")
             return fallback
--- a/glenfold/config/terms.py
+++ b/glenfold/config/terms.py
@@ -9,7 +9,7 @@
 
 from glenfold.config.platform import Parent, read_address
 from glenfold.config.tables import Table
-from glenfold.lines import MOST_WAIT_MS
+from glenfold.lines import MAX_WAIT_MS
 
 DAY_S = 86_400
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -63,12 +63,12 @@
 
 class RequestClass(Table, frozen=True):
     name: Name
-    deadline_ms: Annotated[float, Meta(ge=1, le=MOST_WAIT_MS)] = 3000.0
+    deadline_ms: Annotated[float, Meta(ge=1, le=MAX_WAIT_MS)] = 3000.0
     semantics: Literal["repeatable", "by_key", "once"] = "repeatable"
     dedup: Literal["all", "zone", "cell"] = "cell"
     window_ms: Annotated[float, Meta(ge=0, le=1000 * DAY_S)] = 0.0
     worth: NotNegative = 1.0
-    message_aim_ms: Annotated[float, Meta(ge=1, le=MOST_WAIT_MS)] = 250.0
+    message_aim_ms: Annotated[float, Meta(ge=1, le=MAX_WAIT_MS)] = 250.0
 
 
 class Tenant(Table, frozen=True):
@@ -82,12 +82,12 @@
     pass_through: bool = True
     weighted: bool = True
     tick_ms: Annotated[float, Meta(ge=0.1, le=1000)] = 1.0
-    connect_timeout_ms: Annotated[float, Meta(ge=1, le=MOST_WAIT_MS)] = 250.0
+    connect_timeout_ms: Annotated[float, Meta(ge=1, le=MAX_WAIT_MS)] = 250.0
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = 5
     spare_attempts: NotNegative = 0.0
     extra_per_request: Share = 0.0
     look_back_s: Seconds = 0.0
-    max_retry_after_ms: Annotated[float, Meta(ge=0, le=MOST_WAIT_MS)] = 1500.0
+    max_retry_after_ms: Annotated[float, Meta(ge=0, le=MAX_WAIT_MS)] = 1500.0
     over_share_worth: Share = 0.2
     cold_share: Share = 0.12
     cold_s: Length = 23.0
--- a/glenfold/daemon/control.py
+++ b/glenfold/daemon/control.py
@@ -73,7 +73,7 @@
             "since_s": now - self._since,
             "up_s": now - self._began_at,
             "list": {
-                "version": relay.destinations.version if relay.destinations.listed else None,
+                "version": relay.destinations.version if relay.destinations.has_list else None,
                 "servers": len(servers),
                 "age_s": now - heard_at if heard_at > float("-inf") else None,
             },
--- a/glenfold/daemon/fleet_orders.py
+++ b/glenfold/daemon/fleet_orders.py
@@ -77,7 +77,7 @@
         write_whole(self._accepted, text)
         self._numbers = {place.name: place.number for place in places}
         told = read.terms.logging
-        logs.take_terms(logs.Terms(told.form, told.level, told.levels, told.events_per_s, told.burst))
+        logs.set_options(logs.Options(told.form, told.level, told.levels, told.events_per_s, told.burst))
 
     @property
     def _accepted(self) -> Path:
--- a/glenfold/daemon/platform.py
+++ b/glenfold/daemon/platform.py
@@ -19,7 +19,7 @@
     pairs = [pair for pair in environment.get("LB_LOG_LEVELS", "").split(",") if pair]
     levels = {name.strip(): level.strip() for name, _, level in (pair.partition("=") for pair in pairs)}
     try:
-        logs.Terms(levels=levels)
+        logs.Options(levels=levels)
     except ValueError as error:
         raise ConfigError("LB_LOG_LEVELS", str(error)) from error
     for name in levels:
@@ -29,10 +29,10 @@
 
 
 def main() -> int:
-    logs.begin(logs.Terms())
+    logs.begin(logs.Options())
     try:
         if levels := log_levels(os.environ):
-            logs.take_terms(logs.Terms(levels=levels))
+            logs.set_options(logs.Options(levels=levels))
         config = read_config(os.environ)
         for key, fault in config.faults:
             events.config_default(key=key, fault=fault)
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -28,7 +28,7 @@
 from glenfold.net.inbound import BACKLOG, Inbound, Relay
 from glenfold.net.passing import Passage
 from glenfold.net.sockets import SocketType, queued
-from glenfold.shutdown import ANSWER_TURNS, ANSWERS_S, Leaving, in_order
+from glenfold.shutdown import ANSWER_POLL_S, MIN_ANSWER_TURNS, ShutdownSchedule, move_order
 from linnetspread import interface as i
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
             self.discovery = Discovery(
                 config.discovery,
                 destinations,
-                decisions.tell,
+                decisions.submit,
                 counters,
                 calls_spread_s(config.settings),
                 config.seed,
@@ -141,7 +141,7 @@
             for companion in self._companions:
                 nursery.start_soon(companion, self)
             await self._told_to_stop.wait()
-            leaving = Leaving(self._told_at(), self.relay.config.settings, self._deadline_s)
+            leaving = ShutdownSchedule(self._told_at(), self.relay.config.settings, self._deadline_s)
             self.relay.end_by(leaving.answers_end)
             self.life.to(State.DRAINING)
             if self._accepting:
@@ -160,7 +160,7 @@
         relay = self.relay
         if relay.config.known:
             try:
-                await relay.decisions.tell(relay.destinations.read(relay.config.known, cached=True))
+                await relay.decisions.submit(relay.destinations.read(relay.config.known, cached=True))
             except BadList as error:
                 events.list_known_refused(error=error)
 
@@ -205,7 +205,7 @@
         relay = self.relay
         gc.freeze()  # what stands now stays to the end: no collection looks at it again
         gc.enable()
-        while not relay.destinations.listed:
+        while not relay.destinations.has_list:
             await trio.sleep_until(trio.current_time() + STEP_S)
         warm_up(relay.config, relay.destinations.servers(), relay.clock.now_us())
         readiness = Readiness(trio.current_time(), time.process_time(), relay.config.cores)
@@ -295,23 +295,23 @@
     return listener
 
 
-async def last_arrivals(leaving: Leaving, inbound: Inbound) -> None:
-    while trio.current_time() < (until := leaving.arrivals_until(inbound.last_arrival)):
+async def last_arrivals(leaving: ShutdownSchedule, inbound: Inbound) -> None:
+    while trio.current_time() < (until := leaving.arrivals_end_at(inbound.last_arrival)):
         await trio.sleep_until(until)
-        leaving.came_back(trio.current_time(), until)
+        leaving.record_lateness(trio.current_time(), until)
 
 
-async def finish_taken(leaving: Leaving, relay: Relay) -> None:
+async def finish_taken(leaving: ShutdownSchedule, relay: Relay) -> None:
     """Every request taken gets its answer, and every standing connection's client is told to move in time."""
-    with trio.move_on_at(leaving.leave_at):
+    with trio.move_on_at(leaving.exit_at):
         await _until_moves(leaving, relay)
         async with trio.open_nursery() as nursery:
             await _move_all(leaving, relay, nursery)
     _end_all(relay)
     turns = 0
     # Their time is up, and a turn or two of the loop shows it. One may have come up just now.
-    while relay.unanswered and (turns < ANSWER_TURNS or trio.current_time() < leaving.over_at):
-        await trio.sleep_until(min(trio.current_time() + ANSWERS_S, leaving.over_at))
+    while relay.unanswered and (turns < MIN_ANSWER_TURNS or trio.current_time() < leaving.last_answers_at):
+        await trio.sleep_until(min(trio.current_time() + ANSWER_POLL_S, leaving.last_answers_at))
         turns += 1
         _end_all(relay)
 
@@ -335,15 +335,17 @@
     return told
 
 
-async def _until_moves(leaving: Leaving, relay: Relay) -> None:
+async def _until_moves(leaving: ShutdownSchedule, relay: Relay) -> None:
     began, worked_s = trio.current_time(), time.process_time()
-    while relay.owes and ((now := trio.current_time()) < (begin := leaving.moves_from(len(relay.standing)))):
+    while relay.owes and (
+        (now := trio.current_time()) < (begin := leaving.moves_start_at(len(relay.standing)))
+    ):
         await trio.sleep_until(look := min(begin, now + LOOK_S))
-        leaving.came_back(trio.current_time(), look)
-        leaving.busy((time.process_time() - worked_s) / (trio.current_time() - began))
+        leaving.record_lateness(trio.current_time(), look)
+        leaving.set_passing_share((time.process_time() - worked_s) / (trio.current_time() - began))
 
 
-async def _move_all(leaving: Leaving, relay: Relay, nursery: trio.Nursery) -> None:
+async def _move_all(leaving: ShutdownSchedule, relay: Relay, nursery: trio.Nursery) -> None:
     """A connection counts as standing until its client has been told to move, or is gone."""
     asked: set[Passage] = set()  # they have only part of a line
     queue: deque[Passage] = deque()
@@ -351,21 +353,23 @@
         while queue and queue[0] not in relay.standing:
             queue.popleft()
         left = len(relay.standing) - len(asked & relay.standing.keys())
-        short_before = leaving.short
+        short_before = leaving.is_short_of_time
         step = leaving.step(trio.current_time(), time.process_time(), left)
-        if leaving.short and not short_before:
-            events.leave_short(late=step.late, connections=left, per_s=round(leaving.pace))
+        if leaving.is_short_of_time and not short_before:
+            events.leave_short(late=step.late, connections=left, per_s=round(leaving.moves_per_s))
             queue.clear()  # to be put in another order
         if len(queue) < step.moves:
-            queue = deque(one for one in in_order(relay.standing, leaving.short) if one not in asked)
+            queue = deque(
+                one for one in move_order(relay.standing, leaving.is_short_of_time) if one not in asked
+            )
         for _ in range(min(step.moves, len(queue))):
             passage = queue.popleft()
             if passage not in relay.standing:
                 continue
             if not _tell(passage, relay, step.sweep):
                 asked.add(passage)
-                nursery.start_soon(_move, passage, relay, leaving.leave_at)
-        await trio.sleep_until(step.again_at)
+                nursery.start_soon(_move, passage, relay, leaving.exit_at)
+        await trio.sleep_until(step.next_at)
 
 
 async def _move(passage: Passage, relay: Relay, until: float) -> None:
--- a/glenfold/daemon/replica.py
+++ b/glenfold/daemon/replica.py
@@ -97,14 +97,14 @@
         if terms.parents != self._terms.parents:
             self._follower.move_to(terms.followed)
         self._terms = terms
-        logs.take_terms(log_terms(terms.logging))
+        logs.set_options(log_terms(terms.logging))
         events.reloaded(parents=[parent.address for parent in terms.parents])
         if keys := waiting(self._begun, terms):
             config_waits(keys=keys)
 
 
-def log_terms(told: Logging) -> logs.Terms:
-    return logs.Terms(told.form, told.level, told.levels, told.events_per_s, told.burst)
+def log_terms(told: Logging) -> logs.Options:
+    return logs.Options(told.form, told.level, told.levels, told.events_per_s, told.burst)
 
 
 def main(path: Path, terms: Terms) -> Exit:
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -146,9 +146,9 @@
 
     def _read_again(self, current: Config) -> tuple[Config, list[str]]:
         told = self._again(current)
-        logs.take_terms(self._log_terms())
+        logs.set_options(self._log_terms())
         return told
 
-    def _log_terms(self) -> logs.Terms:
+    def _log_terms(self) -> logs.Options:
         told = self._again.operators.terms.logging
-        return logs.Terms(told.form, told.level, told.levels, told.events_per_s, told.burst)
+        return logs.Options(told.form, told.level, told.levels, told.events_per_s, told.burst)
--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -73,7 +73,7 @@
         self._process = process
         owner = Owner(self.terms.fleet, relay.config.name)
         self._store = Store(self.terms.folder, owner, self.terms.max_bytes, self._files)
-        relay.destinations.watches.append(self._heard)
+        relay.destinations.list_callbacks.append(self._heard)
         process.life.watches.append(self._lives)
         found: list[Snapshot | Refused | None] = []
         with trio.move_on_at(trio.current_time() + READ_S) as reading:
@@ -83,7 +83,7 @@
         told = self._newest(found)
         if told is not None:
             relay.config = replace(relay.config, known={})
-            await relay.decisions.tell(told)
+            await relay.decisions.submit(told)
 
     def _newest(self, found: list[Snapshot | Refused | None]) -> i.ServerList | None:
         whole: list[tuple[Snapshot, str]] = []
@@ -144,7 +144,7 @@
     def _starts(self) -> dict[int, int]:
         return {
             server: started_us
-            for server, (_, started_us) in self._process.relay.destinations.state().left.items()
+            for server, (_, started_us) in self._process.relay.destinations.state().departed.items()
         }
 
     def _heard_at(self) -> float:
--- a/glenfold/daemon/snapshot_files.py
+++ b/glenfold/daemon/snapshot_files.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from glenfold.destinations import State
+from glenfold.destinations import DestinationState
 from glenfold.rules.history import Section
 from glenfold.rules.snapshots import Content, Owner, Refused, Snapshot, decode, encode
 
@@ -106,7 +106,7 @@
         except Refused as refused:
             return refused
 
-    def save(self, heard_at: float, state: State, history: Section | None) -> int:
+    def save(self, heard_at: float, state: DestinationState, history: Section | None) -> int:
         """Replaces the older generation; returns the number of the new one, which is on the disk then.
 
         Raises OSError, TooLarge or HeldElsewhere; the newer generation is untouched, whatever happens."""
--- a/glenfold/daemon/warming.py
+++ b/glenfold/daemon/warming.py
@@ -29,7 +29,7 @@
     state = r.RequestState(number, at_us + wait_us)
     actions = dispatch.handle(at_us, i.Request(number, wait_us, first.key, first.number(b"g", 16)))
     ended = r.ConnectionEnded(i.Outcome.OK)
-    incidents: list[tuple[int, r.Incident]] = [(at_us, action) for action in actions]
+    incidents: list[tuple[int, r.Input]] = [(at_us, action) for action in actions]
     incidents += [(at_us + SET_UP_US, r.CallUp(b"UP x\r\n")), (at_us + 2 * SPACE_US, ended)]
     for moment_us, incident in incidents:
         for effect in state.on(incident, moment_us):
--- a/glenfold/decisions.py
+++ b/glenfold/decisions.py
@@ -11,21 +11,21 @@
 from glenfold.clock import Clock
 from glenfold.dispatch import Dispatch, RequestAction
 from glenfold.rules.list_changes import joined
-from linnetspread import interface as i
+from linnetspread import interface
 
-QUEUE = 1024  # messages; senders wait when it is full
-JOIN_S = (
+QUEUE_SIZE = 1024  # messages; senders wait when it is full
+MIN_JOIN_S = (
     0.02  # for which changes of the list that keep coming are gathered, while requests and timers wait ...
 )
-JOIN_TIMES = 2.0  # ... or so many times as long as the last one took, which grows with the fleet, ...
-MOST_JOIN_S = 0.2  # ... up to this
+JOIN_FACTOR = 2.0  # ... or so many times as long as the last one took, which grows with the fleet, ...
+MAX_JOIN_S = 0.2  # ... up to this
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
     """A new request (or existing connection), and where the actions on it go."""
 
-    event: i.Request | i.Existing
+    event: interface.Request | interface.Existing
     actions: "trio.MemorySendChannel[RequestAction]"
 
 
@@ -36,23 +36,23 @@
     request: int
 
 
-Message = Taken | Closed | i.Event
+Message = Taken | Closed | interface.Event
 
 
 class Decisions:
-    def __init__(self, settings: i.Settings, seed: int, clock: Clock) -> None:
+    def __init__(self, settings: interface.Settings, seed: int, clock: Clock) -> None:
         self.settings = settings
         self.clock = clock
         self.dispatch = Dispatch(
             settings,
             seed,
             lambda text: events.decision_note(note=text),
-            lambda event, did: events.decision_traced(on=event, did=did),
+            lambda event, actions: events.decision_traced(on=event, did=actions),
         )
         self._routes: dict[int, trio.MemorySendChannel[RequestAction]] = {}
-        self._send, self._receive = trio.open_memory_channel[Message](QUEUE)
+        self._send, self._receive = trio.open_memory_channel[Message](QUEUE_SIZE)
         self._last_request = 0
-        self._next: Message | None = None  # received, and not taken yet
+        self._pending: Message | None = None  # received, and not taken yet
         self._list_took_s = 0.0  # the last one
 
     def new_request(self) -> int:
@@ -60,38 +60,38 @@
         self._last_request += 1
         return self._last_request
 
-    async def tell(self, message: Message) -> None:
+    async def submit(self, message: Message) -> None:
         await self._send.send(message)
 
     async def run(self) -> None:
         while True:
             due = self.dispatch.next_timer_us
             with trio.move_on_at(float("inf") if due is None else self.clock.to_trio(due)):
-                self._take(await self._received())
+                self._accept(await self._next_message())
             self._fire()
 
-    async def _received(self) -> Message:
+    async def _next_message(self) -> Message:
         """The next message; changes of the list that come in a row are one."""
-        message, self._next = self._next, None
+        message, self._pending = self._pending, None
         if message is None:
             message = await self._receive.receive()
-        if isinstance(message, i.ServerList):
+        if isinstance(message, interface.ServerList):
             with trio.CancelScope(shield=True):  # what was received must not be lost to a timer
-                return await self._gathered(message)
+                return await self._join_changes(message)
         return message
 
-    async def _gathered(self, change: i.ServerList) -> i.ServerList:
+    async def _join_changes(self, change: interface.ServerList) -> interface.ServerList:
         """With those that follow it, each a turn of the loop behind the other."""
-        until = trio.current_time() + min(MOST_JOIN_S, max(JOIN_S, JOIN_TIMES * self._list_took_s))
-        while trio.current_time() < until and (following := await self._following()) is not None:
-            both = joined(change, following) if isinstance(following, i.ServerList) else None
+        deadline = trio.current_time() + min(MAX_JOIN_S, max(MIN_JOIN_S, JOIN_FACTOR * self._list_took_s))
+        while trio.current_time() < deadline and (following := await self._next_queued()) is not None:
+            both = joined(change, following) if isinstance(following, interface.ServerList) else None
             if both is None:
-                self._next = following
+                self._pending = following
                 break
             change = both
         return change
 
-    async def _following(self) -> Message | None:
+    async def _next_queued(self) -> Message | None:
         """What is there, or comes within two turns: its sender may have its turn after this one."""
         for _ in range(2):
             try:
@@ -103,30 +103,30 @@
         except trio.WouldBlock:
             return None
 
-    def _take(self, message: Message) -> None:
+    def _accept(self, message: Message) -> None:
         match message:
             case Closed(request):
                 self._routes.pop(request, None)
             case Taken(event, actions):
-                number = event.request if isinstance(event, i.Request) else event.connection.request
+                number = event.request if isinstance(event, interface.Request) else event.connection.request
                 self._routes[number] = actions
                 self._handle(event)
-            case i.ServerList():
-                began = trio.current_time()
+            case interface.ServerList():
+                start_s = trio.current_time()
                 self._handle(message)
-                self._list_took_s = trio.current_time() - began
+                self._list_took_s = trio.current_time() - start_s
             case _:
                 self._handle(message)
 
     def _fire(self) -> None:
         for action in self.dispatch.fire(self.clock.now_us()):
-            self._pass_on(action)
+            self._send_action(action)
 
-    def _handle(self, event: i.Event) -> None:
+    def _handle(self, event: interface.Event) -> None:
         for action in self.dispatch.handle(self.clock.now_us(), event):
-            self._pass_on(action)
+            self._send_action(action)
 
-    def _pass_on(self, action: RequestAction) -> None:
+    def _send_action(self, action: RequestAction) -> None:
         route = self._routes.get(action.request)
         if route is None:
             return
--- a/glenfold/dispatch.py
+++ b/glenfold/dispatch.py
@@ -7,14 +7,13 @@
 from collections.abc import Callable
 
 from glenfold import events
-from linnetspread import Balancer
-from linnetspread import interface as i
+from linnetspread import Balancer, interface
 
-RequestAction = i.Attempt | i.Refuse | i.Fail | i.Cancel | i.Move
-Trace = Callable[[i.Event, list[i.Action]], object]
+RequestAction = interface.Attempt | interface.Refuse | interface.Fail | interface.Cancel | interface.Move
+Trace = Callable[[interface.Event, list[interface.Action]], object]
 
 
-def _untraced(event: i.Event, actions: list[i.Action]) -> None:
+def _untraced(event: interface.Event, actions: list[interface.Action]) -> None:
     pass
 
 
@@ -23,7 +22,7 @@
     moments are in microseconds, on one clock."""
 
     def __init__(
-        self, settings: i.Settings, seed: int, log: Callable[[str], object], trace: Trace = _untraced
+        self, settings: interface.Settings, seed: int, log: Callable[[str], object], trace: Trace = _untraced
     ) -> None:
         self.balancer = Balancer(settings, seed)
         self._log = log
@@ -38,27 +37,37 @@
         """What the timers that are due have to say."""
         on_requests: list[RequestAction] = []
         while self._timers and self._timers[0][0] <= now_us:
-            on_requests += self.handle(now_us, i.Timer(heapq.heappop(self._timers)[1]))
+            on_requests += self.handle(now_us, interface.Timer(heapq.heappop(self._timers)[1]))
         return on_requests
 
-    def handle(self, now_us: int, event: i.Event) -> list[RequestAction]:
+    def handle(self, now_us: int, event: interface.Event) -> list[RequestAction]:
         try:
             actions = self.balancer.handle(now_us, event)
         except Exception as error:  # one event's fault must not end every other connection of this relay
             events.decision_failed(on=event, error=error)
             # Nor may the request wait for a decision that will not come; if it needs none, this does nothing.
-            actions = [i.Fail(event.request)] if isinstance(event, i.Request | i.Answer) else []
+            actions = (
+                [interface.Fail(event.request)]
+                if isinstance(event, interface.Request | interface.Answer)
+                else []
+            )
         self._trace(event, actions)
         on_requests: list[RequestAction] = []
         for action in actions:
             match action:
-                case i.SetTimer(delay, token):
+                case interface.SetTimer(delay, token):
                     heapq.heappush(self._timers, (now_us + delay, token))
-                case i.Attempt() | i.Refuse() | i.Fail() | i.Cancel() | i.Move():
+                case (
+                    interface.Attempt()
+                    | interface.Refuse()
+                    | interface.Fail()
+                    | interface.Cancel()
+                    | interface.Move()
+                ):
                     on_requests.append(action)
-                case i.Log(text):
+                case interface.Log(text):
                     self._log(text)
-                case i.Subscribe() | i.FetchList():
+                case interface.Subscribe() | interface.FetchList():
                     pass  # discovery is watched from the start, and asked for the whole list after a gap
                 case _:
                     events.decision_unknown(action=action)
--- a/glenfold/logs.py
+++ b/glenfold/logs.py
@@ -27,18 +27,18 @@
 FORMS: Final = ("text", "json")
 FIELD_CHARS = 2000  # longer texts in fields are cut
 TEXT_CHARS = 4000  # longer lines of the text form are cut
-HELD_BYTES = 1 << 20  # lines that wait to be written; more are lost
-PARTING_S = 0.2  # that the last lines have at the end
+MAX_QUEUED_BYTES = 1 << 20  # lines that wait to be written; more are lost
+CLOSING_TIMEOUT_S = 0.2  # that the last lines have at the end
 OWN_FIELDS: Final = frozenset({"time", "level", "event", "instance", "left_out", "trace"})
 
 P = ParamSpec("P")
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class Options:
     """`level`: the least that is logged, one of LEVELS. `levels`: others for single events or groups of them,
     by name or its first words (`client` holds for `client.malformed`); the longest that fits goes first.
-    `form`: one of FORMS. `per_s` and `burst`: how many lines each event may have, where it has no terms of
+    `form`: one of FORMS. `per_s` and `burst`: how many lines each event may have, where it has no options of
     its own. Raises ValueError, which names the key and what would be right."""
 
     form: str = "text"
@@ -59,14 +59,14 @@
             raise ValueError(f"burst: {self.burst!r} is not at least 1")
 
     def level_of(self, name: str) -> str:
-        fitting = [prefix for prefix in self.levels if f"{name}.".startswith(f"{prefix}.")]
-        return self.levels[max(fitting, key=len)] if fitting else self.level
+        matching = [prefix for prefix in self.levels if f"{name}.".startswith(f"{prefix}.")]
+        return self.levels[max(matching, key=len)] if matching else self.level
 
 
 class Event(Generic[P]):
     """One kind of event; a call with its fields logs it, and raises nothing."""
 
-    __slots__ = ("name", "level", "text", "fields", "own_rate", "trace", "on", "rate")
+    __slots__ = ("name", "level", "text", "fields", "own_rate", "trace", "is_enabled", "rate")
 
     def __init__(
         self,
@@ -83,15 +83,15 @@
         self.fields = fields
         self.own_rate = own_rate  # per_s, burst
         self.trace = trace  # where its field `error` was raised is logged, too
-        self.take_terms(_log.terms)
+        self.set_options(_log.options)
 
-    def take_terms(self, terms: Terms) -> None:
-        self.on = LEVELS[self.level] >= LEVELS[terms.level_of(self.name)]
-        self.rate = RateLimit(*(self.own_rate or (terms.per_s, terms.burst)))
+    def set_options(self, options: Options) -> None:
+        self.is_enabled = LEVELS[self.level] >= LEVELS[options.level_of(self.name)]
+        self.rate = RateLimit(*(self.own_rate or (options.per_s, options.burst)))
 
     def __call__(self, *nothing: P.args, **fields: P.kwargs) -> None:
-        if self.on:
-            _log.take(self, fields)
+        if self.is_enabled:
+            _log.log(self, fields)
 
 
 def event(
@@ -100,20 +100,22 @@
     """Makes an event of a function whose keyword-only parameters are its fields, and whose docstring says
     when it happens. `rate`: at most so many a second, and so many at once."""
 
-    def register(fields_of: Callable[P, None]) -> Event[P]:
+    def register(function: Callable[P, None]) -> Event[P]:
         if name in EVENTS:
             raise ValueError(f"there are two events {name}")
-        code = fields_of.__code__
-        made: Event[P] = Event(name, level, text, code.co_varnames[: code.co_kwonlyargcount], rate, trace)
-        EVENTS[name] = made
-        return made
+        code = function.__code__
+        new_event: Event[P] = Event(
+            name, level, text, code.co_varnames[: code.co_kwonlyargcount], rate, trace
+        )
+        EVENTS[name] = new_event
+        return new_event
 
     return register
 
 
 class Writer:
     """Writes lines to a descriptor in a thread of its own. `put` never waits: what does not fit within
-    HELD_BYTES, or can't be written, is counted as lost."""
+    MAX_QUEUED_BYTES, or can't be written, is counted as lost."""
 
     def __init__(self, descriptor: int) -> None:
         self.refused = 0  # for want of room; only `put` counts here
@@ -122,7 +124,7 @@
         self._lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
         self._put = 0  # bytes ever; only `put` counts here
         self._done = 0  # of these; only the thread counts here
-        self._over = threading.Event()
+        self._finished = threading.Event()
         threading.Thread(target=self._run, name="log", daemon=True).start()
 
     @property
@@ -130,37 +132,37 @@
         return self.refused + self.failed
 
     @property
-    def held(self) -> int:
+    def queued_bytes(self) -> int:
         """Bytes that wait to be written."""
         return self._put - self._done
 
     def put(self, message: str) -> None:
         """By one caller at a time, which loguru sees to."""
         line = message.encode("utf-8", "backslashreplace")
-        if self.held + len(line) > HELD_BYTES:
+        if self.queued_bytes + len(line) > MAX_QUEUED_BYTES:
             self.refused += 1
             return
         self._put += len(line)
         self._lines.put(line)
 
     def finish(self) -> None:
-        """The lines so far have PARTING_S to get out; a log that takes none does not keep the relay."""
+        """Waits up to CLOSING_TIMEOUT_S for the queued lines, so a blocked descriptor can't delay exit."""
         self._lines.put(None)
-        self._over.wait(PARTING_S)
+        self._finished.wait(CLOSING_TIMEOUT_S)
 
     def _run(self) -> None:
-        torn = b""
+        unfinished = b""
         while (line := self._lines.get()) is not None:
-            left = memoryview(torn + line)
+            remaining = memoryview(unfinished + line)
             try:
-                while left:
-                    left = left[self._write(left) :]
-                torn = b""
+                while remaining:
+                    remaining = remaining[self._write(remaining) :]
+                unfinished = b""
             except OSError:
                 self.failed += 1
-                torn = b"\n" if left.nbytes < len(torn + line) else torn
+                unfinished = b"\n" if remaining.nbytes < len(unfinished + line) else unfinished
             self._done += len(line)
-        self._over.set()
+        self._finished.set()
 
     def _write(self, data: memoryview) -> int:
         while True:
@@ -176,15 +178,15 @@
     """The one log of a process: loguru's as it is, until `begin`."""
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
-        self.terms = Terms()
+        self.options = Options()
         self.instance = ""
         self.writer: Writer | None = None
-        self.faults = 0  # events that could not be formatted
+        self.format_errors = 0  # events that could not be formatted
         self._now = now
-        self._form: Callable[[Event[...], Mapping[str, Any]], str] = as_text
-        self._lost_told = 0
+        self._format: Callable[[Event[...], Mapping[str, Any]], str] = as_text
+        self._lost_reported = 0
 
-    def take(self, event: "Event[...]", fields: dict[str, Any]) -> None:
+    def log(self, event: "Event[...]", fields: dict[str, Any]) -> None:
         now = self._now()
         left_out = event.rate.passes(now)
         if left_out is None:
@@ -194,17 +196,17 @@
         try:
             self._write(event, fields)
         except Exception:  # a value that can't be shown must not end what it happened in
-            self.faults += 1
-        room = self.writer is not None and self.writer.held < HELD_BYTES // 2
-        if self._newly_lost and room and lines_lost.rate.passes(now) is not None:
-            self._tell_lost()
+            self.format_errors += 1
+        has_room = self.writer is not None and self.writer.queued_bytes < MAX_QUEUED_BYTES // 2
+        if self._newly_lost and has_room and lines_lost.rate.passes(now) is not None:
+            self._report_lost()
 
     @property
     def _newly_lost(self) -> bool:
-        return self.lost != self._lost_told
+        return self.lost != self._lost_reported
 
-    def _tell_lost(self) -> None:
-        self._lost_told = self.lost
+    def _report_lost(self) -> None:
+        self._lost_reported = self.lost
         self._write(lines_lost, {"lines": self.lost})
 
     @property
@@ -212,25 +214,25 @@
         return self.writer.lost if self.writer is not None else 0
 
     def _write(self, event: "Event[...]", fields: Mapping[str, Any]) -> None:
-        traced = fields["error"] if event.trace and self._form is as_text else None
-        logger.opt(exception=traced).log(event.level.upper(), self._form(event, fields))
+        exception = fields["error"] if event.trace and self._format is as_text else None
+        logger.opt(exception=exception).log(event.level.upper(), self._format(event, fields))
 
-    def begin(self, terms: Terms, instance: str, descriptor: int) -> None:
+    def begin(self, options: Options, instance: str, descriptor: int) -> None:
         self.writer = Writer(descriptor)
-        self._lost_told = 0
+        self._lost_reported = 0
         self.instance = instance
-        self.take_terms(terms)
+        self.set_options(options)
 
-    def take_terms(self, terms: Terms) -> None:
+    def set_options(self, options: Options) -> None:
         """From now on; the lines so far are not lost."""
-        self.terms = terms
-        self._form = as_text if terms.form == "text" else json_form(self.instance)
-        look = "{time:HH:mm:ss.SSS} {level} {message}" if terms.form == "text" else "{message}"
+        self.options = options
+        self._format = as_text if options.form == "text" else json_form(self.instance)
+        line_format = "{time:HH:mm:ss.SSS} {level} {message}" if options.form == "text" else "{message}"
         for event in EVENTS.values():
-            event.take_terms(terms)
+            event.set_options(options)
         logger.remove()
         if self.writer is not None:
-            logger.add(self.writer.put, level="DEBUG", format=look, backtrace=False, catch=False)
+            logger.add(self.writer.put, level="DEBUG", format=line_format, backtrace=False, catch=False)
 
     def finish(self) -> None:
         """Tells what was left out, and gives the last lines a moment to get out."""
@@ -239,7 +241,7 @@
                 events_left_out(kind=event.name, lines=left_out)
         if self.writer is not None:
             if self._newly_lost:
-                self._tell_lost()
+                self._report_lost()
             self.writer.finish()
 
 
@@ -248,7 +250,7 @@
 
 def as_text(event: "Event[...]", fields: Mapping[str, Any]) -> str:
     """One line, whatever the fields hold."""
-    text = event.text.format_map({name: _in_words(value) for name, value in fields.items()})
+    text = event.text.format_map({name: _format_value(value) for name, value in fields.items()})
     if "left_out" in fields:
         text += f" ({fields['left_out']} more were left out)"
     if not text.isprintable():
@@ -256,7 +258,7 @@
     return text[:TEXT_CHARS]
 
 
-def _in_words(value: Any) -> Any:
+def _format_value(value: Any) -> Any:
     if isinstance(value, Mapping):
         return " ".join(f"{name}={inner}" for name, inner in value.items())
     if isinstance(value, list | tuple):
@@ -270,15 +272,15 @@
     def as_json(event: "Event[...]", fields: Mapping[str, Any]) -> str:
         now = datetime.now(UTC).isoformat(timespec="microseconds").replace("+00:00", "Z")
         line = {"time": now, "level": event.level, "event": event.name, "instance": instance}
-        line |= {name: _plain(value) for name, value in fields.items()}
+        line |= {name: _to_json_value(value) for name, value in fields.items()}
         if event.trace:
-            line["trace"] = _plain("".join(traceback.format_exception(fields["error"])))
+            line["trace"] = _to_json_value("".join(traceback.format_exception(fields["error"])))
         return json.encode(line).decode()
 
     return as_json
 
 
-def _plain(value: Any) -> Any:
+def _to_json_value(value: Any) -> Any:
     """In what JSON has; what else there is as text that is whole Unicode."""
     match value:
         case None | bool() | float():
@@ -288,30 +290,30 @@
         case Enum():
             return value.name.lower()
         case Mapping():
-            return {_plain(str(name)): _plain(inner) for name, inner in value.items()}
+            return {_to_json_value(str(name)): _to_json_value(inner) for name, inner in value.items()}
         case list() | tuple():
-            return [_plain(inner) for inner in value]
+            return [_to_json_value(inner) for inner in value]
         case bytes():
             return value[:FIELD_CHARS].decode("utf-8", "backslashreplace")
         case str():
             return value[:FIELD_CHARS].encode("utf-8", "backslashreplace").decode()
         case _:
-            return _plain(repr(value))
+            return _to_json_value(repr(value))
 
 
 # ---- what others call ----
 
 
-def begin(terms: Terms, instance: str = "", descriptor: int | None = None) -> None:
+def begin(options: Options, instance: str = "", descriptor: int | None = None) -> None:
     """From now on the log goes to that descriptor, or to standard error if there is one."""
     if descriptor is None:  # where standard error was closed, its number may become a client's socket
         descriptor = 2 if sys.stderr is not None else os.open(os.devnull, os.O_WRONLY)
-    _log.begin(terms, instance, descriptor)
+    _log.begin(options, instance, descriptor)
 
 
-def take_terms(terms: Terms) -> None:
-    """Other terms, after a reload."""
-    _log.take_terms(terms)
+def set_options(options: Options) -> None:
+    """Other options, after a reload."""
+    _log.set_options(options)
 
 
 def finish() -> None:
--- a/glenfold/net/discovery.py
+++ b/glenfold/net/discovery.py
@@ -95,7 +95,7 @@
         goes on from the version known. Only an agent that has not spoken yet, or that sent what is no list,
         is asked for the whole list first."""
         wait_s, busy, began = 0.0, False, -math.inf
-        if self._destinations.listed:  # with a list to go by it can wait for its turn
+        if self._destinations.has_list:  # with a list to go by it can wait for its turn
             self._known_of = self._address
             wait_s = self._backoff.first_s(self._first_within_s)
         while True:
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -96,7 +96,7 @@
         self._names = relay.config.names
         self._counters = relay.counters
         self._most_wait_ms = max(
-            lines.MOST_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
+            lines.MAX_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
         )
         self._waiting: dict[SocketType, trio.CancelScope] = {}  # without a whole first line, oldest first
         self._taken = 0  # with one: two sides each
@@ -186,7 +186,7 @@
                 end = await self._first_line(sock, buffer)
             self._waiting.pop(sock, None)
             if scope.cancelled_caught:  # its line may have come just as it was given up
-                buffer.wrote(receive_now(sock, buffer.room()))
+                buffer.mark_filled(receive_now(sock, buffer.free_space()))
                 end = buffer.line_end()
             if end is None:
                 if scope.cancelled_caught:
@@ -239,15 +239,15 @@
         """Where it ends in the buffer; None when the client has gone without one."""
         while True:
             while (end := buffer.line_end()) is None:
-                count = await sock.recv_into(buffer.room())
+                count = await sock.recv_into(buffer.free_space())
                 if not count and buffer.filled:
                     raise lines.Malformed("a first line is cut short")
                 if not count:
                     return None
-                buffer.wrote(count)
-            if buffer.data[:end] != lines.PING + lines.END:
+                buffer.mark_filled(count)
+            if buffer.data[:end] != lines.PING + lines.LINE_END:
                 return end
-            buffer.drop(end)
+            buffer.discard(end)
             self._counters.pings += 1
             await self._relay.ready.wait()
             await send(sock, lines.PONG)
@@ -255,7 +255,7 @@
     def _exchange(self, sock: SocketType, buffer: lines.LineBuffer, end: int) -> "Exchange":
         first = lines.parse_open(buffer.data, end, self._most_wait_ms)
         exchange = Exchange(
-            self._relay, sock, first, self._event(first), buffer.after(end), self._standing_at(first)
+            self._relay, sock, first, self._event(first), buffer.bytes_after(end), self._standing_at(first)
         )
         if exchange.goes_on:  # its client need not wait, and it may not be over yet where it was
             return exchange
@@ -289,9 +289,9 @@
 
     def _standing_at(self, first: lines.OpenLine) -> int | None:
         """The server of a connection that stood before this relay did."""
-        if b"at" not in first.figures:
+        if b"at" not in first.parameters:
             return None
-        server = self._relay.destinations.numbered(first.text(b"at"))
+        server = self._relay.destinations.number_of_host(first.text(b"at"))
         if server is None:
             raise lines.Malformed("a connection stands at an unknown server")
         return server
@@ -319,7 +319,7 @@
         self.goes_on = event.mid_flow or stands_at is not None  # open already, and not begun here
         self._deadline_us = relay.clock.now_us() + event.expires_in_us
         self._state = r.RequestState(event.request, self._deadline_us)
-        self._send, self._receive = trio.open_memory_channel[r.Incident](INBOX)
+        self._send, self._receive = trio.open_memory_channel[r.Input](INBOX)
         self._call: OutboundCall | None = None
 
     async def run(self) -> None:
@@ -345,26 +345,26 @@
                 del relay.ids[self._first.id]
             if self._call is not None:
                 self._call.close()
-            for effect in self._state.on(r.ClientGone(), relay.clock.now_us()):
+            for effect in self._state.on(r.ClientDisconnected(), relay.clock.now_us()):
                 if isinstance(effect, r.Report):
-                    await relay.decisions.tell(effect.event)
-            await relay.decisions.tell(Closed(self._event.request))
+                    await relay.decisions.submit(effect.event)
+            await relay.decisions.submit(Closed(self._event.request))
 
     async def _until_answered(self) -> bytes | None:
         """The receipt of the server that took it, once the client has it; None after any other end."""
         server = self._stands_at
         taken = self._event if server is None else i.Existing(self._event, server)
-        await self._relay.decisions.tell(Taken(taken, self._send.clone()))
+        await self._relay.decisions.submit(Taken(taken, self._send.clone()))
         receipt = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_client)
             if server is not None:
                 await self._carry_out(self._state.resume(server, self._relay.clock.now_us()), nursery)
             while self._state.phase in (r.Phase.TAKEN, r.Phase.CALLING):
-                incident: r.Incident = r.DeadlinePassed()
+                incident: r.Input = r.DeadlinePassed()
                 with self._relay.patience(self._relay.clock.to_trio(self._deadline_us)):
                     incident = await self._receive.receive()
-                self._relay.counters.left += isinstance(incident, r.ClientGone)
+                self._relay.counters.left += isinstance(incident, r.ClientDisconnected)
                 effects = self._state.on(incident, self._relay.clock.now_us())
                 await self._carry_out(effects, nursery)
                 if isinstance(incident, r.CallUp) and self._state.phase is r.Phase.STANDING:
@@ -394,7 +394,7 @@
                     counters.answered_failed += 1
                     await self._answer(lines.FAILED)
                 case r.Report(event):
-                    await self._relay.decisions.tell(event)
+                    await self._relay.decisions.submit(event)
                 case r.MoveClient():
                     pass  # only a standing connection is moved, and that one has its own task
 
@@ -408,26 +408,26 @@
         """A client that goes before its answer is not worth a call, nor is one that does not wait for it.
         What it sends is kept: a connection that goes on here may send early, and any other when it has its
         answer, which it may have before this task is told to stop."""
-        while len(self._early) < lines.MAX_LINE:
+        while len(self._early) < lines.MAX_LINE_BYTES:
             try:
-                data = await self._sock.recv(lines.MAX_LINE)
+                data = await self._sock.recv(lines.MAX_LINE_BYTES)
             except OSError:
                 data = b""
             self._early += data
             if not data:
-                return await self._send.send(r.ClientGone())
+                return await self._send.send(r.ClientDisconnected())
             if not self.goes_on:
-                return await self._send.send(r.ClientSpoke())
+                return await self._send.send(r.ClientSentEarly())
         while not hung_up(self._sock):  # no more is read before it is up: its end stands behind that
             await trio.sleep_until(trio.current_time() + LOOK_S)
-        await self._send.send(r.ClientGone())
+        await self._send.send(r.ClientDisconnected())
 
     def _last_look(self, server: int, drained_after: float) -> Unsent | None:
         """drained_after: the server was ready then, as far as the decisions knew."""
         if (left := self._client_left()) is not None:
             self._relay.counters.left_unsent += 1
             return left
-        if self._stands_at is not None or self._relay.destinations.ready(server):
+        if self._stands_at is not None or self._relay.destinations.is_ready(server):
             return None
         # What is new it would turn away; a connection in mid flow goes on there, as long as it may be sent.
         grace_s = self._relay.config.settings.drain_grace_us / 2 / SECOND_US
@@ -435,13 +435,13 @@
             return None
         return r.CallEnded(i.Outcome.CONNECT_FAILED)
 
-    def _client_left(self) -> r.ClientGone | r.ClientSpoke | None:
+    def _client_left(self) -> r.ClientDisconnected | r.ClientSentEarly | None:
         """Whether it is worth no attempt. Behind a flood its end can't be seen, so a flood counts as one, but
         for who stands already and has no other attempt."""
         if hung_up(self._sock):
-            return r.ClientGone()
-        floods = len(self._early) >= lines.MAX_LINE and unread(self._sock) > MOST_UNREAD
-        return r.ClientSpoke() if floods and self._stands_at is None else None
+            return r.ClientDisconnected()
+        floods = len(self._early) >= lines.MAX_LINE_BYTES and unread(self._sock) > MOST_UNREAD
+        return r.ClientSentEarly() if floods and self._stands_at is None else None
 
     def _new_call(self, server: int, deadline_us: int) -> OutboundCall | None:
         address = self._relay.destinations.address(server)
@@ -477,10 +477,10 @@
             events.connection_broke(request=state.number, server=state.server, outcome=passage.outcome)
         for effect in state.on(r.ConnectionEnded(passage.outcome), relay.clock.now_us()):
             if isinstance(effect, r.Report):
-                await relay.decisions.tell(effect.event)
+                await relay.decisions.submit(effect.event)
 
     async def _load_heard(self, load: float) -> None:
-        await self._relay.decisions.tell(self._state.notice(i.NoticeKind.LOAD, load))
+        await self._relay.decisions.submit(self._state.notice(i.NoticeKind.LOAD, load))
 
     async def _move_when_told(self, passage: Passage) -> None:
         while True:
@@ -489,4 +489,4 @@
                 if isinstance(effect, r.MoveClient):
                     await passage.move()
                 elif isinstance(effect, r.Report):  # its end had been seen while it came up
-                    await self._relay.decisions.tell(effect.event)
+                    await self._relay.decisions.submit(effect.event)
--- a/glenfold/net/lists.py
+++ b/glenfold/net/lists.py
@@ -22,7 +22,7 @@
     """Counts the list that was read last, and logs the entries it was left without. `said`: what was logged
     last, as the same entry comes with every list; what is now."""
     counters.lists += 1
-    for fault in destinations.faults:
+    for fault in destinations.problems:
         counters.bad_entries += 1
         if fault != said:
             events.list_entry_left_out(fault=fault)
--- a/glenfold/net/outbound.py
+++ b/glenfold/net/outbound.py
@@ -8,12 +8,12 @@
 
 from glenfold.clock import SECOND_US
 from glenfold.config import Address
-from glenfold.lines import END, LineBuffer, Malformed, OpenLine
+from glenfold.lines import LINE_END, LineBuffer, Malformed, OpenLine
 from glenfold.net.sockets import KernelTimes, SocketType, kernel_times, send_pieces, without_delay
-from glenfold.request import CallEnded, CallUp, ClientGone, ClientSpoke
+from glenfold.request import CallEnded, CallUp, ClientDisconnected, ClientSentEarly
 from linnetspread.interface import Outcome
 
-Unsent = CallEnded | ClientGone | ClientSpoke
+Unsent = CallEnded | ClientDisconnected | ClientSentEarly
 LEAST_STALL_S = 0.01  # below it the kernel's figures, in milliseconds and ticks, say nothing
 
 
@@ -94,11 +94,11 @@
     async def _reply(self, sock: SocketType) -> CallUp | CallEnded:
         buffer = LineBuffer()
         while (end := buffer.line_end()) is None:
-            count = await sock.recv_into(buffer.room())
+            count = await sock.recv_into(buffer.free_space())
             if not count:
                 return CallEnded(Outcome.RESET)
-            buffer.wrote(count)
-        word, _, rest = bytes(buffer.data[: end - len(END)]).partition(b" ")
+            buffer.mark_filled(count)
+        word, _, rest = bytes(buffer.data[: end - len(LINE_END)]).partition(b" ")
         if word == b"UP" and rest:
             stalled = stalled_s(self._written_at - self._begun_at, kernel_times(sock))
             return CallUp(bytes(buffer.data[: buffer.filled]), round(stalled * SECOND_US))
--- a/glenfold/net/sockets.py
+++ b/glenfold/net/sockets.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from glenfold.lines import unsent
+from glenfold.lines import remaining_pieces
 
 SocketType = trio.socket.SocketType
 
@@ -27,7 +27,7 @@
 async def send_pieces(sock: SocketType, pieces: Sequence[memoryview]) -> None:
     left = list(pieces)
     while left:
-        left = unsent(left, await sock.sendmsg(left))
+        left = remaining_pieces(left, await sock.sendmsg(left))
 
 
 async def send(sock: SocketType, data: bytes) -> None:
--- a/glenfold/replica/relay_lists.py
+++ b/glenfold/replica/relay_lists.py
@@ -40,7 +40,7 @@
 
     async def follow(self) -> None:
         """Until it is cancelled; from the list that is known already, if there is one."""
-        if self._destinations.listed:
+        if self._destinations.has_list:
             self._succession.resume(self._destinations.version)
         await self._follower.follow()
 
@@ -61,7 +61,7 @@
     async def _tell(self) -> None:
         told, self._untold = self._untold, None
         if told is not None:
-            await self._decisions.tell(told)
+            await self._decisions.submit(told)
 
     def renew(self, renewed_at_s: float) -> None:
         """`heard_at` tells it."""
--- a/glenfold/request.py
+++ b/glenfold/request.py
@@ -8,14 +8,14 @@
 from enum import Enum, auto
 
 from glenfold.dispatch import RequestAction
-from linnetspread import interface as i
+from linnetspread import interface
 
 
 class Phase(Enum):
     TAKEN = auto()  # the decisions have it
     CALLING = auto()  # an outbound call is out
     STANDING = auto()  # up
-    OVER = auto()
+    FINISHED = auto()
 
 
 # ---- what comes in, besides the actions of the decisions ----
@@ -32,16 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    outcome: i.Outcome
+    outcome: interface.Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class ClientSpoke:
+class ClientSentEarly:
     """Before its answer, for which it should have waited."""
 
 
@@ -54,10 +54,18 @@
 class ConnectionEnded:
     """The standing connection is over."""
 
-    outcome: i.Outcome
+    outcome: interface.Outcome
 
 
-Incident = RequestAction | CallUp | CallEnded | ClientGone | ClientSpoke | DeadlinePassed | ConnectionEnded
+Input = (
+    RequestAction
+    | CallUp
+    | CallEnded
+    | ClientDisconnected
+    | ClientSentEarly
+    | DeadlinePassed
+    | ConnectionEnded
+)
 
 
 # ---- what is to be done ----
@@ -98,14 +106,14 @@
 class Report:
     """An event for the decisions."""
 
-    event: i.Event
+    event: interface.Event
 
 
 Effect = StartCall | DropCall | AnswerUp | AnswerRefused | AnswerFailed | MoveClient | Report
 
 
 class RequestState:
-    __slots__ = ("number", "deadline_us", "phase", "server", "_attempt", "_sent_us", "_bound")
+    __slots__ = ("number", "deadline_us", "phase", "server", "_attempt", "_sent_us", "_is_bound")
 
     def __init__(self, number: int, deadline_us: int) -> None:
         self.number = number
@@ -114,50 +122,54 @@
         self._attempt = -1
         self.server = 0
         self._sent_us = 0
-        self._bound = False  # stands at one server already: no other may be tried
+        self._is_bound = False  # stands at one server already: no other may be tried
 
     def resume(self, server: int, now_us: int) -> list[Effect]:
         """A connection that stood at this server before the relay did: its attempt 0 counts as made."""
-        self._bound = True
+        self._is_bound = True
         return self._start(server, self.deadline_us, now_us)
 
-    def notice(self, kind: i.NoticeKind, amount: float) -> i.Notice:
+    def notice(self, kind: interface.NoticeKind, amount: float) -> interface.Notice:
         """News of the standing connection, for the decisions."""
-        return i.Notice(self.number, self._attempt, self.server, kind, amount)
+        return interface.Notice(self.number, self._attempt, self.server, kind, amount)
 
-    def on(self, incident: Incident, now_us: int) -> list[Effect]:
-        match incident:
-            case i.Attempt(_, server, timeout_us):
+    def on(self, event_input: Input, now_us: int) -> list[Effect]:
+        match event_input:
+            case interface.Attempt(_, server, timeout_us):
                 if self.phase is Phase.TAKEN:
                     return self._start(server, min(self.deadline_us, now_us + timeout_us), now_us)
                 # Never a second call beside one that is out, and none after the final answer.
                 self._attempt += 1
                 done = self.phase is not Phase.CALLING
-                return [Report(i.Answer(self.number, self._attempt, server, i.Outcome.MOOT, 0, done))]
-            case i.Refuse(_, wait_us):
+                return [
+                    Report(
+                        interface.Answer(self.number, self._attempt, server, interface.Outcome.MOOT, 0, done)
+                    )
+                ]
+            case interface.Refuse(_, wait_us):
                 return self._give_up(AnswerRefused(wait_us), now_us)
-            case i.Fail():
+            case interface.Fail():
                 return self._give_up(AnswerFailed(), now_us)
-            case i.Cancel():
+            case interface.Cancel():
                 if self.phase is not Phase.CALLING:
                     return []
                 self.phase = Phase.TAKEN
-                return [DropCall(), self._ended(i.Outcome.CANCELLED, now_us, False)]
-            case i.Move():
+                return [DropCall(), self._ended(interface.Outcome.CANCELLED, now_us, False)]
+            case interface.Move():
                 return [MoveClient()] if self.phase is Phase.STANDING else []
             case CallUp(receipt, stalled_us):
-                return self._up(receipt, now_us - stalled_us)
+                return self._call_up(receipt, now_us - stalled_us)
             case CallEnded(outcome):
                 return self._call_ended(outcome, now_us)
-            case ClientGone():
-                return self._client_gone(now_us)
-            case DeadlinePassed() | ClientSpoke():
+            case ClientDisconnected():
+                return self._client_disconnected(now_us)
+            case DeadlinePassed() | ClientSentEarly():
                 answer = self._give_up(AnswerFailed(), now_us)
-                return [*answer, Report(i.ClientLeft(self.number))] if answer else []
+                return [*answer, Report(interface.ClientLeft(self.number))] if answer else []
             case ConnectionEnded(outcome):
                 if self.phase is not Phase.STANDING:
                     return []
-                self.phase = Phase.OVER
+                self.phase = Phase.FINISHED
                 return [self._ended(outcome, now_us, True)]
 
     def _start(self, server: int, deadline_us: int, now_us: int) -> list[Effect]:
@@ -166,38 +178,44 @@
         self.server, self._sent_us = server, now_us
         return [StartCall(server, deadline_us)]
 
-    def _ended(self, outcome: i.Outcome, now_us: int, done: bool) -> Report:
+    def _ended(self, outcome: interface.Outcome, now_us: int, done: bool) -> Report:
         elapsed = now_us - self._sent_us
-        return Report(i.Answer(self.number, self._attempt, self.server, outcome, elapsed, done))
+        return Report(interface.Answer(self.number, self._attempt, self.server, outcome, elapsed, done))
 
     def _give_up(self, answer: AnswerRefused | AnswerFailed, now_us: int) -> list[Effect]:
         before, calling = self.phase, self.phase is Phase.CALLING
-        if before in (Phase.STANDING, Phase.OVER):  # a call came up, or the client left, just before
+        if before in (Phase.STANDING, Phase.FINISHED):  # a call came up, or the client left, just before
             return []
-        self.phase = Phase.OVER
+        self.phase = Phase.FINISHED
         # The answer first: it is due at once, and closing the call takes no time that matters to it.
-        return [answer, DropCall(), self._ended(i.Outcome.CANCELLED, now_us, True)] if calling else [answer]
+        return (
+            [answer, DropCall(), self._ended(interface.Outcome.CANCELLED, now_us, True)]
+            if calling
+            else [answer]
+        )
 
-    def _up(self, receipt: bytes, came_us: int) -> list[Effect]:
+    def _call_up(self, receipt: bytes, received_us: int) -> list[Effect]:
         if self.phase is not Phase.CALLING:  # it raced the final answer: it must not become a second one
             return [DropCall()]
         self.phase = Phase.STANDING
-        elapsed = max(0, came_us - self._sent_us)
-        up = i.Established(self.number, self._attempt, self.server, elapsed)
+        elapsed = max(0, received_us - self._sent_us)
+        up = interface.Established(self.number, self._attempt, self.server, elapsed)
         return [AnswerUp(receipt), Report(up)]
 
-    def _call_ended(self, outcome: i.Outcome, now_us: int) -> list[Effect]:
+    def _call_ended(self, outcome: interface.Outcome, now_us: int) -> list[Effect]:
         if self.phase is not Phase.CALLING:
             return []
-        self.phase = Phase.OVER if self._bound else Phase.TAKEN
-        ended = self._ended(outcome, now_us, self._bound)
-        return [AnswerFailed(), ended] if self._bound else [ended]
-
-    def _client_gone(self, now_us: int) -> list[Effect]:
-        before, self.phase = self.phase, Phase.OVER
-        left: list[Effect] = [] if before is Phase.OVER else [Report(i.ClientLeft(self.number))]
+        self.phase = Phase.FINISHED if self._is_bound else Phase.TAKEN
+        ended = self._ended(outcome, now_us, self._is_bound)
+        return [AnswerFailed(), ended] if self._is_bound else [ended]
+
+    def _client_disconnected(self, now_us: int) -> list[Effect]:
+        before, self.phase = self.phase, Phase.FINISHED
+        effects: list[Effect] = (
+            [] if before is Phase.FINISHED else [Report(interface.ClientLeft(self.number))]
+        )
         if before is Phase.CALLING:
-            left.append(DropCall())
+            effects.append(DropCall())
         if before in (Phase.CALLING, Phase.STANDING):
-            left.append(self._ended(i.Outcome.CANCELLED, now_us, True))
-        return left
+            effects.append(self._ended(interface.Outcome.CANCELLED, now_us, True))
+        return effects
--- a/glenfold/rules/snapshots.py
+++ b/glenfold/rules/snapshots.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from glenfold.destinations import State
+from glenfold.destinations import DestinationState
 from glenfold.rules.history import FORMAT as HISTORY_FORMAT
 from glenfold.rules.history import Section
 
@@ -49,7 +49,7 @@
     owner: Owner
     generation: int
     heard_at: float
-    state: State
+    state: DestinationState
     history: Section | None
 
     def pieces(self) -> Iterator[bytes]:
@@ -64,7 +64,7 @@
             },
         )
         yield _dumps(said)[:-1] + b',\n"left":['
-        yield from _rows((server, *how) for server, how in self.state.left.items())
+        yield from _rows((server, *how) for server, how in self.state.departed.items())
         if history is not None:
             yield b'],\n"history":{"format":%d,"built":%d,"rows":[' % (HISTORY_FORMAT, history.built)
             yield from _rows(history.rows)
@@ -118,7 +118,7 @@
         pieces.append(piece)
         size += len(piece)
         if size > most:
-            raise TooLarge(f"a snapshot of {len(content.state.known)} servers is over {most} bytes")
+            raise TooLarge(f"a snapshot of {len(content.state.destinations)} servers is over {most} bytes")
         yield b""
     body = b"".join(pieces)
     yield b"%s %d %d %s\n" % (MAGIC, FORMAT, len(body), _checksum(body))
--- a/glenfold/toml_file.py
+++ b/glenfold/toml_file.py
@@ -31,7 +31,7 @@
 )
 
 EXPECTED = re.compile(r"Expected `([^`]+)`(?: of length)?(?: ([<>]=?) ([-\d.e+]+))?")
-PLAIN = {
+TYPE_WORDS = {
     "float": "a number",
     "int": "a whole number",
     "str": "a text",
@@ -40,8 +40,8 @@
     "bool": "true or false",
     "float | array": "a number, or a pair of which the first is the smaller",
 }
-BOUNDS = {">=": "of at least", "<=": "of at most", ">": "above", "<": "below"}
-LENGTHS = {"str": " characters", "array": " entries"}
+BOUND_WORDS = {">=": "of at least", "<=": "of at most", ">": "above", "<": "below"}
+LENGTH_UNITS = {"str": " characters", "array": " entries"}
 
 
 class BadFile(click.ClickException):
@@ -51,14 +51,16 @@
 
     def __init__(self, name: str, reason: str, line: int | None = None, key: Key = ()) -> None:
         self.name, self.reason, self.line, self.key = name, " ".join(reason.split()), line, key
-        place = name if line is None else f"{name}:{line}"
-        super().__init__(": ".join([place, written(key), self.reason] if key else [place, self.reason]))
+        location = name if line is None else f"{name}:{line}"
+        super().__init__(
+            ": ".join([location, format_key(key), self.reason] if key else [location, self.reason])
+        )
 
     def show(self, file: Any = None) -> None:
         click.echo(self.message, err=True, file=file)
 
 
-def written(key: Key) -> str:
+def format_key(key: Key) -> str:
     """As in `faults[0].size`; parts that TOML would quote are quoted."""
     text = ""
     for part in key:
@@ -69,7 +71,7 @@
     return text
 
 
-class Located:
+class TomlFile:
     """The values of one file, and the line of each key."""
 
     def __init__(self, name: str, data: dict[str, Any], lines: dict[Key, int]) -> None:
@@ -81,7 +83,7 @@
             key = key[:-1]
         return self.lines.get(key, 1)
 
-    def fault(self, key: Key, reason: str) -> BadFile:
+    def error(self, key: Key, reason: str) -> BadFile:
         return BadFile(self.name, reason, self.line(key), key)
 
     def convert(self, kind: type[T]) -> T:
@@ -89,7 +91,7 @@
         return convert(self, self.data, kind)
 
 
-def read(path: str | Path) -> Located:
+def read(path: str | Path) -> TomlFile:
     """Raises BadFile for what can't be read, is not UTF-8 or is not TOML."""
     return parse(read_text(path), str(path))
 
@@ -106,15 +108,15 @@
         raise BadFile(str(path), f"byte {error.start} is not UTF-8", line) from error
 
 
-def parse(text: str, name: str) -> Located:
-    located = scan(text, name)
-    for key, value in leaves(located.data):
+def parse(text: str, name: str) -> TomlFile:
+    file = scan(text, name)
+    for key, value in leaves(file.data):
         if isinstance(value, float) and not math.isfinite(value):
-            raise located.fault(key, f"{value} is not a finite number")
-    return located
+            raise file.error(key, f"{value} is not a finite number")
+    return file
 
 
-def scan(text: str, name: str) -> Located:
+def scan(text: str, name: str) -> TomlFile:
     """As `parse`, but it lets numbers that are not finite through."""
     try:
         data = tomllib.loads(text)
@@ -124,7 +126,7 @@
         reason, at = str(error), re.search(r" \(at line (\d+), column \d+\)$", str(error))
         line = int(at[1]) if at else 1 + text.rstrip("\n").count("\n")
         raise BadFile(name, f"not TOML: {reason[: at.start()] if at else reason}", line) from error
-    return Located(name, data, Scanner(text).lines)
+    return TomlFile(name, data, Scanner(text).lines)
 
 
 def leaves(value: Any, key: Key = ()) -> Iterator[tuple[Key, Any]]:
@@ -227,73 +229,75 @@
 # ---- values against a Struct -------------------------------------------------------------------
 
 
-def convert(located: Located, data: dict[str, Any], kind: type[T]) -> T:
+def convert(file: TomlFile, data: dict[str, Any], kind: type[T]) -> T:
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
-        _refuse(located, data, kind, str(error))
+        _raise_file_error(file, data, kind, str(error))
 
 
-def _refuse(located: Located, data: dict[str, Any], kind: type, message: str) -> NoReturn:
+def _raise_file_error(file: TomlFile, data: dict[str, Any], kind: type, message: str) -> NoReturn:
     """In an operator's words what msgspec says, with what would be right."""
     message, _, where = message.partition(" - at `$")
     key: Key = tuple(name or int(number) for name, number in re.findall(r"\.(\w+)|\[(\d+)\]", where))
     field = re.search(r"(unknown|required) field `([^`]*)`", message)
-    here = type_at(inspect.type_info(kind), key)
+    type_info = type_at(inspect.type_info(kind), key)
     if field:
-        reason = _unknown(field[2], here) if field[1] == "unknown" else "is missing"
-        raise located.fault((*key, field[2]), reason)
+        reason = _describe_unknown(field[2], type_info) if field[1] == "unknown" else "is missing"
+        raise file.error((*key, field[2]), reason)
     value = data
     for part in key:
         value = value[part]  # type: ignore[index]
-    raise located.fault(key, _plain(message, value, here))
+    raise file.error(key, _describe_error(message, value, type_info))
 
 
-def _unknown(name: str, here: inspect.Type) -> str:
-    assert isinstance(here, inspect.StructType)
-    return "unknown key; " + nearest(name, [field.encode_name for field in here.fields])
+def _describe_unknown(name: str, type_info: inspect.Type) -> str:
+    assert isinstance(type_info, inspect.StructType)
+    return "unknown key; " + suggest_name(name, [field.encode_name for field in type_info.fields])
 
 
-def nearest(name: str, known: list[str]) -> str:
-    """What could have been meant by a name that is not known."""
+def suggest_name(name: str, known: list[str]) -> str:
+    """What could have been suggestion by a name that is not known."""
     close = get_close_matches(name, known, 1)
     return f"did you mean {close[0]!r}?" if close else "known are " + ", ".join(known)
 
 
-def _plain(message: str, value: Any, here: inspect.Type) -> str:
-    if isinstance(here, inspect.LiteralType):
-        known = ", ".join(map(str, here.values))
-        meant = nearest(str(value), list(map(str, here.values))) if len(here.values) > 1 else ""
-        return f"{value!r} is unknown; it must be one of {known}" + f" ({meant})" * ("?" in meant)
+def _describe_error(message: str, value: Any, type_info: inspect.Type) -> str:
+    if isinstance(type_info, inspect.LiteralType):
+        known = ", ".join(map(str, type_info.values))
+        suggestion = (
+            suggest_name(str(value), list(map(str, type_info.values))) if len(type_info.values) > 1 else ""
+        )
+        return f"{value!r} is unknown; it must be one of {known}" + f" ({suggestion})" * ("?" in suggestion)
     if expected := EXPECTED.match(message):
         kind, sign, bound = expected.groups()
-        text = f"expected {PLAIN.get(kind, kind)}"
-        text += f" {BOUNDS[sign]} {float(bound):g}{LENGTHS.get(kind, '')}" if sign else ""
-        return f"{text}, not {short(value)}"
-    return f"{message.lower()}: {short(value)}"
+        text = f"expected {TYPE_WORDS.get(kind, kind)}"
+        text += f" {BOUND_WORDS[sign]} {float(bound):g}{LENGTH_UNITS.get(kind, '')}" if sign else ""
+        return f"{text}, not {shorten(value)}"
+    return f"{message.lower()}: {shorten(value)}"
 
 
-def short(value: Any) -> str:
+def shorten(value: Any) -> str:
     text = json.dumps(value, default=str)
     return text if len(text) <= 40 else text[:37] + "..."
 
 
-def type_at(here: inspect.Type, key: Key) -> inspect.Type:
+def type_at(type_info: inspect.Type, key: Key) -> inspect.Type:
     """The type that the value under this key should have."""
     for part in key:
-        here = _plain_type(here)
-        if isinstance(here, inspect.StructType):
-            here = next(field.type for field in here.fields if field.encode_name == part)
-        elif isinstance(here, inspect.VarTupleType):
-            here = here.item_type
-    return _plain_type(here)
+        type_info = _unwrap(type_info)
+        if isinstance(type_info, inspect.StructType):
+            type_info = next(field.type for field in type_info.fields if field.encode_name == part)
+        elif isinstance(type_info, inspect.VarTupleType):
+            type_info = type_info.item_type
+    return _unwrap(type_info)
 
 
-def _plain_type(here: inspect.Type) -> inspect.Type:
+def _unwrap(type_info: inspect.Type) -> inspect.Type:
     """Of a type or a tuple, that tuple: no other unions of two hold anything that is looked into."""
-    if isinstance(here, inspect.Metadata):
-        return _plain_type(here.type)
-    if isinstance(here, inspect.UnionType):
-        inner = [_plain_type(one) for one in here.types]
+    if isinstance(type_info, inspect.Metadata):
+        return _unwrap(type_info.type)
+    if isinstance(type_info, inspect.UnionType):
+        inner = [_unwrap(one) for one in type_info.types]
         return next((one for one in inner if isinstance(one, inspect.VarTupleType)), inner[0])
-    return here
+    return type_info
--- a/glenfold_lab/commands/load.py
+++ b/glenfold_lab/commands/load.py
@@ -21,7 +21,7 @@
 from rich.table import Table
 
 from glenfold.config import Address, read_address
-from glenfold.toml_file import BadFile, Located
+from glenfold.toml_file import BadFile, TomlFile
 from glenfold_lab.load import echo, plan, terms, worker_pool
 from glenfold_lab.load.offer import Offer
 from glenfold_lab.load.result import ENDED_EARLY, LoadResult, summarize, window_us
@@ -204,7 +204,7 @@
         "reconnects": msgspec.to_builtins(options["reconnect"]),
     }
     try:
-        return terms.checked(Located("options", document, {}))
+        return terms.checked(TomlFile("options", document, {}))
     except BadFile as error:
         hint = next(option for key, option in OPTIONS.items() if key in error.key)
         raise click.BadParameter(error.reason, param_hint=hint) from error
--- a/glenfold_lab/experiments/factors.py
+++ b/glenfold_lab/experiments/factors.py
@@ -7,7 +7,7 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from glenfold.toml_file import BadFile, Key, Located, written
+from glenfold.toml_file import BadFile, Key, TomlFile, format_key
 from glenfold_lab import scenario
 from glenfold_lab.spec import Scenario
 
@@ -28,20 +28,20 @@
     levels: dict[str, str]
 
 
-def read(file: Located) -> tuple[Factor, ...]:
+def read(file: TomlFile) -> tuple[Factor, ...]:
     """The factors of an experiment file, in its order."""
     factors = tuple(_factors(file, file.data.get("factors", {}), ("factors",)))
     for number, factor in enumerate(factors):
         if factor.path in [other.path for other in factors[:number]]:
-            raise file.fault(factor.key, f"{factor.name} is there twice")
+            raise file.error(factor.key, f"{factor.name} is there twice")
         texts = [_text(level) for level in factor.levels]
         for index, text in enumerate(texts):
             if text in texts[:index]:
-                raise file.fault((*factor.key, index), f"{text} is there twice")
+                raise file.error((*factor.key, index), f"{text} is there twice")
     return factors
 
 
-def _factors(file: Located, value: dict[str, Any], key: Key) -> Iterator[Factor]:
+def _factors(file: TomlFile, value: dict[str, Any], key: Key) -> Iterator[Factor]:
     """`"clients.load" = [...]`, `clients.load = [...]` and a table [factors.clients] all mean the same."""
     for part, inner in value.items():
         at = (*key, part)
@@ -50,13 +50,13 @@
             continue
         name = ".".join(str(part) for part in at[1:])
         if not isinstance(inner, list) or not inner:
-            raise file.fault(at, "expected a list of the values to play")
+            raise file.error(at, "expected a list of the values to play")
         yield Factor(name, at, _path(file, at, name), tuple(inner))
 
 
-def _path(file: Located, at: Key, name: str) -> Key:
+def _path(file: TomlFile, at: Key, name: str) -> Key:
     if not re.fullmatch(r"\w+(\[\d+\])*(\.\w+(\[\d+\])*)*", name, re.ASCII):
-        raise file.fault(at, "expected a key of a scenario, as clients.load or faults[0].size")
+        raise file.error(at, "expected a key of a scenario, as clients.load or faults[0].size")
     return tuple(word or int(number) for word, number in re.findall(r"(\w+)|\[(\d+)\]", name))
 
 
@@ -64,25 +64,25 @@
     return json.dumps(level, default=str)
 
 
-def variants(file: Located, base: Located, factors: Sequence[Factor]) -> Iterator[Variant]:
+def variants(file: TomlFile, base: TomlFile, factors: Sequence[Factor]) -> Iterator[Variant]:
     for indexes in product(*(range(len(factor.levels)) for factor in factors)):
         chosen = list(zip(factors, indexes, strict=True))
         data = copy.deepcopy(base.data)
         for factor, index in chosen:
             _put(file, base, data, factor, factor.levels[index])
         try:
-            checked = scenario.check(Located(base.name, data, base.lines))
+            checked = scenario.check(TomlFile(base.name, data, base.lines))
         except BadFile as error:
             raise _blame(file, base, chosen, error) from error
         yield Variant(checked, {factor.name: _text(factor.levels[index]) for factor, index in chosen})
 
 
-def _put(file: Located, base: Located, data: Any, factor: Factor, level: Any) -> None:
+def _put(file: TomlFile, base: TomlFile, data: Any, factor: Factor, level: Any) -> None:
     *way, last = factor.path
     for part in way:
         data = data.setdefault(part, {}) if _table(data, part) else _at(data, part)
     if not _table(data, last) and _at(data, last) is None:
-        raise file.fault(factor.key, f"{base.data['name']} has nothing at {factor.name}")
+        raise file.error(factor.key, f"{base.data['name']} has nothing at {factor.name}")
     data[last] = copy.deepcopy(level)
 
 
@@ -94,10 +94,10 @@
     return data[part] if isinstance(data, list) and isinstance(part, int) and part < len(data) else None
 
 
-def _blame(file: Located, base: Located, chosen: Sequence[tuple[Factor, int]], error: BadFile) -> BadFile:
+def _blame(file: TomlFile, base: TomlFile, chosen: Sequence[tuple[Factor, int]], error: BadFile) -> BadFile:
     """The scenario is sound without them: it is the level that the error names, or some of them together."""
     alone = [(factor, index) for factor, index in chosen if error.key[: len(factor.path)] == factor.path]
     levels = ", ".join(f"{factor.name} = {_text(factor.levels[index])}" for factor, index in alone or chosen)
     factor, index = (alone or chosen)[0]
-    reason = f"{base.data['name']} with {levels}: {written(error.key)}: {error.reason}"
-    return file.fault((*factor.key, index), reason)
+    reason = f"{base.data['name']} with {levels}: {format_key(error.key)}: {error.reason}"
+    return file.error((*factor.key, index), reason)
--- a/glenfold_lab/experiments/plan.py
+++ b/glenfold_lab/experiments/plan.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from glenfold import toml_file
-from glenfold.toml_file import BadFile, Located
+from glenfold.toml_file import BadFile, TomlFile
 from glenfold_lab import scenario
 from glenfold_lab.experiments import factors, revisions
 from glenfold_lab.experiments.factors import Factor, Variant
@@ -107,44 +107,44 @@
     return Plan(terms.name, asks, variants, decisions, tuple(seeds), terms.repeats, terms.figures)
 
 
-def _check_differ(file: Located, terms: Terms) -> None:
+def _check_differ(file: TomlFile, terms: Terms) -> None:
     for name in ("scenarios", "seeds", "revisions", "figures"):
         values = getattr(terms, name)
         for number, value in enumerate(values if isinstance(values, tuple) else ()):
             if value in values[:number]:
-                raise file.fault((name, number), f"{value!r} is there twice")
+                raise file.error((name, number), f"{value!r} is there twice")
 
 
-def _check_size(file: Located, chosen: Sequence[Factor], cells: int) -> None:
+def _check_size(file: TomlFile, chosen: Sequence[Factor], cells: int) -> None:
     for factor in chosen:
         cells *= len(factor.levels)
     if cells > MOST_CELLS:
-        raise file.fault(("seeds",), f"{cells} cells in all; at most {MOST_CELLS}")
+        raise file.error(("seeds",), f"{cells} cells in all; at most {MOST_CELLS}")
 
 
-def _decisions(file: Located, terms: Terms, name: str) -> Decisions:
+def _decisions(file: TomlFile, terms: Terms, name: str) -> Decisions:
     try:
         return revisions.find(name)
     except BadRevision as error:
-        raise file.fault(("revisions", terms.revisions.index(name)), error.message) from error
+        raise file.error(("revisions", terms.revisions.index(name)), error.message) from error
 
 
-def _base(file: Located, number: int, name: str) -> Located:
+def _base(file: TomlFile, number: int, name: str) -> TomlFile:
     try:
         base = scenario.find(name, Path(file.name).parent)
     except BadFile as error:
         if error.line is None:  # there is no such file; faults within one are told with its own lines
-            raise file.fault(("scenarios", number), error.message) from error
+            raise file.error(("scenarios", number), error.message) from error
         raise
     scenario.check(base)
     return base
 
 
-def _check_names(file: Located, names: Sequence[str]) -> None:
+def _check_names(file: TomlFile, names: Sequence[str]) -> None:
     """Results go by the scenarios' own names."""
     for number, name in enumerate(names):
         if name in names[:number]:
-            raise file.fault(("scenarios", number), f"another scenario has the name {name!r} too")
+            raise file.error(("scenarios", number), f"another scenario has the name {name!r} too")
 
 
 # ---- what results depend on --------------------------------------------------------------------
--- a/glenfold_lab/load/client.py
+++ b/glenfold_lab/load/client.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from glenfold.lines import END, LineTracker
+from glenfold.lines import LINE_END, LineTracker
 
 ANSWER_SLACK_US = 50_000  # by which an answer may be past the deadline
 SILENT_US = 7_000_000  # a line unanswered for so long: the client gives its connection up
@@ -266,7 +266,7 @@
         """Those that are overdue too: a line is never left out because the one before it was late."""
         said: list[Effect] = []
         while self._next_line_us <= now_us:
-            said += [Send(b"M %d" % self._next_line_us + END), LineSaid(now_us - self._next_line_us)]
+            said += [Send(b"M %d" % self._next_line_us + LINE_END), LineSaid(now_us - self._next_line_us)]
             self._said.append(self._next_line_us)
             self._next_line_us += self.wish.line_gap_us
         self._set_due()
@@ -291,4 +291,4 @@
     """`OPEN ID KEY NAME=VALUE,...`, a client's first line, with its end. Both numbers are of 64 bits; `c` and
     `d` must be among the figures."""
     pairs = ",".join(f"{name}={value}" for name, value in figures.items())
-    return f"OPEN {ident:016x} {key:016x} {pairs}".encode("ascii") + END
+    return f"OPEN {ident:016x} {key:016x} {pairs}".encode("ascii") + LINE_END
--- a/glenfold_lab/load/echo.py
+++ b/glenfold_lab/load/echo.py
@@ -14,11 +14,11 @@
 import trio
 
 from glenfold.config import Address
-from glenfold.lines import END, MAX_LINE
+from glenfold.lines import LINE_END, MAX_LINE_BYTES
 from glenfold_lab.load.worker_pool import descriptors
 
 BACKLOG = 4096
-UP = b"UP echo" + END
+UP = b"UP echo" + LINE_END
 
 
 @contextmanager
@@ -66,13 +66,13 @@
     """One connection, to its end."""
     try:
         first = b""
-        while not first.endswith(END):
-            data = await stream.receive_some(MAX_LINE)
+        while not first.endswith(LINE_END):
+            data = await stream.receive_some(MAX_LINE_BYTES)
             if not data:
                 return
             first += data
         await stream.send_all(UP)
-        while data := await stream.receive_some(MAX_LINE):
+        while data := await stream.receive_some(MAX_LINE_BYTES):
             await stream.send_all(data)
     except trio.BrokenResourceError:
         pass  # that is the end of it too
--- a/glenfold_lab/load/talk.py
+++ b/glenfold_lab/load/talk.py
@@ -8,7 +8,7 @@
 import trio
 
 from glenfold.config import Address
-from glenfold.lines import MAX_LINE
+from glenfold.lines import MAX_LINE_BYTES
 from glenfold_lab.load.client import (
     SILENT_US,
     Broken,
@@ -108,7 +108,7 @@
 async def _next(stream: Stream, until: float) -> Incident:
     with trio.move_on_at(until):
         try:
-            data = await stream.receive_some(MAX_LINE)
+            data = await stream.receive_some(MAX_LINE_BYTES)
         except trio.BrokenResourceError:
             return Broken()
         return Heard(bytes(data)) if data else Finished()
--- a/glenfold_lab/load/terms.py
+++ b/glenfold_lab/load/terms.py
@@ -8,8 +8,8 @@
 from msgspec import Meta
 
 from glenfold import toml_file
-from glenfold.lines import MOST_WAIT_MS
-from glenfold.toml_file import Key, Located
+from glenfold.lines import MAX_WAIT_MS
+from glenfold.toml_file import Key, TomlFile
 from glenfold_lab.spec import Name, Part, Positive, Share
 
 MOST_STARTS = 5_000_000  # of one plan: what the tables of its workers can hold
@@ -21,7 +21,7 @@
 Ramp = Annotated[tuple[Rate, ...], Meta(min_length=2, max_length=2)]
 Seconds = Annotated[float, Meta(ge=0, le=DAY_S)]
 Length = Annotated[float, Meta(gt=0, le=DAY_S)]
-Wait = Annotated[int, Meta(ge=1, le=MOST_WAIT_MS)]
+Wait = Annotated[int, Meta(ge=1, le=MAX_WAIT_MS)]
 Milliseconds = Annotated[float, Meta(ge=0, le=1000 * DAY_S)]
 Spread = Annotated[float, Meta(ge=0, le=4)]
 Many = Annotated[int, Meta(ge=1, le=1_000_000)]
@@ -96,11 +96,11 @@
     return checked(toml_file.read(path))
 
 
-def checked(values: Located) -> LoadPlan:
+def checked(values: TomlFile) -> LoadPlan:
     """Raises BadFile, too."""
     terms = values.convert(LoadPlan)
     for key, reason in faults(terms):
-        raise values.fault(key, reason)
+        raise values.error(key, reason)
     return terms
 
 
--- a/glenfold_lab/model/listing/known.py
+++ b/glenfold_lab/model/listing/known.py
@@ -16,7 +16,7 @@
         """One that goes its own way from here. What a set knows is replaced with each list, never changed in
         place, but for those that have left."""
         other = copy.copy(self)
-        other._left = dict(self._left)
+        other._departed = dict(self._departed)
         return other
 
 
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -15,7 +15,7 @@
 from glenfold.dispatch import Dispatch, RequestAction
 from glenfold.net.inbound import BACKLOG
 from glenfold.net.passing import SILENT_S
-from glenfold.shutdown import ANSWERS_S, Leaving, in_order
+from glenfold.shutdown import ANSWER_POLL_S, ShutdownSchedule, move_order
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.relay_settings import Costs
 from glenfold_lab.model.wire import Call, Machines
@@ -31,7 +31,7 @@
     Over.REFUSED: r.CallEnded(i.Outcome.CONNECT_FAILED),
     Over.RESET: r.CallEnded(i.Outcome.RESET),
 }
-LEFT = r.ClientGone()
+LEFT = r.ClientDisconnected()
 LATE = r.DeadlinePassed()
 CANCELLED = r.ConnectionEnded(i.Outcome.CANCELLED)
 BROKEN = r.ConnectionEnded(i.Outcome.RESET)
@@ -324,7 +324,7 @@
             if exchange is not None:
                 self._on(exchange, action)
 
-    def _on(self, exchange: Exchange, incident: r.Incident) -> None:
+    def _on(self, exchange: Exchange, incident: r.Input) -> None:
         for effect in exchange.state.on(incident, self._kernel.now):
             match effect:
                 case r.Report(event):
@@ -342,7 +342,7 @@
                 case r.MoveClient():
                     self._busy_until += self._costs.notice
                     self._move(exchange, CANCELLED)
-        if exchange.state.phase is r.Phase.OVER:
+        if exchange.state.phase is r.Phase.FINISHED:
             self.exchanges.pop(exchange.event.request, None)
 
     def _answer(self, exchange: Exchange, final: Final, wait_us: int) -> None:
@@ -466,13 +466,13 @@
     def leave(self, over: Callable[[], None]) -> int:
         """SIGTERM: every request taken gets its answer, every standing connection's client is told to move;
         `over` is called when the process exits, which is to be by the moment that is returned."""
-        leaving = Leaving(self._kernel.now / SECOND_US, self.settings)
-        begin = leaving.moves_from(len(self.standing))
+        leaving = ShutdownSchedule(self._kernel.now / SECOND_US, self.settings)
+        begin = leaving.moves_start_at(len(self.standing))
         self._kernel.at(round(begin * SECOND_US), self._leave, leaving, set(), [], over)
-        return round(leaving.leave_at * SECOND_US)
+        return round(leaving.exit_at * SECOND_US)
 
     def _leave(
-        self, leaving: Leaving, told: set[int], left: list[Exchange], over: Callable[[], None]
+        self, leaving: ShutdownSchedule, told: set[int], left: list[Exchange], over: Callable[[], None]
     ) -> None:
         if not self.alive:
             return
@@ -488,18 +488,18 @@
                 for exchange in self.standing
                 if exchange.event.request not in told
             }
-            left = in_order(worths, leaving.short)[::-1]
-        arriving = now < leaving.arrivals_until(self._last_arrival / SECOND_US)
-        if now >= leaving.leave_at or not (left or arriving or self.exchanges or self._backlog):
+            left = move_order(worths, leaving.is_short_of_time)[::-1]
+        arriving = now < leaving.arrivals_end_at(self._last_arrival / SECOND_US)
+        if now >= leaving.exit_at or not (left or arriving or self.exchanges or self._backlog):
             over()
             return
         if arriving:
-            self._kernel.after(round(ANSWERS_S * SECOND_US), self._leave, leaving, told, left, over)
+            self._kernel.after(round(ANSWER_POLL_S * SECOND_US), self._leave, leaving, told, left, over)
             return
         step = leaving.step(now, len(told) * self._costs.notice / SECOND_US, len(left))
         for _ in range(step.moves):
             told.add(left[-1].event.request)
             self._do(self._costs.notice, self._move, left.pop(), CANCELLED)
         self._kernel.at(
-            max(self._kernel.now, round(step.again_at * SECOND_US)), self._leave, leaving, told, left, over
+            max(self._kernel.now, round(step.next_at * SECOND_US)), self._leave, leaving, told, left, over
         )
--- a/glenfold_lab/scale/hollow_clients.py
+++ b/glenfold_lab/scale/hollow_clients.py
@@ -7,7 +7,7 @@
 
 import numpy
 
-from glenfold.lines import END
+from glenfold.lines import LINE_END
 from glenfold_lab.scale.hollow_process import HollowFailed, Peer, Schedule
 from glenfold_lab.scale.hollow_servers import ASK, SAY
 from glenfold_lab.stand_ins.sockets import Address
@@ -19,7 +19,7 @@
 GRACE_S = 5.0  # after the last line of a schedule, for what is still under way
 LOOK_S = 0.05  # between two looks at the clock while nothing comes
 UP = b"UP "
-FIRST = b"OPEN %x %x c=watch,t=one,d=%d,g=%x" + END
+FIRST = b"OPEN %x %x c=watch,t=one,d=%d,g=%x" + LINE_END
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,5 +188,5 @@
     @staticmethod
     def _time(data: bytes, latencies: list[float]) -> None:
         now = time.monotonic()
-        for line in data.split(END)[:-1]:
+        for line in data.split(LINE_END)[:-1]:
             latencies.append(now - int(line[2:]) / 1e6)
--- a/glenfold_lab/scale/hollow_servers.py
+++ b/glenfold_lab/scale/hollow_servers.py
@@ -7,17 +7,17 @@
 
 import numpy
 
-from glenfold.lines import END
+from glenfold.lines import LINE_END
 from glenfold_lab.scale.hollow_process import HollowFailed, Peer, Schedule
 from glenfold_lab.stand_ins.sockets import Address
 
 BACKLOG = 1024
 CHUNK = 4096
 FIRST = b"OPEN "
-UP = b"UP receipt" + END
-ASK = b"ask" + END  # a client's line that is answered by the same line
-SAY = b"say" + END  # one that is not
-DELIVERY = b"D %d" + END  # the intended moment, in microseconds of CLOCK_MONOTONIC
+UP = b"UP receipt" + LINE_END
+ASK = b"ask" + LINE_END  # a client's line that is answered by the same line
+SAY = b"say" + LINE_END  # one that is not
+DELIVERY = b"D %d" + LINE_END  # the intended moment, in microseconds of CLOCK_MONOTONIC
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenfold_lab/scenario.py
+++ b/glenfold_lab/scenario.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from glenfold import toml_file
-from glenfold.toml_file import BadFile, Key, Located
+from glenfold.toml_file import BadFile, Key, TomlFile
 from glenfold_lab.spec import Fault, Pair, Part, Range, Scenario
 
 FOLDER = Path(__file__).parent / "scenarios"
@@ -101,16 +101,18 @@
     return check(find(name_or_path))
 
 
-def find(name_or_path: str, beside: Path | None = None) -> Located:
+def find(name_or_path: str, beside: Path | None = None) -> TomlFile:
     """The unchecked values of that file. A path is taken from the folder `beside`, if there is one."""
     if name_or_path in shipped():
         return toml_file.read(FOLDER / f"{name_or_path}.toml")
     if "/" in name_or_path or name_or_path.endswith(".toml"):
         return toml_file.read((beside or Path()) / name_or_path)
-    raise BadFile(name_or_path, "no scenario of this name; " + toml_file.nearest(name_or_path, shipped()))
+    raise BadFile(
+        name_or_path, "no scenario of this name; " + toml_file.suggest_name(name_or_path, shipped())
+    )
 
 
-def check(file: Located) -> Scenario:
+def check(file: TomlFile) -> Scenario:
     """The scenario, if all of its values fit each other."""
     scenario = file.convert(Scenario)
     for key, value, kind in _values(scenario, ()):
@@ -135,21 +137,21 @@
             yield key, value, field.type
 
 
-def _check_value(file: Located, key: Key, value: Any, kind: Any) -> None:
+def _check_value(file: TomlFile, key: Key, value: Any, kind: Any) -> None:
     if kind in RANGES and isinstance(value, tuple) and value[0] > value[1]:
-        raise file.fault(key, f"the first of a pair must not be the greater: [{value[0]:g}, {value[1]:g}]")
+        raise file.error(key, f"the first of a pair must not be the greater: [{value[0]:g}, {value[1]:g}]")
     bound = BOUNDS.get(".".join(part for part in key if isinstance(part, str)))
     if bound is not None and value is not None:
         _check_bound(file, key, value, bound)
 
 
-def _check_bound(file: Located, key: Key, value: Any, bound: Bound) -> None:
+def _check_bound(file: TomlFile, key: Key, value: Any, bound: Bound) -> None:
     for number in value if isinstance(value, tuple) else (value,):
         if not bound.holds(number):
-            raise file.fault(key, f"must be {bound}, not {number:g}")
+            raise file.error(key, f"must be {bound}, not {number:g}")
 
 
-def _check_names(file: Located, scenario: Scenario) -> None:
+def _check_names(file: TomlFile, scenario: Scenario) -> None:
     lists: list[tuple[Key, tuple[Any, ...]]] = [
         (("classes",), scenario.classes),
         (("schemes",), scenario.schemes),
@@ -162,46 +164,46 @@
             name = part if isinstance(part, str) else part.name
             if name in seen:
                 at = (*key, number) if isinstance(part, str) else (*key, number, "name")
-                raise file.fault(at, f"there is another {name!r} already; names must differ")
+                raise file.error(at, f"there is another {name!r} already; names must differ")
             seen.add(name)
 
 
-def _check_whole(file: Located, scenario: Scenario) -> None:
+def _check_whole(file: TomlFile, scenario: Scenario) -> None:
     shares, zones = scenario.servers.zone_shares, scenario.zones.names
     if not zones:
-        raise file.fault(("zones", "names"), "there must be at least one zone")
+        raise file.error(("zones", "names"), "there must be at least one zone")
     if shares is not None and len(shares) != len(zones):
-        raise file.fault(("servers", "zone_shares"), f"{len(shares)} shares for {len(zones)} zones")
+        raise file.error(("servers", "zone_shares"), f"{len(shares)} shares for {len(zones)} zones")
     if scenario.warm_up_s >= scenario.length_s:
-        raise file.fault(("warm_up_s",), f"must be below length_s ({scenario.length_s:g})")
+        raise file.error(("warm_up_s",), f"must be below length_s ({scenario.length_s:g})")
     if scenario.clients.connections is not None and not scenario.clients.standing:
-        raise file.fault(("clients", "connections"), "has no meaning without standing = true")
+        raise file.error(("clients", "connections"), "has no meaning without standing = true")
 
 
-def _check_fault(file: Located, key: Key, fault: Fault, scenario: Scenario) -> None:
+def _check_fault(file: TomlFile, key: Key, fault: Fault, scenario: Scenario) -> None:
     terms, given = FAULTS[fault.kind], file.data["faults"][key[-1]]
     known = ["kind", "at_s", *(("part", "count") if terms.who else ()), *terms.needs, *terms.may]
     for name in given:
         if name not in known:
             reason = f"has no meaning for {fault.kind}, which takes {', '.join(known)}"
-            raise file.fault((*key, name), reason)
+            raise file.error((*key, name), reason)
     for name in terms.needs:
         if not getattr(fault, name):
-            raise file.fault((*key, name), f"{fault.kind} needs it" + " above 0" * (name in given))
+            raise file.error((*key, name), f"{fault.kind} needs it" + " above 0" * (name in given))
     if terms.who and ("part" in given) == ("count" in given):
-        raise file.fault((*key, "part"), f"{fault.kind} needs one of part and count")
+        raise file.error((*key, "part"), f"{fault.kind} needs one of part and count")
     if terms.size is not None:
         _check_bound(file, (*key, "size"), fault.size, terms.size)
     _check_against(file, key, fault, scenario)
 
 
-def _check_against(file: Located, key: Key, fault: Fault, scenario: Scenario) -> None:
+def _check_against(file: TomlFile, key: Key, fault: Fault, scenario: Scenario) -> None:
     latest = fault.at_s[1] if isinstance(fault.at_s, tuple) else fault.at_s
     if latest >= scenario.length_s:
-        raise file.fault((*key, "at_s"), f"{latest:g} is beyond length_s ({scenario.length_s:g})")
+        raise file.error((*key, "at_s"), f"{latest:g} is beyond length_s ({scenario.length_s:g})")
     if fault.zone is not None and fault.zone not in scenario.zones.names:
-        reason = f"no zone {fault.zone!r}; " + toml_file.nearest(fault.zone, list(scenario.zones.names))
-        raise file.fault((*key, "zone"), reason)
+        reason = f"no zone {fault.zone!r}; " + toml_file.suggest_name(fault.zone, list(scenario.zones.names))
+        raise file.error((*key, "zone"), reason)
     machines = scenario.relays.count if fault.kind.startswith("relay") else scenario.servers.count
     if fault.count is not None and fault.kind != "start_servers" and fault.count > machines:
-        raise file.fault((*key, "count"), f"{fault.count} of only {machines}")
+        raise file.error((*key, "count"), f"{fault.count} of only {machines}")
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -143,6 +143,6 @@
         await said(process, b"PING\r\n")
     assert too_early.cancelled_caught and states == [State.WAITING]
     assert (await said(process, OPEN)).startswith(b"BUSY")
-    await process.relay.decisions.tell(process.relay.destinations.read(whole(entry("s-1"))))
+    await process.relay.decisions.submit(process.relay.destinations.read(whole(entry("s-1"))))
     assert await said(process, b"PING\r\n") == b"PONG\r\n"
     assert states == [State.WAITING, State.READY]
--- a/tests/daemon/test_snapshot_model.py
+++ b/tests/daemon/test_snapshot_model.py
@@ -46,9 +46,9 @@
     """Who is, with the start of each in milliseconds."""
     numbers = {server_number(f"s-{n}"): n for n in SERVERS}
     return {
-        numbers[server]: known.line.started_us // 1000
-        for server, known in process.relay.destinations.state().known.items()
-        if known.line.state is i.ServerState.READY
+        numbers[server]: known.listed.started_us // 1000
+        for server, known in process.relay.destinations.state().destinations.items()
+        if known.listed.state is i.ServerState.READY
     }
 
 
@@ -91,7 +91,7 @@
 
     def note(self, process: Process, kept: Snapshots) -> None:
         """Who is ready now may be so after a restart; who isn't must not, once that is on the disk."""
-        left, serving = process.relay.destinations.state().left, ready(process)
+        left, serving = process.relay.destinations.state().departed, ready(process)
         for n in SERVERS:
             if n in serving:
                 self.gone.pop(n, None)
--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("hurt", [b"", b"glenfold-snapshot 1", b"glenfold-snapshot 9 2 x\n{}", b"\0" * 200])
 def test_the_generation_before_is_used_and_still_knows_who_left(tmp_path: Path, hurt: bytes) -> None:
     async def look(process: Process, kept: Snapshots) -> None:
-        assert process.relay.destinations.state().left.keys() == {server_number("s-2")}
+        assert process.relay.destinations.state().departed.keys() == {server_number("s-2")}
         assert kept.status()["refused"] and process.relay.counters.snapshots_refused == 1
         await settled(kept)
 
--- a/tests/glenfold_lab/scale/test_lists.py
+++ b/tests/glenfold_lab/scale/test_lists.py
@@ -43,7 +43,7 @@
     def take(self, text: bytes) -> TakeIn:
         cost = super().take(text)
         if not json.loads(text)["whole"]:
-            entries = [known.entry() for known in self.destinations.state().known.values()]
+            entries = [known.entry() for known in self.destinations.state().destinations.values()]
             whole = {"seq": self.destinations.version, "whole": True, "hosts": entries}
             cost.add(super().take(json.dumps(whole).encode()))
         return cost
--- a/tests/glenfold_lab/standing.py
+++ b/tests/glenfold_lab/standing.py
@@ -122,7 +122,7 @@
         decisions = Decisions(conf.settings, conf.seed, relay_clock)
         shared = Relay(conf, relay_clock, decisions, destinations, Counters())
         shared.ready.set()
-        discovery = Discovery(agent.address, destinations, decisions.tell, shared.counters)
+        discovery = Discovery(agent.address, destinations, decisions.submit, shared.counters)
         listener = trio.socket.socket()
         await listener.bind(("127.0.0.1", 0))
         listener.listen()
--- a/tests/glenfold_lab/test_stand_in_agent.py
+++ b/tests/glenfold_lab/test_stand_in_agent.py
@@ -28,7 +28,7 @@
         world.change(2, left)  # doubled
         world.change(3, world.entries[1])
         await world.heard(lambda known: known.version == 3)
-        assert gone(world, 0)[1] == 2 and world.shared.destinations.faults == []
+        assert gone(world, 0)[1] == 2 and world.shared.destinations.problems == []
 
     play(tmp_path, script)
 
--- a/tests/relaying.py
+++ b/tests/relaying.py
@@ -69,7 +69,7 @@
         shared = Relay(conf, clock, Decisions(conf.settings, conf.seed, clock), destinations, Counters())
         shared.ready.set()
         hosts_listed = [entry(f"s-{n}", f"127.0.0.1:{port}") for n in range(hosts)]
-        await shared.decisions.tell(destinations.read(whole(*hosts_listed), cached=True))
+        await shared.decisions.submit(destinations.read(whole(*hosts_listed), cached=True))
         nursery.start_soon(shared.decisions.run)
         listener = trio.socket.socket()
         await listener.bind(("127.0.0.1", 0))
--- a/tests/rules/test_snapshot_form.py
+++ b/tests/rules/test_snapshot_form.py
@@ -41,7 +41,7 @@
     snapshot = decode(snapshot_file(heard), OWNER)
     again = DestinationSet(relaying.config(tmp_path).names)
     told = again.restore(snapshot.document, snapshot.left)
-    assert again.state() == heard.state() and again.faults == []
+    assert again.state() == heard.state() and again.problems == []
     assert (snapshot.generation, snapshot.heard_at, told.kind) == (7, 1000.0, i.ListKind.CACHED)
     settings = relaying.SETTINGS | {"areas": ["newport", "cardiff", "wrexham"]}
     moved = DestinationSet(relaying.config(tmp_path, settings=settings).names)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -131,7 +131,7 @@
     heard = Heard()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = plain_client(port, line + b"M" * 3 * lines.MAX_LINE)
+        stream = plain_client(port, line + b"M" * 3 * lines.MAX_LINE_BYTES)
         await trio.testing.wait_all_tasks_blocked(0.005)
         await trio.sleep(after_s)
         leave(stream, how)
@@ -189,7 +189,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.come, self.go_on = trio.Event(), trio.Event()
-        tell = Decisions.tell
+        tell = Decisions.submit
 
         async def held(decisions: Decisions, message: Any) -> None:
             if isinstance(message, i.Established):
@@ -197,7 +197,7 @@
                 await self.go_on.wait()
             await tell(decisions, message)
 
-        monkeypatch.setattr(Decisions, "tell", held)
+        monkeypatch.setattr(Decisions, "submit", held)
 
 
 async def up_and_echo(stream: trio.SocketStream) -> None:
@@ -282,7 +282,7 @@
     heard, clock, relays = Heard(), trio.testing.MockClock(), list[Relay]()
 
     def drain() -> None:
-        known = relays[0].destinations.state().known
+        known = relays[0].destinations.state().destinations
         host, port = next(iter(known.values())).address
         relays[0].destinations.read(
             {"seq": 2, "whole": False, "hosts": [entry("s-0", f"{host}:{port}", health="terminating")]}
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -6,10 +6,10 @@
 import relaying
 from relaying import entry, whole
 
-from glenfold.destinations import LEAST_REMEMBERED, DestinationSet
+from glenfold.destinations import MIN_REMEMBERED, DestinationSet
 from linnetspread.interface import ServerState
 
-ZONE = 3 * LEAST_REMEMBERED
+ZONE = 3 * MIN_REMEMBERED
 
 
 def listed(version: int, hosts: range, health: str = "in_service") -> dict[str, object]:
@@ -31,16 +31,16 @@
 
 def test_what_is_remembered_is_bounded_by_the_longest_list(tmp_path: Path) -> None:
     destinations = DestinationSet(relaying.config(tmp_path).names)
-    destinations.read(listed(1, range(2 * LEAST_REMEMBERED)))
+    destinations.read(listed(1, range(2 * MIN_REMEMBERED)))
     for turn in range(8):
-        hosts = range(turn * LEAST_REMEMBERED, (turn + 1) * LEAST_REMEMBERED)
+        hosts = range(turn * MIN_REMEMBERED, (turn + 1) * MIN_REMEMBERED)
         destinations.read(change(2 + turn, hosts, "terminated"))
-    assert len(destinations.state().left) == 2 * LEAST_REMEMBERED
-    assert destinations.listed
+    assert len(destinations.state().departed) == 2 * MIN_REMEMBERED
+    assert destinations.has_list
 
 
 def test_a_short_list_still_remembers_the_least(tmp_path: Path) -> None:
     destinations = DestinationSet(relaying.config(tmp_path).names)
-    for n in range(LEAST_REMEMBERED + 50):
+    for n in range(MIN_REMEMBERED + 50):
         destinations.read(change(n, range(n, n + 1), "terminated"))
-    assert len(destinations.state().left) == LEAST_REMEMBERED
+    assert len(destinations.state().departed) == MIN_REMEMBERED
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -193,7 +193,7 @@
     faulty, repeated, leaving = entry("s-bad") | {"dial": "nowhere"}, entry("s-7"), entry("s-8")
     told = destinations.read(whole(*entries, faulty, repeated, leaving | {"health": "terminating"}))
     assert len(destinations.servers()) == 1024
-    assert [("nowhere" in fault, "s-7 " in fault, "s-8 " in fault) for fault in destinations.faults] == [
+    assert [("nowhere" in fault, "s-7 " in fault, "s-8 " in fault) for fault in destinations.problems] == [
         (True, False, False),
         (False, True, False),
         (False, False, True),
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -231,7 +231,7 @@
     began = trio.current_time()
     after = made.connect(own(LONG, 2))
     await made.finishing.wait()
-    made.process.relay.decisions._pass_on(i.Move(1))  # it means nothing now, and the first waits anew
+    made.process.relay.decisions._send_action(i.Move(1))  # it means nothing now, and the first waits anew
     for stream in (before, after):
         assert (await read_line(stream)).split()[0] in (b"ERR", b"BUSY")
         assert trio.current_time() - began < 0.9
@@ -277,7 +277,7 @@
 
     async def answer(exchange: Exchange, line: bytes) -> None:
         await real(exchange, line)
-        while trio.current_time() < made.process.relay.answers_end + 0.16:  # beyond `leave_at`
+        while trio.current_time() < made.process.relay.answers_end + 0.16:  # beyond `exit_at`
             await trio.lowlevel.checkpoint()
 
     monkeypatch.setattr(Exchange, "_answer", answer)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -66,16 +66,16 @@
 def log(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> Iterator[Callable[..., Taken]]:
     taken = Taken(tmp_path / "log")
     monkeypatch.setattr(logs._log, "_now", lambda: taken.now_s)
-    monkeypatch.setattr(logs._log, "faults", 0)
+    monkeypatch.setattr(logs._log, "format_errors", 0)
     with taken.path.open("wb") as file:
 
         def begin(**terms: Any) -> Taken:
-            logs.begin(logs.Terms(**terms), "pontypridd", file.fileno())
+            logs.begin(logs.Options(**terms), "pontypridd", file.fileno())
             return taken
 
         yield begin
     logs._log.writer = None
-    logs.take_terms(logs.Terms())
+    logs.set_options(logs.Options())
 
 
 def test_a_text_has_its_moment_and_what_there_was_too_much_of_is_told_with_the_next_or_at_the_end(log):
@@ -156,10 +156,10 @@
     taken = log(level="error", levels=levels)
     events.decision_note(note=Unspeakable())
     events.client_broke(error=Unspeakable())
-    assert logs._log.faults == 0
+    assert logs._log.format_errors == 0
     events.decision_unknown(action=Unspeakable())
     events.decision_unknown(action="next")
-    assert logs._log.faults == 1 and [line[-4:] for line in taken.lines()] == ["next"]
+    assert logs._log.format_errors == 1 and [line[-4:] for line in taken.lines()] == ["next"]
 
 
 @pytest.mark.parametrize(
@@ -174,7 +174,7 @@
 )
 def test_terms_that_mean_nothing_are_refused(terms, fault):
     with pytest.raises(ValueError, match=f"^{re.escape(fault)}$"):
-        logs.Terms(**terms)
+        logs.Options(**terms)
 
 
 @pytest.mark.parametrize("blocking", [True, False])
@@ -184,8 +184,8 @@
         out = logs.Writer(writer.fileno())
         for n in range(3000):
             out.put(f"{n:05}".ljust(1023) + "\n")
-        fits = logs.HELD_BYTES // 1024
-        assert out.lost == 3000 - fits and out.held == fits * 1024
+        fits = logs.MAX_QUEUED_BYTES // 1024
+        assert out.lost == 3000 - fits and out.queued_bytes == fits * 1024
         out.finish()  # returns, though nothing can be written
         data = b""
         while len(data) < filled + fits * 1024:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -23,7 +23,7 @@
 from glenfold.net import sockets
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import Relay
-from glenfold.shutdown import Leaving
+from glenfold.shutdown import ShutdownSchedule
 from linnetspread import interface as i
 from linnetspread.choice import SEEDS
 
@@ -102,7 +102,7 @@
 def test_a_connection_that_stood_before_may_name_any_time(conf: Config) -> None:
     async def server(stream: trio.SocketStream) -> None:
         _, _, wait = (await read_line(stream)).partition(b",d=")
-        assert 50_000 < int(wait.split(b",")[0]) <= lines.MOST_WAIT_MS
+        assert 50_000 < int(wait.split(b",")[0]) <= lines.MAX_WAIT_MS
         await stream.send_all(b"UP r1\r\n")
         await trio.sleep_forever()
 
@@ -315,7 +315,7 @@
             assert await read_line(stream) == lines.FAILED
         usual = await opened(port)
         assert await read_line(usual) == b"UP r1\r\n"
-        await silent[-1].send_all(lines.PING + lines.END)
+        await silent[-1].send_all(lines.PING + lines.LINE_END)
         assert await read_line(silent[-1]) == lines.PONG
         clock.jump(2.5)  # the rest in time, whatever they sent short of a whole first line
         for stream in silent[3:]:
@@ -377,7 +377,7 @@
             await stream.send_all(OPEN.replace(b"9b1f03aa", b"%08x" % n))
             await read_line(stream)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(finish_taken, Leaving(trio.current_time(), conf.settings), shared)
+            nursery.start_soon(finish_taken, ShutdownSchedule(trio.current_time(), conf.settings), shared)
             for passed, standing in ((1.5, 4), (0.2, 3), (0.4, 2), (1.2, 0)):
                 clock.jump(passed)
                 for _ in range(3):  # a loopback socket may need a moment to show its end
@@ -397,7 +397,7 @@
 def test_a_relay_that_holds_nothing_ends_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         began = trio.current_time()
-        await finish_taken(Leaving(began, conf.settings, 30.0), shared)
+        await finish_taken(ShutdownSchedule(began, conf.settings, 30.0), shared)
         assert trio.current_time() - began < 1.0
 
     play(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
@@ -409,7 +409,7 @@
     text = b"".join(pieces)
     assert text == OPEN.replace(b"d=2000", b"d=7")
     for sent in range(len(text) + 1):
-        assert b"".join(lines.unsent(pieces, sent)) == text[sent:]
+        assert b"".join(lines.remaining_pieces(pieces, sent)) == text[sent:]
 
 
 def test_numbers_do_not_depend_on_process_or_order() -> None:
@@ -453,7 +453,7 @@
         if destinations.address(server_number(host)) is not None
     }
     known = {server_number("s-1"), server_number("s-2")} if bad != 7 else {server_number("s-2")}
-    assert named == held == known and len(destinations.faults) == 1
+    assert named == held == known and len(destinations.problems) == 1
 
 
 def test_an_older_whole_list_holds_but_brings_back_no_server_that_left(conf: Config) -> None:
@@ -479,7 +479,7 @@
     monkeypatch.setattr("glenfold.destinations.server_number", lambda host: 5)
     destinations = DestinationSet(conf.names)
     assert len(destinations.read(whole(entry("s-1"), entry("s-2"))).servers) == 1
-    assert (destinations.numbered("s-1"), destinations.numbered("s-2")) == (5, None)
+    assert (destinations.number_of_host("s-1"), destinations.number_of_host("s-2")) == (5, None)
 
 
 def test_a_request_whose_decision_fails_is_answered_at_once(conf: Config) -> None:
--- a/tests/test_split_groups.py
+++ b/tests/test_split_groups.py
@@ -11,7 +11,7 @@
 from glenfold.config.platform import Config
 from glenfold.daemon.process import Process
 from glenfold.net.inbound import Relay
-from linnetspread import interface as i
+from linnetspread import interface
 
 GROUP = 0x5C0F
 
@@ -25,8 +25,8 @@
     return trio.run(made)
 
 
-def member(number: int) -> i.Request:
-    return i.Request(number, 1_000_000, key=number * 0x9E3779B97F4A7C15 & (1 << 64) - 1, group=GROUP)
+def member(number: int) -> interface.Request:
+    return interface.Request(number, 1_000_000, key=number * 0x9E3779B97F4A7C15 & (1 << 64) - 1, group=GROUP)
 
 
 def test_a_platform_s_relay_places_every_group_as_one_and_loads_nothing_of_it(tmp_path: Path) -> None:
