--- a/glenfold/__main__.py
+++ b/glenfold/__main__.py
@@ -1,4 +1,4 @@
-"""The platform's relay, which has no words; with words, the command line."""
+"""The entry point: the relay of the platform if there are no arguments, otherwise the command line."""
 
 import gc
 import os
@@ -7,24 +7,33 @@
 
 
 def main() -> int:
-    """Without words the relay of the platform; all else is the command line's. Each loads only its own."""
-    if sys.argv[1:2] in ([], ["run"], ["replica"]):  # they would end it while it does not heed them yet
+    """Runs the relay of the platform if there are no arguments, otherwise the command line.
+
+    Each of the two imports only the modules that it needs. Returns the exit status.
+    """
+    if sys.argv[1:2] in (
+        [],
+        ["run"],
+        ["replica"],
+    ):  # SIGHUP and SIGUSR1 would end a process that has no handlers for them yet
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGUSR1))
-    if len(sys.argv) > 1 or "_GLENFOLD_COMPLETE" in os.environ:  # a shell's completion asks without words
+    if (
+        len(sys.argv) > 1 or "_GLENFOLD_COMPLETE" in os.environ
+    ):  # a shell asks for completions without arguments
         try:
             from glenfold.cli.main import main as command_line
         except ModuleNotFoundError as error:
             sys.stderr.write(f"the command line needs the package {error.name}: pip install glenfold\n")
             return 2
         command_line(prog_name="glenfold")
-    gc.disable()  # a start leaves next to no garbage; enabled again before it is ready
-    from glenfold.daemon.platform import main as relay
+    gc.disable()  # a start leaves next to no garbage; enabled again before the relay is ready
+    from glenfold.daemon.platform import main as run_relay
 
-    return relay()
+    return run_relay()
 
 
 def run() -> None:
-    """The console script."""
+    """The console script `glenfold`."""
     sys.exit(main())
 
 
--- a/glenfold/decisions.py
+++ b/glenfold/decisions.py
@@ -1,6 +1,7 @@
-"""The task that owns the decision module and its timers. It knows neither sockets nor protocols.
+"""The task that owns the decision module and its timers. It uses neither sockets nor protocols.
 
-Others reach it by a bounded memory channel only. Actions on a request go back over the request's own one.
+Other tasks send it messages over one bounded memory channel. The actions on a request are sent back over the
+channel of that request.
 """
 
 from dataclasses import dataclass
@@ -13,17 +14,18 @@
 from glenfold.rules.list_changes import joined
 from linnetspread import interface
 
-QUEUE_SIZE = 1024  # messages; senders wait when it is full
-MIN_JOIN_S = (
-    0.02  # for which changes of the list that keep coming are gathered, while requests and timers wait ...
-)
-JOIN_FACTOR = 2.0  # ... or so many times as long as the last one took, which grows with the fleet, ...
-MAX_JOIN_S = 0.2  # ... up to this
+QUEUE_SIZE = 1024  # messages; senders wait while the queue is full
+
+# Consecutive changes of the server list are joined for this long, while requests and timers wait: JOIN_FACTOR
+# times the time that the last list took, which grows with the fleet, but within these bounds.
+MIN_JOIN_S = 0.02
+JOIN_FACTOR = 2.0
+MAX_JOIN_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """A new request (or existing connection), and where the actions on it go."""
+    """A new request or an existing connection, with the channel for the actions on it."""
 
     event: interface.Request | interface.Existing
     actions: "trio.MemorySendChannel[RequestAction]"
@@ -31,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """Nobody takes actions on this request any more."""
+    """The request no longer receives actions."""
 
     request: int
 
@@ -40,6 +42,8 @@
 
 
 class Decisions:
+    """Runs the decisions and their timers in one task."""
+
     def __init__(self, settings: interface.Settings, seed: int, clock: Clock) -> None:
         self.settings = settings
         self.clock = clock
@@ -52,18 +56,23 @@
         self._routes: dict[int, trio.MemorySendChannel[RequestAction]] = {}
         self._send, self._receive = trio.open_memory_channel[Message](QUEUE_SIZE)
         self._last_request = 0
-        self._pending: Message | None = None  # received, and not taken yet
-        self._list_took_s = 0.0  # the last one
+        self._pending: Message | None = None  # received, but not handled yet
+        self._list_took_s = 0.0  # time that the decisions needed for the last list
 
     def new_request(self) -> int:
-        """Ids are the relay's own counter: what a client calls its connection may come twice."""
+        """Returns a new request id.
+
+        The ids are counted by the relay, because two clients may use the same id for their connections.
+        """
         self._last_request += 1
         return self._last_request
 
     async def submit(self, message: Message) -> None:
+        """Queues a message for the decisions; waits while the queue is full."""
         await self._send.send(message)
 
     async def run(self) -> None:
+        """Handles messages and timers until it is cancelled."""
         while True:
             due = self.dispatch.next_timer_us
             with trio.move_on_at(float("inf") if due is None else self.clock.to_trio(due)):
@@ -71,17 +80,17 @@
             self._fire()
 
     async def _next_message(self) -> Message:
-        """The next message; changes of the list that come in a row are one."""
+        """Returns the next message. Consecutive changes of the server list are joined into one."""
         message, self._pending = self._pending, None
         if message is None:
             message = await self._receive.receive()
         if isinstance(message, interface.ServerList):
-            with trio.CancelScope(shield=True):  # what was received must not be lost to a timer
+            with trio.CancelScope(shield=True):  # a timer must not discard a received message
                 return await self._join_changes(message)
         return message
 
     async def _join_changes(self, change: interface.ServerList) -> interface.ServerList:
-        """With those that follow it, each a turn of the loop behind the other."""
+        """Returns the change joined with those that follow it, each within two turns of the event loop."""
         deadline = trio.current_time() + min(MAX_JOIN_S, max(MIN_JOIN_S, JOIN_FACTOR * self._list_took_s))
         while trio.current_time() < deadline and (following := await self._next_queued()) is not None:
             both = joined(change, following) if isinstance(following, interface.ServerList) else None
@@ -92,7 +101,10 @@
         return change
 
     async def _next_queued(self) -> Message | None:
-        """What is there, or comes within two turns: its sender may have its turn after this one."""
+        """Returns a message that is queued or arrives within two turns of the event loop, otherwise None.
+
+        The sender may be scheduled after this task, so one look at the queue would miss its message.
+        """
         for _ in range(2):
             try:
                 return self._receive.receive_nowait()
--- a/glenfold/destinations.py
+++ b/glenfold/destinations.py
@@ -1,4 +1,4 @@
-"""The destination set: what discovery's lists say of the push servers, without I/O."""
+"""The destination set: the push servers as discovery lists them, without I/O."""
 
 import hashlib
 import math
@@ -18,28 +18,35 @@
 
 HEALTH = {state: health for health, state in STATES.items()}
 
-MIN_REMEMBERED = 1024  # servers that have left; more where the longest list had more
+# Number of departed servers that are remembered at least; as many as the longest list had if that is more.
+MIN_REMEMBERED = 1024
 
 
 class BadList(Exception):
-    """Discovery sent what is not a list; the last one is kept."""
+    """Raised when discovery sent something that is not a server list; the last list is kept."""
 
 
 def server_number(host: str) -> int:
-    """The same at every relay and in every process, whatever came first: all relays must build one map."""
+    """Returns the number of a server, derived from its host name alone.
+
+    It is the same at every relay and in every process, in whatever order servers appear, because all relays
+    must place connections by the same map.
+    """
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=4).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class Destination:
+    """One push server, as discovery listed it last."""
+
     host: str
     address: Address
     listed: interface.ListedServer
-    site: str | None = None  # as listed: another configuration may give the names other places
+    site: str | None = None  # name as listed; another configuration may map it to another zone
     kind: str | None = None
 
     def entry(self) -> dict[str, Any]:
-        """In discovery's form; read again it is this destination."""
+        """Returns the entry in discovery's format, from which the same destination is read."""
         listed, (host, port) = self.listed, self.address
         return {
             "host": self.host,
@@ -55,14 +62,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationState:
-    """All that outlives a process: what holds, and who left, in which version and after which start (in
-    microseconds since 1970). It stays as it is while the set goes on."""
+    """The part of a destination set that outlives the process. It does not change when the set does.
+
+    `departed` maps each departed server to the version in which it left and the time of its last start, in
+    microseconds since 1970.
+    """
 
     version: int
     destinations: Mapping[int, Destination]
     departed: Mapping[int, tuple[int, int]]
 
     def entries(self) -> Iterator[dict[str, Any]]:
+        """Yields the destinations in discovery's format."""
         return (destination.entry() for destination in self.destinations.values())
 
 
@@ -78,44 +89,54 @@
     def __init__(self, names: Names) -> None:
         self._names = names
         self._destinations: dict[int, Destination] = {}
-        self._departed: dict[int, tuple[int, int]] = {}  # in which version, and the start that it left after
+        self._departed: dict[
+            int, tuple[int, int]
+        ] = {}  # version in which each left, and the time of its last start
         self._lists_received = 0
-        self._max_list_servers = 0  # servers of the longest list so far
+        self._max_list_servers = 0  # length of the longest list so far
         self.version = 0
-        self.problems: list[str] = []  # of the list read last
+        self.problems: list[str] = []  # in the list that was read last
         self.list_callbacks: list[
             Callable[[interface.ServerList], None]
-        ] = []  # called with each list that was taken in
+        ] = []  # called with each list that was read
 
     @property
     def has_list(self) -> bool:
-        """Whether received has been any list at all, be it an empty or an old one."""
+        """Whether any list has been received, even an empty or an old one."""
         return self._lists_received > 0
 
     @property
     def count(self) -> int:
-        """Servers that are listed and have not gone."""
+        """The number of listed servers that are not removed."""
         return len(self._destinations)
 
     def servers(self) -> tuple[interface.ListedServer, ...]:
-        """As they were listed last."""
+        """Returns the servers as they were listed last."""
         return tuple(destination.listed for destination in self._destinations.values())
 
     def address(self, server: int) -> Address | None:
+        """Returns the address of a server; None if it is not listed."""
         return self._destinations[server].address if server in self._destinations else None
 
     def is_ready(self, server: int) -> bool:
+        """Whether the server is listed as ready."""
         return (
             server in self._destinations
             and self._destinations[server].listed.state is interface.ServerState.READY
         )
 
     def number_of_host(self, host: str) -> int | None:
+        """Returns the number of the listed server with this host name; None if there is none."""
         destination = self._destinations.get(server_number(host))
         return destination.listed.server if destination is not None and destination.host == host else None
 
     def read(self, document: Any, cached: bool = False) -> interface.ServerList:
-        """Takes in a list or a change. A bad one changes nothing; a bad entry costs no other."""
+        """Reads a whole list or a change, in discovery's format, and returns it.
+
+        `cached` marks a list that does not come from discovery itself. An invalid entry is left out and
+        described in `problems`. Raises BadList, and changes nothing, if the document is not a list or is a
+        change to an older list.
+        """
         try:
             version, is_full, entries = int(document["seq"]), bool(document["whole"]), list(document["hosts"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
@@ -132,14 +153,14 @@
                 destination = self._destination(entry, version, destinations)
             except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
                 self.problems.append(f"an entry is left out: {error!r}")
-                # What was known of this server holds until something that can be read says otherwise.
+                # The last valid entry of this server stays in force.
                 destination = self._previous(entry)
                 if destination is None:
                     continue
             if destination.listed.server in seen:
-                self.problems.append(f"an entry is left out: {destination.host} stands there twice")
+                self.problems.append(f"an entry is left out: {destination.host} is listed twice")
                 if destination.listed.state is interface.ServerState.READY:
-                    continue  # but that it leaves holds, wherever it stands
+                    continue  # an entry that the server leaves counts even if it is the second one
             seen.add(destination.listed.server)
             if destination.listed.state is interface.ServerState.GONE:
                 destinations.pop(destination.listed.server, None)
@@ -149,7 +170,7 @@
         self._destinations, self.version = destinations, version
         self._max_list_servers = max(self._max_list_servers, len(destinations))
         self._trim_departed()
-        self._lists_received += 1  # the decisions go by the order in which this relay heard
+        self._lists_received += 1  # the version that the decisions see counts the lists of this relay
         kind = interface.ListKind.FULL if is_full else interface.ListKind.DELTA
         server_list = interface.ServerList(
             interface.ListKind.CACHED if cached else kind, self._lists_received, tuple(listed)
@@ -159,21 +180,29 @@
         return server_list
 
     def state(self) -> DestinationState:
-        """Costs no more than a copy of who left: what is known is replaced with each list, never changed."""
+        """Returns the current state.
+
+        Only the departed servers are copied: the destinations are replaced with each list, never modified.
+        """
         return DestinationState(self.version, self._destinations, dict(self._departed))
 
     def restore(self, document: Any, departed: Any) -> interface.ServerList:
-        """Takes in what another process knew: `document` as `read` does, `left` as rows of server, version
-        and start. Who left own or received does not come back by it. Raises BadList and changes nothing."""
+        """Restores the state of another process and returns its list.
+
+        `document` is a list as for `read`. `departed` are rows of server number, version and start time in
+        microseconds. Servers that departed in this process or in the other one stay departed. Raises BadList,
+        and changes nothing, if either can't be read.
+        """
         try:
             received = {
                 int(server): (int(version), int(started_us)) for server, version, started_us in departed
             }
         except (TypeError, ValueError, OverflowError) as error:
-            raise BadList(f"who left can't be read: {error!r}") from error
+            raise BadList(f"the departed servers can't be read: {error!r}") from error
         own = dict(self._departed)
         server_list = self.read(document, cached=True)
-        # Reading puts down who drains to the document's version, which may be lower than that it left in.
+        # `read` recorded draining servers under the document's version, which may be lower than the version in
+        # which they left.
         for server in received | own:
             departures = self._departed.pop(server, None), received.get(server), own.get(server)
             self._departed[server] = max(
@@ -183,7 +212,7 @@
         return server_list
 
     def _trim_departed(self) -> None:
-        """Whole lists lose all their servers at most: no more need be remembered."""
+        """Drops the oldest departures: at most all servers of the longest list can have left."""
         while len(self._departed) > max(MIN_REMEMBERED, self._max_list_servers):
             del self._departed[next(iter(self._departed))]
 
@@ -223,6 +252,6 @@
 
 
 def _interned(entry: Any, key: str) -> str | None:
-    """Few names stand in many entries: each is held once."""
+    """Returns the name under `key`, interned, as few names occur in many entries; None if absent."""
     name = entry.get(key)
     return sys.intern(name) if isinstance(name, str) else None
--- a/glenfold/dispatch.py
+++ b/glenfold/dispatch.py
@@ -1,6 +1,7 @@
-"""One relay's decisions with their timers, without I/O: events go in, actions on requests come out.
+"""The decisions of one relay with their timers, without I/O.
 
-Who calls it tells the time and carries the actions to the requests that they name.
+Events go in and actions on requests come out. The caller supplies the time and passes each action to the
+request that it names.
 """
 
 import heapq
@@ -13,39 +14,48 @@
 Trace = Callable[[interface.Event, list[interface.Action]], object]
 
 
-def _untraced(event: interface.Event, actions: list[interface.Action]) -> None:
+def _ignore_trace(event: interface.Event, actions: list[interface.Action]) -> None:
     pass
 
 
 class Dispatch:
-    """`log` takes what the decisions want to have logged, `trace` each event with what they did on it. All
-    moments are in microseconds, on one clock."""
+    """Feeds events and due timers to the decisions.
+
+    `log` is called with each text that the decisions log, and `trace` with each event and the actions that it
+    led to. All times are microseconds of one clock.
+    """
 
     def __init__(
-        self, settings: interface.Settings, seed: int, log: Callable[[str], object], trace: Trace = _untraced
+        self,
+        settings: interface.Settings,
+        seed: int,
+        log: Callable[[str], object],
+        trace: Trace = _ignore_trace,
     ) -> None:
         self.balancer = Balancer(settings, seed)
         self._log = log
         self._trace = trace
-        self._timers: list[tuple[int, int]] = []  # when, token
+        self._timers: list[tuple[int, int]] = []  # heap of due time and token
 
     @property
     def next_timer_us(self) -> int | None:
+        """The time of the next timer; None if none is set."""
         return self._timers[0][0] if self._timers else None
 
     def fire(self, now_us: int) -> list[RequestAction]:
-        """What the timers that are due have to say."""
+        """Runs all timers that are due and returns the actions on requests."""
         on_requests: list[RequestAction] = []
         while self._timers and self._timers[0][0] <= now_us:
             on_requests += self.handle(now_us, interface.Timer(heapq.heappop(self._timers)[1]))
         return on_requests
 
     def handle(self, now_us: int, event: interface.Event) -> list[RequestAction]:
+        """Passes one event to the decisions, sets their timers and returns the actions on requests."""
         try:
             actions = self.balancer.handle(now_us, event)
-        except Exception as error:  # one event's fault must not end every other connection of this relay
+        except Exception as error:  # a bug on one event must not end all connections of this relay
             events.decision_failed(on=event, error=error)
-            # Nor may the request wait for a decision that will not come; if it needs none, this does nothing.
+            # No decision will come for this request, so it fails. Ignored if no decision is needed.
             actions = (
                 [interface.Fail(event.request)]
                 if isinstance(event, interface.Request | interface.Answer)
@@ -68,7 +78,7 @@
                 case interface.Log(text):
                     self._log(text)
                 case interface.Subscribe() | interface.FetchList():
-                    pass  # discovery is watched from the start, and asked for the whole list after a gap
+                    pass  # the relay follows discovery in any case, and requests the whole list after a gap
                 case _:
                     events.decision_unknown(action=action)
         return on_requests
--- a/glenfold/events.py
+++ b/glenfold/events.py
@@ -1,7 +1,9 @@
-"""All that a relay logs, but for the log's own events: one function each, whose keyword-only parameters are
-the event's fields and whose docstring says when it happens. docs/operators/events.md says what to do then.
+"""The events that a relay logs, apart from the log's own events.
 
-Names are `group.what`, and stay what they are: operators' searches and alarms go by them.
+Each event is a function: its keyword-only parameters are the fields of the event, and its docstring says when
+the event is logged. docs/operators/events.md says what an operator does then.
+
+Event names have the form `group.what` and never change: operators' searches and alarms match them.
 """
 
 from collections.abc import Mapping, Sequence
@@ -9,81 +11,104 @@
 
 from glenfold.logs import event
 
-# ---- the life of an instance ----
+# ---- life cycle of an instance ----
 
 
 @event("life.changed", "info", "life: {before} -> {state}")
 def life_changed(*, before: str, state: str) -> None:
-    """It has gone from one state of its life to the next."""
+    """Logged when an instance changes the state of its life cycle."""
 
 
 @event("relay.listens", "info", "{name} listens on {address}")
 def relay_listens(*, name: str, address: str) -> None:
-    """Clients may connect."""
+    """Logged when a listening socket is open and clients may connect."""
 
 
 @event("relay.counters", "info", "counters: {counters}")
 def relay_counters(*, counters: Mapping[str, int]) -> None:
-    """It was asked for its counters (SIGUSR1)."""
+    """Logged when the relay is asked for its counters by SIGUSR1."""
 
 
 @event("relay.exit", "info", "counters at exit: {counters}")
 def relay_exit(*, counters: Mapping[str, int]) -> None:
-    """It has finished all that it had taken, and ends."""
+    """Logged when the relay has finished all accepted requests and connections and exits."""
 
 
-# ---- taking over from another process of the same name ----
+# ---- takeover from another process of the same name ----
 
 
 @event("takeover.offered", "info", "taking over: passed on [{passed}], opened [{opened}], closed [{closed}]")
 def takeover_offered(*, passed: Sequence[str], opened: Sequence[str], closed: Sequence[str]) -> None:
-    """The old process passes its listening sockets on; `opened` are addresses that it has not listened at,
-    `closed` those that it stops listening at, as the new one does not want them."""
+    """Logged when the old process passes its listening sockets on to the new one.
+
+    `opened` are addresses that the old process did not listen on. `closed` are addresses that the old process
+    listened on and the new one does not need.
+    """
 
 
-@event("takeover.done", "info", "took over: the old process accepts no more")
+@event("takeover.done", "info", "took over: the old process accepts no more connections")
 def takeover_done() -> None:
-    """This process alone listens now, and the name is its own."""
+    """Logged when this process is the only one that listens, and owns the name of the instance."""
 
 
-@event("takeover.refused", "error", "not taking over, the old process serves on: {reason}")
+@event("takeover.refused", "error", "takeover given up, the old process goes on serving: {reason}")
 def takeover_refused(*, reason: str) -> None:
-    """This process ends: it was not ready in time, was told to stop, or the old one would not."""
+    """Logged when a new process gives a takeover up and exits.
+
+    The new process was not ready in time, was told to stop, or was refused by the old process.
+    """
 
 
-@event("takeover.retired", "info", "taken over: this process ends once it has finished what it has taken")
+@event("takeover.retired", "info", "taken over: this process exits once its requests and connections end")
 def takeover_retired() -> None:
-    """Another process has the listening sockets and the name."""
+    """Logged when another process has taken over the listening sockets and the name of the instance."""
 
 
-@event("takeover.failed", "warning", "no take-over, this process serves on: {reason}")
+@event("takeover.failed", "warning", "takeover failed, this process goes on serving: {reason}")
 def takeover_failed(*, reason: str) -> None:
-    """A new process began to take over, and died, gave up, was late, or had no right to."""
+    """Logged when a new process started a takeover and did not finish it.
 
+    The new process exited, gave up, took too long, or was not allowed to take over.
+    """
 
-@event("takeover.stranger", "warning", "take-over: a stranger, or one too many, turned away", rate=(0.2, 1))
+
+@event(
+    "takeover.stranger",
+    "warning",
+    "takeover: refused a connection of another user or beyond the limit",
+    rate=(0.2, 1),
+)
 def takeover_stranger() -> None:
-    """Somebody connected to the take-over socket who runs as another user, or beside too many others."""
+    """Logged when a connection to the takeover socket is refused.
+
+    The peer runs as another user, or too many others are connected already.
+    """
 
 
-@event("takeover.unheard", "warning", "take-over: {error}", rate=(0.2, 1))
+@event("takeover.unheard", "warning", "takeover socket: {error}", rate=(0.2, 1))
 def takeover_unheard(*, error: Exception) -> None:
-    """Nobody can ask for a take-over: the private socket can't be made, or not accepted on."""
+    """Logged when no process can request a takeover.
+
+    The private socket can't be created, or can't accept connections.
+    """
 
 
 @event(
     "leave.short",
     "warning",
     "{late} of {connections} standing connections can't be moved one by one in time, at {per_s} a second: "
-    "they move all at once at the end",
+    "they are moved all at once at the end",
 )
 def leave_short(*, late: int, connections: int, per_s: int) -> None:
-    """It ends with more connections than it can move in time, and knows it beforehand."""
+    """Logged when a relay that shuts down has more standing connections than it can move in time."""
 
 
 @event("leave.cut", "warning", "{connections} standing connections are cut off without MOVE")
 def leave_cut(*, connections: int) -> None:
-    """Its time is over while connections stand whose clients had only part of a line."""
+    """Logged when the shutdown deadline passes while the line to a client is incomplete.
+
+    MOVE can't be sent in the middle of a line, so these connections are closed without it.
+    """
 
 
 # ---- configuration ----
@@ -91,22 +116,25 @@
 
 @event("config.refused", "error", "configuration: {error}")
 def config_refused(*, error: Exception) -> None:
-    """The configuration is faulty: a start ends there, at a reload the one before goes on to hold."""
+    """Logged when the configuration is invalid.
+
+    A start ends with this event; after a reload the previous configuration stays in force.
+    """
 
 
-@event("config.default", "warning", "configuration: {key}: {fault}; its default holds")
+@event("config.default", "warning", "configuration: {key}: {fault}; the default is used")
 def config_default(*, key: str, fault: str) -> None:
-    """A setting is faulty at the platform's start, which is served all the same."""
+    """Logged when the platform starts a relay with an invalid setting; the relay runs with the default."""
 
 
 @event("config.reloaded", "info", "configuration read again; discovery is at {discovery}")
 def config_reloaded(*, discovery: str) -> None:
-    """The configuration was read again and holds now."""
+    """Logged when a configuration that was read again is in force."""
 
 
 @event("config.waits", "warning", "configuration: needs a restart to change: {keys}")
 def config_waits(*, keys: Sequence[str]) -> None:
-    """Keys have changed that are for a start alone."""
+    """Logged when a reload changes keys that are read at a start only."""
 
 
 # ---- the destination set ----
@@ -114,32 +142,41 @@
 
 @event("discovery.failed", "warning", "discovery: {error!r}")
 def discovery_failed(*, error: Exception) -> None:
-    """Discovery can't be reached, fell silent or broke off; told once for each kind of fault in a row."""
+    """Logged when discovery can't be reached, stops sending or closes the connection.
+
+    Logged once for consecutive failures of the same kind.
+    """
 
 
 @event("list.refused", "warning", "discovery: {error!r}")
 def list_refused(*, error: Exception) -> None:
-    """Discovery sent what is no list; the last one is kept."""
+    """Logged when discovery sends something that is not a server list; the last list stays in force."""
 
 
 @event("list.entry_left_out", "warning", "discovery: {fault}")
 def list_entry_left_out(*, fault: str) -> None:
-    """One entry of a list can't be read; the others are taken."""
+    """Logged when an entry of a server list is invalid; the other entries are used."""
 
 
 @event("list.known_refused", "warning", "known: {error}")
 def list_known_refused(*, error: Exception) -> None:
-    """The list that the configuration gives for the start can't be read; the relay starts without one."""
+    """Logged when the server list that the configuration names for the start is invalid.
+
+    The relay starts without a list.
+    """
 
 
-@event("parent.followed", "info", "lists are followed at {address}, renewed {age_s:.0f} s ago")
+@event("parent.followed", "info", "following the lists of parent {address}, renewed {age_s:.0f} s ago")
 def parent_followed(*, address: str, age_s: float) -> None:
-    """Where lists have several parents: this one is followed from now on."""
+    """Logged when the relay, which has several parents for its server lists, starts to follow this one."""
 
 
-@event("parent.refused", "warning", "parent {address} is passed over, {why}: {error!r}")
+@event("parent.refused", "warning", "parent {address} is not followed, {why}: {error!r}")
 def parent_refused(*, address: str, why: str, error: Exception) -> None:
-    """A parent failed, is behind, or can't be followed; told once for each kind of fault in a row."""
+    """Logged when a parent failed, is behind the others, or can't be followed.
+
+    Logged once for consecutive failures of the same kind.
+    """
 
 
 # ---- decisions ----
@@ -147,27 +184,30 @@
 
 @event("decision.note", "info", "{note}")
 def decision_note(*, note: str) -> None:
-    """The decisions tell what they have found out about a server."""
+    """Logged when the decisions report what they have found out about a server."""
 
 
 @event("decision.traced", "debug", "{on} -> {did}", rate=(1000.0, 10_000))
 def decision_traced(*, on: object, did: Sequence[object]) -> None:
-    """Every event that the decisions take in, and the actions that they answer it with."""
+    """Logged for every event that the decisions handle, with the actions that they returned."""
 
 
 @event("decision.failed", "error", "the decisions failed on {on}", trace=True)
 def decision_failed(*, on: object, error: Exception) -> None:
-    """A fault of the relay's own in the decisions; the request that it happened on fails, others go on."""
+    """Logged when the decisions raise an exception, which is a bug in the relay.
 
+    The request that the event belongs to fails; other requests are not affected.
+    """
 
-@event("decision.unknown", "warning", "there is no way here to carry out {action}")
+
+@event("decision.unknown", "warning", "this relay can't carry out the action {action}")
 def decision_unknown(*, action: object) -> None:
-    """The decisions asked for something that no part of this relay does."""
+    """Logged when the decisions return an action that no part of this relay implements."""
 
 
-@event("request.stuck", "warning", "request {request} takes no more actions")
+@event("request.stuck", "warning", "request {request} no longer receives actions")
 def request_stuck(*, request: int) -> None:
-    """A request's own task does not take what was decided on it."""
+    """Logged when the task of a request does not receive the actions decided for it."""
 
 
 # ---- clients and connections ----
@@ -175,75 +215,95 @@
 
 @event("client.malformed", "warning", "inbound: {count} bad first lines so far; now {error}", rate=(0.2, 1))
 def client_malformed(*, count: int, error: Exception) -> None:
-    """A client's first line was refused; `count` is of all since the start."""
+    """Logged when a client's first line is refused.
+
+    `count` is the number of such lines since the start.
+    """
 
 
 @event("client.broke", "debug", "inbound: {error!r}")
 def client_broke(*, error: Exception) -> None:
-    """A client's connection broke before its request was taken."""
+    """Logged when a client's connection breaks before its request is accepted."""
 
 
-@event("client.unanswered", "debug", "inbound: no answer taken: {error!r}")
+@event("client.unanswered", "debug", "inbound: answer not sent: {error!r}")
 def client_unanswered(*, request: int, error: Exception) -> None:
-    """A client had gone when its answer came."""
+    """Logged when an answer can't be sent because the client has disconnected."""
 
 
 @event("connection.broke", "info", "a connection at server {server} broke: {outcome}")
 def connection_broke(*, request: int, server: int, outcome: Enum) -> None:
-    """A push server ended a standing connection with neither BYE nor MOVE."""
+    """Logged when a push server ends a standing connection with neither BYE nor MOVE."""
 
 
 @event("connection.failed", "error", "a connection failed", trace=True)
 def connection_failed(*, error: Exception) -> None:
-    """A fault of the relay's own; it ends this one connection."""
+    """Logged when a bug in the relay ends a connection; other connections are not affected."""
 
 
-@event("sockets.exhausted", "warning", "no spare descriptor: {error}")
+@event("sockets.exhausted", "warning", "no file descriptor left: {error}")
 def sockets_exhausted(*, error: Exception) -> None:
-    """No descriptor is left, not even the one kept to refuse clients with."""
+    """Logged when no file descriptor is left, not even the one reserved to refuse clients with."""
 
 
 # ---- snapshots of the destination set ----
 
 
-@event("snapshot.taken", "info", "snapshot {file}: generation {generation}, last heard of {age_s:.0f} s ago")
+@event("snapshot.taken", "info", "snapshot {file}: generation {generation}, last confirmed {age_s:.0f} s ago")
 def snapshot_taken(*, file: str, generation: int, age_s: float) -> None:
-    """The relay starts with the list in this file, until discovery says otherwise."""
+    """Logged when the relay starts with the server list of a snapshot, until discovery sends another."""
 
 
 @event("snapshot.refused", "warning", "snapshot {file} refused: {error}")
 def snapshot_refused(*, file: str, error: Exception) -> None:
-    """A file is torn, damaged, too old or not this relay's; the one before it is used, if it is sound."""
+    """Logged when a snapshot is incomplete, damaged, too old or belongs to another relay.
+
+    The snapshot before it is used if that one is valid.
+    """
 
 
 @event("snapshot.waits", "warning", "snapshot: {fault}")
 def snapshot_waits(*, fault: str) -> None:
-    """The newest list is not on the disk, which is slow, full or can't be written; the relay serves on."""
+    """Logged when the newest server list can't be written to the disk, or not fast enough.
+
+    The relay goes on serving.
+    """
 
 
 @event("snapshot.written_again", "info", "snapshot: written again, generation {generation}")
 def snapshot_written_again(*, generation: int) -> None:
-    """After a fault the newest list is on the disk."""
+    """Logged when the newest server list is on the disk again after a failure."""
 
 
-# ---- who is told, and who asks ----
+# ---- service manager, control socket and start ----
 
 
-@event("notify.failed", "warning", "the service manager can't be told: {error}")
+@event("notify.failed", "warning", "the service manager can't be notified: {error}")
 def notify_failed(*, error: Exception) -> None:
-    """NOTIFY_SOCKET is missing or takes nothing; told once, until it works again. The relay serves on."""
+    """Logged when a notification to the service manager fails.
+
+    NOTIFY_SOCKET is missing or takes no messages. Logged once until a notification succeeds again. The relay
+    goes on serving.
+    """
 
 
-@event("control.unheard", "warning", "nobody can ask at the control socket: {error}")
+@event("control.unheard", "warning", "the control socket can't be created: {error}")
 def control_unheard(*, error: Exception) -> None:
-    """The control socket can't be made. The relay serves on."""
+    """Logged when the control socket can't be created. The relay goes on serving."""
 
 
 @event("control.told", "info", "asked on the control socket: {ask}, {outcome}")
 def control_told(*, ask: str, outcome: str) -> None:
-    """Somebody asked the instance to drain or to reload; the outcome is `done`, or why it was refused."""
+    """Logged when the instance is asked on the control socket to drain or to reload.
+
+    `outcome` is `done`, or the reason why the request was refused.
+    """
 
 
 @event("run.refused", "error", "not started: {error}")
 def run_refused(*, error: Exception) -> None:
-    """Another process has the name, or the start can't listen; the exit status tells which."""
+    """Logged when a start is refused.
+
+    Another process has the name of the instance, or a listening socket can't be opened; the exit status
+    tells which.
+    """
