--- a/glenfold/destinations.py
+++ b/glenfold/destinations.py
@@ -201,8 +201,8 @@
             raise BadList(f"the departed servers can't be read: {error!r}") from error
         own = dict(self._departed)
         server_list = self.read(document, cached=True)
-        # `read` recorded draining servers under the document's version, which may be lower than the version in
-        # which they left.
+        # `read` recorded draining servers under the document's version, which may be lower than the version
+        # in which they left.
         for server in received | own:
             departures = self._departed.pop(server, None), received.get(server), own.get(server)
             self._departed[server] = max(
--- a/glenfold/lines.py
+++ b/glenfold/lines.py
@@ -1,11 +1,13 @@
-"""The line protocol, without I/O: first lines parsed in place, and written out again in pieces."""
+"""The line protocol, without I/O: first lines are parsed in place and forwarded in pieces."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 MAX_LINE_BYTES = 4096
-MAX_WAIT_MS = 60_000  # what stood before has 40 s to come up; where no class waits longer, nobody does
-MAX_LOAD = 1e9  # a thousand standard cores
+# Longest wait of a first line, unless a class has a longer deadline. A connection that was established before
+# has 40 s to come up.
+MAX_WAIT_MS = 60_000
+MAX_LOAD = 1e9  # microseconds of work a second: a thousand standard cores
 LINE_END = b"\r\n"
 
 PING = b"PING"
@@ -15,90 +17,106 @@
 
 
 class Malformed(Exception):
-    """A first line that no client should send."""
+    """Raised when a line breaks the protocol."""
 
 
 class LineBuffer:
-    """Room for one line of the greatest length, filled by `recv_into`."""
+    """A buffer for one line of up to MAX_LINE_BYTES, to be filled by `recv_into`."""
 
     def __init__(self) -> None:
         self.data = bytearray(MAX_LINE_BYTES)
         self.filled = 0
 
     def free_space(self) -> memoryview:
+        """Returns the part of the buffer that is not filled yet."""
         return memoryview(self.data)[self.filled :]
 
     def mark_filled(self, count: int) -> None:
+        """Counts bytes that were written to the free space as received."""
         self.filled += count
 
     def line_end(self) -> int | None:
-        """Where the first line ends, its CRLF included; None while it is incomplete."""
+        """Returns the length of the first line with its CRLF; None while it is incomplete.
+
+        Raises Malformed if the buffer is full and holds no complete line.
+        """
         at = self.data.find(LINE_END, 0, self.filled)
         if at < 0 and self.filled == MAX_LINE_BYTES:
             raise Malformed("a line is too long")
         return at + len(LINE_END) if at >= 0 else None
 
     def discard(self, count: int) -> None:
+        """Removes bytes from the start of the buffer."""
         self.data[: self.filled - count] = self.data[count : self.filled]
         self.filled -= count
 
     def bytes_after(self, end: int) -> bytes:
+        """Returns a copy of the received bytes from position `end` on."""
         return bytes(memoryview(self.data)[end : self.filled])
 
 
 @dataclass(frozen=True, slots=True)
 class OpenLine:
-    """A client's first line; `line` is a view of the buffer that it was received into."""
+    """A client's first line.
+
+    `line` is a view of the buffer that received it, and `wait_span` the position of the value of `d` in it.
+    """
 
     line: memoryview
     id: bytes
     key: int
     wait_ms: int
-    wait_span: tuple[int, int]  # where the figure of `d` stands
+    wait_span: tuple[int, int]
     parameters: dict[bytes, bytes] = field(default_factory=dict)
 
     def text(self, name: bytes) -> str:
+        """Returns the value of a parameter; an empty text if it is missing."""
         return self.parameters.get(name, b"").decode("ascii")
 
     def flag(self, name: bytes) -> bool:
+        """Whether a parameter has the value 1."""
         return self.parameters.get(name) == b"1"
 
     def number(self, name: bytes, base: int) -> int:
+        """Returns the value of a parameter as a number, 0 if it is missing. Raises Malformed."""
         return _number(self.parameters.get(name, b"0"), base)
 
     def load(self) -> int | None:
-        """The client's estimate of its load, where it gives one that can be read."""
+        """Returns the client's estimate of its load; None if it gives none that is valid."""
         load = read_load(self.parameters.get(b"h", b""))
         return None if load is None else int(load)
 
     def with_wait(self, wait_ms: int) -> list[memoryview]:
-        """The same line with another `d`, in the pieces of a gathered write."""
+        """Returns the same line with another value of `d`, as the pieces of a gathered write."""
         start, end = self.wait_span
         return [self.line[:start], memoryview(str(max(1, wait_ms)).encode()), self.line[end:]]
 
 
 def _number(text: bytes, base: int) -> int:
-    # int() alone would let signs, underscores and blanks through.
+    # int() alone would accept signs, underscores and blanks.
     if not text.isalnum() or len(text) > 16:
-        raise Malformed("a number is not one")
+        raise Malformed("a number has characters other than digits, or more than 16 of them")
     try:
         return int(text, base)
     except ValueError as error:
-        raise Malformed("a number is not one") from error
+        raise Malformed("a number has characters other than digits, or more than 16 of them") from error
 
 
 def parse_open(data: bytearray, end: int, max_wait_ms: int = MAX_WAIT_MS) -> OpenLine:
-    """`OPEN ID KEY NAME=VALUE,...`; names that mean nothing here go on unchanged. A connection that stood
-    before has no deadline, and may say so with a wait beyond any."""
+    """Parses a first line of the form `OPEN ID KEY NAME=VALUE,...`. Raises Malformed.
+
+    Parameters that the relay does not know are forwarded unchanged. A connection that was established before
+    has no deadline and may give any wait, which is cut to `max_wait_ms`.
+    """
     last = end - len(LINE_END)
     view = memoryview(data)[:end]
     id_at = data.find(b" ", 0, last) + 1
     key_at = data.find(b" ", id_at, last) + 1
     parameters_at = data.find(b" ", key_at, last) + 1
     if not 0 < id_at < key_at - 1 or parameters_at == 0 or data[:id_at] != b"OPEN ":
-        raise Malformed("a first line is not OPEN ID KEY FIGURES")
+        raise Malformed("a first line is not of the form OPEN ID KEY NAME=VALUE,...")
     if not bytes(view[:last]).isascii() or b" " in view[parameters_at:last].tobytes():
-        raise Malformed("a first line has stray characters")
+        raise Malformed("a first line has characters other than ASCII, or a blank in its parameters")
     parameters: dict[bytes, bytes] = {}
     wait_span = (0, 0)
     at = parameters_at
@@ -107,28 +125,29 @@
         stop = last if stop < 0 else stop
         name, equals, value = bytes(view[at:stop]).partition(b"=")
         if not name or not equals or name in parameters:
-            raise Malformed("a figure is not NAME=VALUE, or comes twice")
+            raise Malformed("a parameter is not NAME=VALUE, or is given twice")
         parameters[name] = value
         if name == b"d":
             wait_span = (at + 2, stop)
         at = stop + 1
     if b"d" not in parameters or b"c" not in parameters:
-        raise Malformed("a first line lacks its class or its deadline")
+        raise Malformed("a first line lacks its class (c) or its deadline (d)")
     key = _number(bytes(view[key_at : parameters_at - 1]), 16)
     wait_ms = _number(parameters[b"d"], 10)
     if b"at" in parameters:
         wait_ms = min(wait_ms, max_wait_ms)
     if not 0 < wait_ms <= max_wait_ms:
-        raise Malformed("nobody waits for so long, or for no time")
+        raise Malformed("the deadline (d) is 0 or longer than any class allows")
     return OpenLine(view, bytes(view[id_at : key_at - 1]), key, wait_ms, wait_span, parameters)
 
 
 def busy(wait_us: int) -> bytes:
+    """Returns a BUSY line with the wait in milliseconds, which is left out if it is below 1 ms."""
     return b"BUSY %d\r\n" % (wait_us // 1000) if wait_us >= 1000 else b"BUSY\r\n"
 
 
 def remaining_pieces(pieces: Sequence[memoryview], sent: int) -> list[memoryview]:
-    """What is remaining of a gathered write that took only part of it."""
+    """Returns the pieces that are still to be sent after a gathered write sent only `sent` bytes."""
     remaining: list[memoryview] = []
     for piece in pieces:
         if sent < len(piece):
@@ -138,8 +157,10 @@
 
 
 def read_load(text: bytes) -> float | None:
-    """Microseconds of work a second. One NaN, or one figure without measure, would spoil every sum of loads
-    that it enters."""
+    """Returns a load in microseconds of work a second; None if it is not a number from 0 to MAX_LOAD.
+
+    A single NaN or an excessive value would spoil every sum of loads that includes it.
+    """
     try:
         load = float(text)
     except ValueError:
@@ -148,7 +169,7 @@
 
 
 class LineTracker:
-    """Sees the whole lines in a stream that is passed on as it comes."""
+    """Finds the complete lines in a stream that is passed on as it arrives."""
 
     def __init__(self) -> None:
         self._partial = b""
@@ -156,9 +177,11 @@
 
     @property
     def between_lines(self) -> bool:
+        """Whether the last line is complete."""
         return not self._partial
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Returns the lines that `data` completes, without CRLF. Sets `too_long` after an overlong line."""
         *lines, self._partial = (self._partial + data).split(LINE_END)
         self.too_long = len(self._partial) >= MAX_LINE_BYTES or any(
             len(line) > MAX_LINE_BYTES - len(LINE_END) for line in lines
--- a/glenfold/logs.py
+++ b/glenfold/logs.py
@@ -1,9 +1,9 @@
 """Structured logs: events with stable names and fields, as text for people or JSON lines for machines.
 
-The events are in `glenfold.events`; a call of one is all that the rest of the program knows of logs. One that
-is off by its level costs a look at a flag; nothing is formatted for it. Each is limited in its rate, and what
-was left out is told with the next one. Lines go to a thread of their own (`Writer`), so that a log that
-blocks or fails costs lines, but never holds up or ends a relay.
+The events are defined in `glenfold.events`; the rest of the program only calls them. An event that its level
+disables costs one check of a flag and is not formatted. Each event has a rate limit, and the number of lines
+that were left out is logged with the next line of the event. Lines are written by a thread of their own
+(`Writer`), so that a log that blocks or fails loses lines, but never delays or ends a relay.
 """
 
 import os
@@ -25,10 +25,10 @@
 
 LEVELS: Final = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 FORMS: Final = ("text", "json")
-FIELD_CHARS = 2000  # longer texts in fields are cut
-TEXT_CHARS = 4000  # longer lines of the text form are cut
-MAX_QUEUED_BYTES = 1 << 20  # lines that wait to be written; more are lost
-CLOSING_TIMEOUT_S = 0.2  # that the last lines have at the end
+FIELD_CHARS = 2000  # texts in fields are cut to this length
+TEXT_CHARS = 4000  # lines of the text form are cut to this length
+MAX_QUEUED_BYTES = 1 << 20  # lines that would exceed this queue are lost
+CLOSING_TIMEOUT_S = 0.2  # time for writing the last lines at exit
 OWN_FIELDS: Final = frozenset({"time", "level", "event", "instance", "left_out", "trace"})
 
 P = ParamSpec("P")
@@ -36,10 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """`level`: the least that is logged, one of LEVELS. `levels`: others for single events or groups of them,
-    by name or its first words (`client` holds for `client.malformed`); the longest that fits goes first.
-    `form`: one of FORMS. `per_s` and `burst`: how many lines each event may have, where it has no options of
-    its own. Raises ValueError, which names the key and what would be right."""
+    """The options of the log.
+
+    `form` is one of FORMS. `level` is the lowest level that is logged, one of LEVELS. `levels` are other
+    lowest levels for single events or groups of events, by the name or its first part (`client` applies to
+    `client.malformed`); the longest match applies. `per_s` and `burst` limit the lines of each event that has
+    no limit of its own. Raises ValueError, which names the key and the valid values.
+    """
 
     form: str = "text"
     level: str = "info"
@@ -59,12 +62,13 @@
             raise ValueError(f"burst: {self.burst!r} is not at least 1")
 
     def level_of(self, name: str) -> str:
+        """Returns the lowest level at which the event of this name is logged."""
         matching = [prefix for prefix in self.levels if f"{name}.".startswith(f"{prefix}.")]
         return self.levels[max(matching, key=len)] if matching else self.level
 
 
 class Event(Generic[P]):
-    """One kind of event; a call with its fields logs it, and raises nothing."""
+    """One kind of event. A call with its fields logs the event and never raises."""
 
     __slots__ = ("name", "level", "text", "fields", "own_rate", "trace", "is_enabled", "rate")
 
@@ -79,13 +83,14 @@
     ) -> None:
         self.name = name
         self.level = level
-        self.text = text  # of the text form, with {fields}
+        self.text = text  # line of the text form, with {fields}
         self.fields = fields
-        self.own_rate = own_rate  # per_s, burst
-        self.trace = trace  # where its field `error` was raised is logged, too
+        self.own_rate = own_rate  # lines a second and burst; None for the limit of the options
+        self.trace = trace  # whether the traceback of the field `error` is logged as well
         self.set_options(_log.options)
 
     def set_options(self, options: Options) -> None:
+        """Applies the level and the rate limit that the options give for this event."""
         self.is_enabled = LEVELS[self.level] >= LEVELS[options.level_of(self.name)]
         self.rate = RateLimit(*(self.own_rate or (options.per_s, options.burst)))
 
@@ -97,8 +102,12 @@
 def event(
     name: str, level: str, text: str, *, rate: tuple[float, int] | None = None, trace: bool = False
 ) -> Callable[[Callable[P, None]], Event[P]]:
-    """Makes an event of a function whose keyword-only parameters are its fields, and whose docstring says
-    when it happens. `rate`: at most so many a second, and so many at once."""
+    """Returns a decorator that turns a function into an event.
+
+    The keyword-only parameters of the function are the fields of the event, and its docstring says when the
+    event is logged. `rate` limits the event to so many lines a second and so many in a burst. `trace` adds
+    the traceback of the field `error`. Raises ValueError if the name is taken.
+    """
 
     def register(function: Callable[P, None]) -> Event[P]:
         if name in EVENTS:
@@ -114,35 +123,39 @@
 
 
 class Writer:
-    """Writes lines to a descriptor in a thread of its own. `put` never waits: what does not fit within
-    MAX_QUEUED_BYTES, or can't be written, is counted as lost."""
+    """Writes lines to a descriptor in a thread of its own.
+
+    `put` never waits: lines that do not fit within MAX_QUEUED_BYTES, or can't be written, are counted as
+    lost.
+    """
 
     def __init__(self, descriptor: int) -> None:
-        self.refused = 0  # for want of room; only `put` counts here
-        self.failed = 0  # by the descriptor; only the thread counts here
+        self.refused = 0  # lines that did not fit; changed by `put` alone
+        self.failed = 0  # lines that could not be written; changed by the thread alone
         self._descriptor = descriptor
         self._lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
-        self._put = 0  # bytes ever; only `put` counts here
-        self._done = 0  # of these; only the thread counts here
+        self._queued_total = 0  # bytes queued since the start; changed by `put` alone
+        self._written_total = 0  # bytes of these that are written or lost; changed by the thread alone
         self._finished = threading.Event()
         threading.Thread(target=self._run, name="log", daemon=True).start()
 
     @property
     def lost(self) -> int:
+        """The number of lines that could not be queued or written."""
         return self.refused + self.failed
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes that wait to be written."""
-        return self._put - self._done
+        """The number of bytes that wait to be written."""
+        return self._queued_total - self._written_total
 
     def put(self, message: str) -> None:
-        """By one caller at a time, which loguru sees to."""
+        """Queues a line. Must not be called concurrently, which loguru ensures."""
         line = message.encode("utf-8", "backslashreplace")
         if self.queued_bytes + len(line) > MAX_QUEUED_BYTES:
             self.refused += 1
             return
-        self._put += len(line)
+        self._queued_total += len(line)
         self._lines.put(line)
 
     def finish(self) -> None:
@@ -161,32 +174,35 @@
             except OSError:
                 self.failed += 1
                 unfinished = b"\n" if remaining.nbytes < len(unfinished + line) else unfinished
-            self._done += len(line)
+            self._written_total += len(line)
         self._finished.set()
 
     def _write(self, data: memoryview) -> int:
         while True:
             try:
                 return os.write(self._descriptor, data)
-            except BlockingIOError:  # whoever shares the descriptor may have made it so
+            except (
+                BlockingIOError
+            ):  # another process that shares the descriptor may have made it non-blocking
                 poll = select.poll()
                 poll.register(self._descriptor, select.POLLOUT)
                 poll.poll()
 
 
 class Log:
-    """The one log of a process: loguru's as it is, until `begin`."""
+    """The only log of a process. Until `begin` it writes with the default settings of loguru."""
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
         self.options = Options()
         self.instance = ""
         self.writer: Writer | None = None
-        self.format_errors = 0  # events that could not be formatted
+        self.format_errors = 0  # number of events that could not be formatted
         self._now = now
         self._format: Callable[[Event[...], Mapping[str, Any]], str] = as_text
         self._lost_reported = 0
 
     def log(self, event: "Event[...]", fields: dict[str, Any]) -> None:
+        """Logs an event within its rate limit. Never raises."""
         now = self._now()
         left_out = event.rate.passes(now)
         if left_out is None:
@@ -195,7 +211,7 @@
             fields["left_out"] = left_out
         try:
             self._write(event, fields)
-        except Exception:  # a value that can't be shown must not end what it happened in
+        except Exception:  # a value that can't be formatted must not break the code that logs it
             self.format_errors += 1
         has_room = self.writer is not None and self.writer.queued_bytes < MAX_QUEUED_BYTES // 2
         if self._newly_lost and has_room and lines_lost.rate.passes(now) is not None:
@@ -218,13 +234,14 @@
         logger.opt(exception=exception).log(event.level.upper(), self._format(event, fields))
 
     def begin(self, options: Options, instance: str, descriptor: int) -> None:
+        """Starts to write to the descriptor, with these options."""
         self.writer = Writer(descriptor)
         self._lost_reported = 0
         self.instance = instance
         self.set_options(options)
 
     def set_options(self, options: Options) -> None:
-        """From now on; the lines so far are not lost."""
+        """Applies options to all further lines; lines that are queued already are kept."""
         self.options = options
         self._format = as_text if options.form == "text" else json_form(self.instance)
         line_format = "{time:HH:mm:ss.SSS} {level} {message}" if options.form == "text" else "{message}"
@@ -235,7 +252,7 @@
             logger.add(self.writer.put, level="DEBUG", format=line_format, backtrace=False, catch=False)
 
     def finish(self) -> None:
-        """Tells what was left out, and gives the last lines a moment to get out."""
+        """Logs the numbers of lines left out and lost, and waits for the last lines to be written."""
         for event in EVENTS.values():
             if left_out := event.rate.taken_out():
                 events_left_out(kind=event.name, lines=left_out)
@@ -249,7 +266,7 @@
 
 
 def as_text(event: "Event[...]", fields: Mapping[str, Any]) -> str:
-    """One line, whatever the fields hold."""
+    """Formats an event as a single printable line, whatever its fields hold."""
     text = event.text.format_map({name: _format_value(value) for name, value in fields.items()})
     if "left_out" in fields:
         text += f" ({fields['left_out']} more were left out)"
@@ -267,7 +284,8 @@
 
 
 def json_form(instance: str) -> Callable[[Event[...], Mapping[str, Any]], str]:
-    from msgspec import json  # nobody else pays for it
+    """Returns a function that formats an event of this instance as a line of JSON."""
+    from msgspec import json  # imported only where it is used, to keep other starts fast
 
     def as_json(event: "Event[...]", fields: Mapping[str, Any]) -> str:
         now = datetime.now(UTC).isoformat(timespec="microseconds").replace("+00:00", "Z")
@@ -281,7 +299,7 @@
 
 
 def _to_json_value(value: Any) -> Any:
-    """In what JSON has; what else there is as text that is whole Unicode."""
+    """Returns the value in types of JSON; other types become texts of valid Unicode."""
     match value:
         case None | bool() | float():
             return value
@@ -301,27 +319,28 @@
             return _to_json_value(repr(value))
 
 
-# ---- what others call ----
+# ---- functions for the rest of the program ----
 
 
 def begin(options: Options, instance: str = "", descriptor: int | None = None) -> None:
-    """From now on the log goes to that descriptor, or to standard error if there is one."""
-    if descriptor is None:  # where standard error was closed, its number may become a client's socket
+    """Starts to log to the descriptor, or to standard error if that is open."""
+    if descriptor is None:  # if standard error is closed, descriptor 2 may become a client's socket
         descriptor = 2 if sys.stderr is not None else os.open(os.devnull, os.O_WRONLY)
     _log.begin(options, instance, descriptor)
 
 
 def set_options(options: Options) -> None:
-    """Other options, after a reload."""
+    """Applies other options, as after a reload."""
     _log.set_options(options)
 
 
 def finish() -> None:
+    """Logs the numbers of lines left out and lost, and waits for the last lines to be written."""
     _log.finish()
 
 
 def lost() -> int:
-    """Lines that could not be written, since the start."""
+    """Returns the number of lines that could not be written since the start."""
     return _log.lost
 
 
@@ -336,9 +355,9 @@
     rate=(0.2, 1),
 )
 def lines_lost(*, lines: int) -> None:
-    """Standard error took no lines, or not fast enough; it does now."""
+    """Logged when lines were lost because standard error blocked, and it accepts lines again."""
 
 
 @event("log.left_out", "info", "log: {lines} more of {kind} were left out", rate=(1.0, 200))
 def events_left_out(*, kind: str, lines: int) -> None:
-    """At the end: an event came more often than its rate allows, and was not let through again since."""
+    """Logged at exit for each event that exceeded its rate limit and was not logged again since."""
--- a/glenfold/request.py
+++ b/glenfold/request.py
@@ -1,7 +1,8 @@
-"""The states of one request, without I/O: what comes in, and what has to be done about it.
+"""The state machine of one request, without I/O: inputs come in, and effects to carry out are returned.
 
-Whatever races, there is one final answer and at most one outbound call out. Nothing here knows the line
-protocol: an answer is UP, a refusal or a failure, and the inbound side words it.
+In whatever order inputs arrive, there is one final answer and at most one outbound call at a time. This
+module does not depend on the line protocol: an answer is UP, a refusal or a failure, and the inbound side
+encodes it.
 """
 
 from dataclasses import dataclass
@@ -12,19 +13,24 @@
 
 
 class Phase(Enum):
-    TAKEN = auto()  # the decisions have it
-    CALLING = auto()  # an outbound call is out
-    STANDING = auto()  # up
+    """The phases of a request."""
+
+    TAKEN = auto()  # waiting for the decisions
+    CALLING = auto()  # an outbound call is under way
+    STANDING = auto()  # answered UP, and the connection stays open
     FINISHED = auto()
 
 
-# ---- what comes in, besides the actions of the decisions ----
+# ---- inputs other than the actions of the decisions ----
 
 
 @dataclass(frozen=True, slots=True)
 class CallUp:
-    """The server took it; `receipt` is its line, with whatever came right behind it. `stalled_us`: how long
-    the relay itself kept the call waiting, which must not look like a slow server."""
+    """The server accepted the connection.
+
+    `receipt` is the server's line, with any bytes received together with it. `stalled_us` is the time in
+    microseconds for which the relay itself delayed the call, which must not count as a slow server.
+    """
 
     receipt: bytes
     stalled_us: int = 0
@@ -32,27 +38,33 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
+    """The outbound call failed."""
+
     outcome: interface.Outcome
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """The client closed its connection."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class ClientSentEarly:
-    """Before its answer, for which it should have waited."""
+    """The client sent more data before its answer, which the protocol forbids."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
+    """The deadline of the request has passed."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """The standing connection is over."""
+    """The standing connection has ended."""
 
     outcome: interface.Outcome
 
@@ -68,43 +80,55 @@
 )
 
 
-# ---- what is to be done ----
+# ---- effects ----
 
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
+    """Start an outbound call to the server."""
+
     server: int
     deadline_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class DropCall:
+    """Close the outbound call."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerUp:
+    """Answer the client with UP."""
+
     receipt: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerRefused:
+    """Answer the client with BUSY and the wait."""
+
     wait_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFailed:
+    """Answer the client with ERR."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class MoveClient:
+    """Send MOVE to the client."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """An event for the decisions."""
+    """Pass an event to the decisions."""
 
     event: interface.Event
 
@@ -113,6 +137,8 @@
 
 
 class RequestState:
+    """The state of one request. Times are in microseconds."""
+
     __slots__ = ("number", "deadline_us", "phase", "server", "_attempt", "_sent_us", "_is_bound")
 
     def __init__(self, number: int, deadline_us: int) -> None:
@@ -122,23 +148,24 @@
         self._attempt = -1
         self.server = 0
         self._sent_us = 0
-        self._is_bound = False  # stands at one server already: no other may be tried
+        self._is_bound = False  # established at a server before: no other may be tried
 
     def resume(self, server: int, now_us: int) -> list[Effect]:
-        """A connection that stood at this server before the relay did: its attempt 0 counts as made."""
+        """Resumes a connection that was established at this server before the relay started, as attempt 0."""
         self._is_bound = True
         return self._start(server, self.deadline_us, now_us)
 
     def notice(self, kind: interface.NoticeKind, amount: float) -> interface.Notice:
-        """News of the standing connection, for the decisions."""
+        """Returns a notice about the standing connection for the decisions."""
         return interface.Notice(self.number, self._attempt, self.server, kind, amount)
 
     def on(self, event_input: Input, now_us: int) -> list[Effect]:
+        """Handles one input and returns the effects to carry out, in order."""
         match event_input:
             case interface.Attempt(_, server, timeout_us):
                 if self.phase is Phase.TAKEN:
                     return self._start(server, min(self.deadline_us, now_us + timeout_us), now_us)
-                # Never a second call beside one that is out, and none after the final answer.
+                # There is never a second call beside one that is under way, and none after the final answer.
                 self._attempt += 1
                 done = self.phase is not Phase.CALLING
                 return [
@@ -184,10 +211,13 @@
 
     def _give_up(self, answer: AnswerRefused | AnswerFailed, now_us: int) -> list[Effect]:
         before, calling = self.phase, self.phase is Phase.CALLING
-        if before in (Phase.STANDING, Phase.FINISHED):  # a call came up, or the client left, just before
+        if before in (
+            Phase.STANDING,
+            Phase.FINISHED,
+        ):  # the call came up, or the client disconnected, just before
             return []
         self.phase = Phase.FINISHED
-        # The answer first: it is due at once, and closing the call takes no time that matters to it.
+        # The answer goes first, as it is due at once; closing the call can wait.
         return (
             [answer, DropCall(), self._ended(interface.Outcome.CANCELLED, now_us, True)]
             if calling
@@ -195,7 +225,9 @@
         )
 
     def _call_up(self, receipt: bytes, received_us: int) -> list[Effect]:
-        if self.phase is not Phase.CALLING:  # it raced the final answer: it must not become a second one
+        if (
+            self.phase is not Phase.CALLING
+        ):  # the final answer came first, so UP must not become a second answer
             return [DropCall()]
         self.phase = Phase.STANDING
         elapsed = max(0, received_us - self._sent_us)
--- a/glenfold/shutdown.py
+++ b/glenfold/shutdown.py
@@ -1,6 +1,7 @@
-"""A planned restart: when arrivals end, when standing connections move, and when all must be over. No I/O.
+"""The schedule of a planned shutdown, without I/O.
 
-Moments are in seconds, on the clock of `notified_at`: that at which the relay was told to stop.
+It says when arrivals end, when the clients of standing connections are moved, and when all must be finished.
+Times are in seconds on the clock of `notified_at`, the time at which the relay was told to stop.
 """
 
 from collections.abc import Mapping
@@ -9,39 +10,62 @@
 
 from linnetspread import interface
 
-ARRIVALS_S = 0.45  # new connections go on arriving for as long as this
-MIN_NOTICE_S = 3.0  # SIGKILL comes no earlier than this, or the longest deadline, and 0.7 s
+# New connections still arrive for this long after the last one.
+ARRIVALS_S = 0.45
+
+# SIGKILL comes KILL_DELAY_S after the longest deadline of any class, but no earlier than KILL_DELAY_S after
+# MIN_NOTICE_S. The relay exits EXIT_DELAY_S after the same time.
+MIN_NOTICE_S = 3.0
 KILL_DELAY_S = 0.7
-EXIT_DELAY_S = 0.4  # of those 0.7 s
-MAX_MOVE_S = 0.3  # that a move may take
-SWEEP_LEAD_S = 0.05  # before the end all that are remaining are told at once
-SWEEP_COST_S = 60e-6  # which takes so long for each
-MOVE_SPREAD_S = 1.5  # over which they are spread where packets pass through
-ANSWER_LEAD_S = 0.15  # before the end whoever still waits gets a final answer, and has it
-MIN_ANSWER_TURNS = 10  # of the loop, at least, from the end to an answer, and to a MOVE after one of UP
-ANSWER_POLL_S = 0.02  # between two looks at what is unanswered
-INITIAL_MOVES_PER_S = 2500.0  # moves a second with all that follows one, until measured
-PACE_WINDOW_MOVES = 400  # moves that the figure above weighs as much as, and after which a forecast is sound
-MIN_LATE_SHARE = 0.1  # of those that are remaining: no forecast is sounder than that
-MIN_FORECAST_S = 0.4  # that it holds: lines that pass make moves dear, but fewer pass with each move
-TURNS_PER_S = 500.0  # of the loop in a second, about: what needs more moves goes several at a turn
-SLEEP_OVERRUN_S = 0.002  # that a sleep may take longer than it was asked for
-MIN_SPARE_SHARE = 0.1  # of the time, for moves
-MANY_MOVES = 1000  # to be moved: from here on a slow turn is taken to be no accident
-SWEEP_TURNS = 3  # of the loop, before the end, when all that are remaining are told at once
-MOVES_PER_TURN_RANGE = (
-    32,
-    250,
-)  # moves in one turn: between these what takes so long, at the pace measured, as
-MAX_TURN_S = 0.1  # what passes on other connections waits meanwhile
+EXIT_DELAY_S = 0.4
+
+MAX_MOVE_S = 0.3  # time that one move may take
+
+# The sweep moves all remaining clients at once. It starts this long before the exit, plus a time for each
+# client.
+SWEEP_LEAD_S = 0.05
+SWEEP_COST_S = 60e-6
+
+MOVE_SPREAD_S = 1.5  # time over which moves are spread where the relay passes packets through
+
+# Clients that still wait get a final answer this long before the exit, so that the answer reaches them.
+ANSWER_LEAD_S = 0.15
+MIN_ANSWER_TURNS = 10  # least turns of the event loop for a last answer, and for MOVE after UP
+ANSWER_POLL_S = 0.02  # interval between two checks for unanswered requests
+
+# Pace of moves, with all the work that follows one, until enough moves are measured. The initial figure has
+# the weight of PACE_WINDOW_MOVES moves; after as many moves a forecast is reliable.
+INITIAL_MOVES_PER_S = 2500.0
+PACE_WINDOW_MOVES = 400
+
+# Moves are forecast to be late only if this share of the remaining ones is, as no forecast is more precise,
+# and if the forecast holds for this long: passing lines make moves expensive, but fewer lines pass after each
+# move.
+MIN_LATE_SHARE = 0.1
+MIN_FORECAST_S = 0.4
+
+# Approximate turns of the event loop in a second. Where more moves a second are needed, a turn does several.
+TURNS_PER_S = 500.0
+SLEEP_OVERRUN_S = 0.002  # time by which a sleep may be longer than requested
+MIN_SPARE_SHARE = 0.1  # share of the time that is assumed to be available for moves
+MANY_MOVES = 1000  # number of remaining moves from which one slow turn is not taken for an accident
+SWEEP_TURNS = 3  # turns of the event loop that must remain when the sweep starts
+
+# Moves in one turn are bounded by the number that takes MAX_TURN_S at the measured pace, as other connections
+# wait meanwhile; that bound is kept within this range.
+MOVES_PER_TURN_RANGE = 32, 250
+MAX_TURN_S = 0.1
 
 Standing = TypeVar("Standing")
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """So many moves at once, and when to ask again. late: connections that by now can't be moved one by one
-    in time, at the pace measured; they are told all at once in the end. sweep: that is now."""
+    """The number of moves to make at once, and the time of the next step.
+
+    `late` is the number of connections that can't be moved one by one in time at the measured pace; they are
+    moved all at once by the sweep. `sweep` is True if this step is the sweep.
+    """
 
     moves: int
     next_at: float
@@ -50,12 +74,15 @@
 
 
 class ShutdownSchedule:
-    """Where packets pass through, connections stand as long as the platform allows, as other relays may be
-    restarting too; then their clients move one by one: all at once they would jam the servers. Where so many
-    stand that this takes longer than usual, it begins earlier, but never before new connections end: the
-    front would send those that move back here.
+    """The schedule of one shutdown.
+
+    Where the relay passes packets through, connections stand for as long as the platform allows, because
+    other relays may be restarting too. Their clients are then moved one by one, because all at once they
+    would overload the servers. With more connections than can be moved in the usual time the moves start
+    earlier, but never before arrivals end: until then the front would send moved clients back to this relay.
 
-    deadline_s: from being told to stop until SIGKILL; None: what the platform promises.
+    `deadline_s` is the time from the notice until SIGKILL; None stands for the time that the platform
+    promises.
     """
 
     def __init__(
@@ -68,31 +95,36 @@
         self.exit_at = notified_at + max(0.0, deadline_s - (KILL_DELAY_S - EXIT_DELAY_S))
         self.moves_end = max(notified_at, self.exit_at - MAX_MOVE_S)
         self.answers_end = max(notified_at, self.exit_at - ANSWER_LEAD_S)
-        self.last_answers_at = self.exit_at + ANSWER_LEAD_S  # for a loop that comes late to the answers
+        self.last_answers_at = (
+            self.exit_at + ANSWER_LEAD_S
+        )  # time limit for the answers where the event loop is late
         self.moves_individually = settings.pass_through
-        self.is_short_of_time = False  # of time: not all can be moved one by one
+        self.is_short_of_time = False  # not all connections can be moved one by one in time
         self._cost = (
             PACE_WINDOW_MOVES / INITIAL_MOVES_PER_S,
             float(PACE_WINDOW_MOVES),
-        )  # seconds taken by moves, and their number
-        self._lateness_s = 0.0, 0.0  # by which the loop came back, the last two times
+        )  # seconds that moves took, and the number of these moves
+        self._lateness_s = 0.0, 0.0  # of the last two turns
         self._late_since = notified_at
         self._max_remaining = 0
         self._moved = 0
         self._last: tuple[float, float, Step] | None = None
 
     def arrivals_end_at(self, last_arrival: float) -> float:
-        """Clients go on coming for a while; each that the kernel has accepted counts as taken."""
+        """Returns the time until which arrivals are awaited, given the time of the last one.
+
+        Clients go on arriving for a while, and each that the kernel has accepted must be served.
+        """
         return min(max(self.notified_at, last_arrival), self.notified_at + 2 * ARRIVALS_S) + ARRIVALS_S
 
     @property
     def moves_per_s(self) -> float:
-        """Moves a second."""
+        """The measured pace of moves."""
         seconds, moves = self._cost
         return moves / seconds
 
     def set_passing_share(self, share: float) -> None:
-        """That part of the time goes into what passes on the connections that stand, before any moves."""
+        """Sets the share of the time spent on passing lines. Has an effect only before the first move."""
         if self._last is None:
             self._cost = (
                 PACE_WINDOW_MOVES / INITIAL_MOVES_PER_S / max(MIN_SPARE_SHARE, 1.0 - share),
@@ -100,12 +132,15 @@
             )
 
     def record_lateness(self, now: float, due: float) -> None:
-        """The loop did, when it was to at `due`: in a relay that has more lines to pass than it can, one turn
-        may take a second. Where hundreds stand, one stall does not make it such a relay."""
+        """Records that the event loop came back at `now` when it was due at `due`.
+
+        In a relay with more lines to pass than it can handle, one turn may take a second. With only hundreds
+        of connections, a single stall is no sign of such a relay, so the last two turns are kept.
+        """
         self._lateness_s = self._lateness_s[1], max(0.0, now - due)
 
     def moves_start_at(self, standing: int) -> float:
-        """When the first of so many moves; in the past if it is high time."""
+        """Returns the time of the first of `standing` moves; it is in the past if the moves are overdue."""
         if not self.moves_individually:
             return self.notified_at
         return max(self.notified_at, self.moves_end - max(MOVE_SPREAD_S, standing / self.moves_per_s))
@@ -145,8 +180,10 @@
         return Step(moves, now + gap, late if now - self._late_since >= MIN_FORECAST_S else 0)
 
     def _measure(self, now: float, worked_s: float) -> None:
-        """What a turn has cost: the work in it, or the time by which it came back late, when others had the
-        core meanwhile."""
+        """Adds the cost of the last turn to the measured pace.
+
+        The cost is the CPU time of the turn, or the delay of the loop if other processes used the core.
+        """
         if self._last is None:
             return
         at, worked_before, step = self._last
@@ -155,12 +192,19 @@
             return
         took_s = max(worked_s - worked_before, now - max(at, step.next_at) - SLEEP_OVERRUN_S)
         seconds, moves = self._cost
-        kept = PACE_WINDOW_MOVES / (moves + step.moves)  # the last few hundred count
+        kept = PACE_WINDOW_MOVES / (
+            moves + step.moves
+        )  # weight of the measurements so far: only the last few hundred moves count
         self._cost = (seconds + took_s) * kept, (moves + step.moves) * kept
 
 
-def move_order(standing: Mapping[Standing, float], short: bool) -> list[Standing]:
-    """Whose clients move first. Oldest first, which mixes the classes. When not all can be moved one by one,
-    those of the greatest worth (a driver's feed) come first: the last to be told are those that all return
-    at the same moment, or are cut within a line."""
-    return sorted(standing, key=lambda one: -standing[one]) if short else list(standing)
+def move_order(standing: Mapping[Standing, float], is_short_of_time: bool) -> list[Standing]:
+    """Returns the connections in the order in which their clients are moved.
+
+    `standing` maps each connection, oldest first, to its worth. Oldest first mixes the classes. If not all
+    can be moved one by one, the connections of the greatest worth come first: the clients that are moved last
+    all return at the same time, or are cut off in the middle of a line.
+    """
+    return (
+        sorted(standing, key=lambda connection: -standing[connection]) if is_short_of_time else list(standing)
+    )
--- a/glenfold/toml_file.py
+++ b/glenfold/toml_file.py
@@ -1,8 +1,9 @@
-"""TOML files whose every key has its line, and values checked against a Struct: one line for each fault.
+"""TOML files with the line number of every key, whose values are converted to a Struct.
 
-tomllib reads the values and refuses what is not TOML. No library tells on which line a key stands (tomlkit
-keeps the text, but moves the parts of an array of tables that others interrupt together, so that the lines
-of what it holds can't be counted); so a small scanner finds that in texts that tomllib has taken.
+Each error is reported in one line with the file, the line and the key. tomllib reads the values and refuses
+invalid TOML. No library tells the line of a key: tomlkit keeps the text, but joins the parts of an array of
+tables that other tables interrupt, so that lines can't be counted in what it holds. A small scanner therefore
+finds the lines in texts that tomllib has accepted.
 """
 
 import json
@@ -45,7 +46,10 @@
 
 
 class BadFile(click.ClickException):
-    """A file is at fault: one line, `FILE:LINE: key.path: reason`. Ends a command with status 2."""
+    """Raised when a file can't be read or is invalid.
+
+    The message is one line, `FILE:LINE: key.path: reason`. A command ends with status 2.
+    """
 
     exit_code = 2
 
@@ -61,7 +65,7 @@
 
 
 def format_key(key: Key) -> str:
-    """As in `faults[0].size`; parts that TOML would quote are quoted."""
+    """Returns the key as in `faults[0].size`; parts that need quotes in TOML are quoted."""
     text = ""
     for part in key:
         if isinstance(part, int):
@@ -78,25 +82,27 @@
         self.name, self.data, self.lines = name, data, lines
 
     def line(self, key: Key) -> int:
-        """Of that key, or else of the table or list that it belongs to."""
+        """Returns the line of the key, or of the nearest table or list around it that has one."""
         while key and key not in self.lines:
             key = key[:-1]
         return self.lines.get(key, 1)
 
     def error(self, key: Key, reason: str) -> BadFile:
+        """Returns an error at this key, to be raised."""
         return BadFile(self.name, reason, self.line(key), key)
 
     def convert(self, kind: type[T]) -> T:
-        """The values as that Struct; raises BadFile for the first that does not fit."""
+        """Returns the values as a Struct of type `kind`. Raises BadFile for the first that is invalid."""
         return convert(self, self.data, kind)
 
 
 def read(path: str | Path) -> TomlFile:
-    """Raises BadFile for what can't be read, is not UTF-8 or is not TOML."""
+    """Reads a file. Raises BadFile if it can't be read, or is not UTF-8 or not TOML."""
     return parse(read_text(path), str(path))
 
 
 def read_text(path: str | Path) -> str:
+    """Returns the text of a file. Raises BadFile if it can't be read or is not UTF-8."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -109,6 +115,7 @@
 
 
 def parse(text: str, name: str) -> TomlFile:
+    """Parses a text of the file `name`. Raises BadFile, also for infinite numbers and NaN."""
     file = scan(text, name)
     for key, value in leaves(file.data):
         if isinstance(value, float) and not math.isfinite(value):
@@ -117,7 +124,7 @@
 
 
 def scan(text: str, name: str) -> TomlFile:
-    """As `parse`, but it lets numbers that are not finite through."""
+    """Parses a text as `parse` does, but accepts infinite numbers and NaN."""
     try:
         data = tomllib.loads(text)
     except RecursionError as error:
@@ -130,7 +137,7 @@
 
 
 def leaves(value: Any, key: Key = ()) -> Iterator[tuple[Key, Any]]:
-    """All values that are neither tables nor lists, with their keys."""
+    """Yields all values that are neither tables nor lists, with their keys."""
     if isinstance(value, dict):
         for part, inner in value.items():
             yield from leaves(inner, (*key, part))
@@ -142,7 +149,7 @@
 
 
 class Scanner:
-    """Finds the line of each key, table and element of a list in a text that tomllib has taken."""
+    """Finds the line of each key, table and list element in a text that tomllib has accepted."""
 
     def __init__(self, text: str) -> None:
         self.lines: dict[Key, int] = {}
@@ -157,9 +164,9 @@
             if not self._take("["):
                 self._entry(table)
                 continue
-            many = self._take("[")
-            table = self._header(self._key(), many, line)
-            self._at += 1 + many
+            is_array = self._take("[")
+            table = self._header(self._key(), is_array, line)
+            self._at += 1 + is_array
 
     @staticmethod
     def _split(text: str) -> Iterator[tuple[str, int]]:
@@ -189,12 +196,12 @@
         self._at += 1
         return str(tomllib.loads(f"part = {text}")["part"]) if text[0] in "\"'" else text
 
-    def _header(self, parts: list[str], many: bool, line: int) -> Key:
+    def _header(self, parts: list[str], is_array: bool, line: int) -> Key:
         key: Key = ()
         for number, part in enumerate(parts):
             key = (*key, part)
             self.lines.setdefault(key, line)
-            if many and number == len(parts) - 1:
+            if is_array and number == len(parts) - 1:
                 self._last[key] = self._last.get(key, -1) + 1
             if key in self._last:
                 key = (*key, self._last[key])
@@ -230,6 +237,7 @@
 
 
 def convert(file: TomlFile, data: dict[str, Any], kind: type[T]) -> T:
+    """Returns `data` as a Struct of type `kind`. Raises BadFile for the first invalid value."""
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
@@ -237,7 +245,7 @@
 
 
 def _raise_file_error(file: TomlFile, data: dict[str, Any], kind: type, message: str) -> NoReturn:
-    """In an operator's words what msgspec says, with what would be right."""
+    """Raises BadFile, which restates an error of msgspec for operators with what would be right."""
     message, _, where = message.partition(" - at `$")
     key: Key = tuple(name or int(number) for name, number in re.findall(r"\.(\w+)|\[(\d+)\]", where))
     field = re.search(r"(unknown|required) field `([^`]*)`", message)
@@ -257,7 +265,7 @@
 
 
 def suggest_name(name: str, known: list[str]) -> str:
-    """What could have been suggestion by a name that is not known."""
+    """Returns a hint for an unknown name: the closest known name, or all known names."""
     close = get_close_matches(name, known, 1)
     return f"did you mean {close[0]!r}?" if close else "known are " + ", ".join(known)
 
@@ -278,12 +286,13 @@
 
 
 def shorten(value: Any) -> str:
+    """Returns the value as JSON of up to 40 characters."""
     text = json.dumps(value, default=str)
     return text if len(text) <= 40 else text[:37] + "..."
 
 
 def type_at(type_info: inspect.Type, key: Key) -> inspect.Type:
-    """The type that the value under this key should have."""
+    """Returns the type that the value under this key should have."""
     for part in key:
         type_info = _unwrap(type_info)
         if isinstance(type_info, inspect.StructType):
@@ -294,7 +303,10 @@
 
 
 def _unwrap(type_info: inspect.Type) -> inspect.Type:
-    """Of a type or a tuple, that tuple: no other unions of two hold anything that is looked into."""
+    """Returns the type without its metadata, and the tuple of a union of a type and a tuple.
+
+    Of other unions the first type is returned, as none of them has parts that keys refer to.
+    """
     if isinstance(type_info, inspect.Metadata):
         return _unwrap(type_info.type)
     if isinstance(type_info, inspect.UnionType):
