--- a/glenfold/lines.py
+++ b/glenfold/lines.py
@@ -7,7 +7,7 @@
 # Longest wait of a first line, unless a class has a longer deadline. A connection that was established before
 # has 40 s to come up.
 MAX_WAIT_MS = 60_000
-MAX_LOAD = 1e9  # microseconds of work a second: a thousand standard cores
+MAX_LOAD_US_PER_S = 1e9  # microseconds of work a second, as of a thousand standard cores
 LINE_END = b"\r\n"
 
 PING = b"PING"
@@ -83,7 +83,7 @@
 
     def load(self) -> int | None:
         """Returns the client's estimate of its load; None if it gives none that is valid."""
-        load = read_load(self.parameters.get(b"h", b""))
+        load = parse_load(self.parameters.get(b"h", b""))
         return None if load is None else int(load)
 
     def with_wait(self, wait_ms: int) -> list[memoryview]:
@@ -141,7 +141,7 @@
     return OpenLine(view, bytes(view[id_at : key_at - 1]), key, wait_ms, wait_span, parameters)
 
 
-def busy(wait_us: int) -> bytes:
+def busy_line(wait_us: int) -> bytes:
     """Returns a BUSY line with the wait in milliseconds, which is left out if it is below 1 ms."""
     return b"BUSY %d\r\n" % (wait_us // 1000) if wait_us >= 1000 else b"BUSY\r\n"
 
@@ -156,8 +156,8 @@
     return remaining
 
 
-def read_load(text: bytes) -> float | None:
-    """Returns a load in microseconds of work a second; None if it is not a number from 0 to MAX_LOAD.
+def parse_load(text: bytes) -> float | None:
+    """Returns a load in microseconds of work a second; None if it is not between 0 and the maximum.
 
     A single NaN or an excessive value would spoil every sum of loads that includes it.
     """
@@ -165,7 +165,7 @@
         load = float(text)
     except ValueError:
         return None
-    return load if 0 <= load <= MAX_LOAD else None
+    return load if 0 <= load <= MAX_LOAD_US_PER_S else None
 
 
 class LineTracker:
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -156,7 +156,7 @@
 
     def _busy(self) -> bytes:
         settings = self._relay.config.settings
-        return lines.busy(settings.max_retry_after_us if settings.may_retry_after else 0)
+        return lines.busy_line(settings.max_retry_after_us if settings.may_retry_after else 0)
 
     async def _connection(self, sock: SocketType, scope: trio.CancelScope) -> None:
         """One connection's fault ends that connection, and is logged."""
@@ -389,7 +389,7 @@
                     await self._answer(receipt)
                 case r.AnswerRefused(wait_us):
                     counters.answered_busy += 1
-                    await self._answer(lines.busy(wait_us))
+                    await self._answer(lines.busy_line(wait_us))
                 case r.AnswerFailed():
                     counters.answered_failed += 1
                     await self._answer(lines.FAILED)
--- a/glenfold/net/passing.py
+++ b/glenfold/net/passing.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from glenfold.lines import MOVE, LineTracker, read_load
+from glenfold.lines import MOVE, LineTracker, parse_load
 from glenfold.net.sockets import SocketType, finish, reset_on_close, send, send_now
 from linnetspread.interface import Outcome
 
@@ -190,7 +190,7 @@
             if word in (b"BYE", b"MOVE"):
                 self._said = word
             elif word == b"LOAD":
-                load = read_load(rest)
+                load = parse_load(rest)
                 if load is None:
                     return self._end(Outcome.ERROR)
                 await self._load_heard(load)
--- a/glenfold/request.py
+++ b/glenfold/request.py
@@ -139,7 +139,7 @@
 class RequestState:
     """The state of one request. Times are in microseconds."""
 
-    __slots__ = ("number", "deadline_us", "phase", "server", "_attempt", "_sent_us", "_is_bound")
+    __slots__ = ("number", "deadline_us", "phase", "server", "_attempt", "_started_us", "_is_bound")
 
     def __init__(self, number: int, deadline_us: int) -> None:
         self.number = number
@@ -147,7 +147,7 @@
         self.phase = Phase.DECIDING
         self._attempt = -1
         self.server = 0
-        self._sent_us = 0
+        self._started_us = 0
         self._is_bound = False  # established at a server before: no other may be tried
 
     def resume(self, server: int, now_us: int) -> list[Effect]:
@@ -202,11 +202,11 @@
     def _start(self, server: int, deadline_us: int, now_us: int) -> list[Effect]:
         self.phase = Phase.CALLING
         self._attempt += 1
-        self.server, self._sent_us = server, now_us
+        self.server, self._started_us = server, now_us
         return [StartCall(server, deadline_us)]
 
     def _ended(self, outcome: interface.Outcome, now_us: int, done: bool) -> Report:
-        elapsed = now_us - self._sent_us
+        elapsed = now_us - self._started_us
         return Report(interface.Answer(self.number, self._attempt, self.server, outcome, elapsed, done))
 
     def _give_up(self, answer: AnswerRefused | AnswerFailed, now_us: int) -> list[Effect]:
@@ -227,7 +227,7 @@
         if self.phase is not Phase.CALLING:
             return [DropCall()]
         self.phase = Phase.STANDING
-        elapsed = max(0, received_us - self._sent_us)
+        elapsed = max(0, received_us - self._started_us)
         up = interface.Established(self.number, self._attempt, self.server, elapsed)
         return [AnswerUp(receipt), Report(up)]
 
--- a/glenfold/toml_file.py
+++ b/glenfold/toml_file.py
@@ -238,7 +238,7 @@
                 self._position += 1
 
 
-# ---- values against a Struct -------------------------------------------------------------------
+# ---- conversion of values to a Struct -----------------------------------------------------------
 
 
 def convert(file: TomlFile, data: dict[str, Any], kind: type[T]) -> T:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -198,8 +198,8 @@
 
 @pytest.mark.parametrize("load", [b"nan", b"inf", b"-1", b"much", b"1e300"])
 def test_a_load_that_is_no_load_never_reaches_the_decisions(load: bytes) -> None:
-    assert lines.read_load(load) is None
-    assert lines.read_load(b"20205.057") == 20205.057
+    assert lines.parse_load(load) is None
+    assert lines.parse_load(b"20205.057") == 20205.057
 
 
 def test_a_refusal_comes_at_once_and_says_when_to_come_again(conf: Config) -> None:
