--- a/glenfold/net/discovery.py
+++ b/glenfold/net/discovery.py
@@ -120,7 +120,7 @@
         has not sent a list yet, or whose last list was invalid.
         """
         wait_s, busy, started_at = 0.0, False, -math.inf
-        if self._destinations.listed:  # a relay that has a list can wait for its turn
+        if self._destinations.has_list:  # a relay that has a list can wait for its turn
             self._version_source = self._address
             wait_s = self._backoff.first_s(self._first_within_s)
         while True:
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -104,7 +104,7 @@
         self._names = relay.config.names
         self._counters = relay.counters
         self._max_wait_ms = max(
-            lines.MOST_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
+            lines.MAX_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
         )
         # Clients without a complete first line, oldest first.
         self._waiting: dict[SocketType, trio.CancelScope] = {}
@@ -173,7 +173,7 @@
 
     def _busy(self) -> bytes:
         settings = self._relay.config.settings
-        return lines.busy(settings.max_retry_after_us if settings.may_retry_after else 0)
+        return lines.busy_line(settings.max_retry_after_us if settings.may_retry_after else 0)
 
     async def _connection(self, sock: SocketType, scope: trio.CancelScope) -> None:
         """Handles one connection to its end; an error ends only this connection and is logged."""
@@ -203,7 +203,7 @@
                 end = await self._first_line(sock, buffer)
             self._waiting.pop(sock, None)
             if scope.cancelled_caught:  # the line may have arrived as the wait was cancelled
-                buffer.wrote(receive_now(sock, buffer.room()))
+                buffer.mark_filled(receive_now(sock, buffer.free_space()))
                 end = buffer.line_end()
             if end is None:
                 if scope.cancelled_caught:
@@ -262,15 +262,15 @@
         """
         while True:
             while (end := buffer.line_end()) is None:
-                count = await sock.recv_into(buffer.room())
+                count = await sock.recv_into(buffer.free_space())
                 if not count and buffer.filled:
                     raise lines.Malformed("the connection ended before the first line was complete")
                 if not count:
                     return None
-                buffer.wrote(count)
-            if buffer.data[:end] != lines.PING + lines.END:
+                buffer.mark_filled(count)
+            if buffer.data[:end] != lines.PING + lines.LINE_END:
                 return end
-            buffer.drop(end)
+            buffer.discard(end)
             self._counters.pings += 1
             await self._relay.ready.wait()
             await send(sock, lines.PONG)
@@ -278,7 +278,12 @@
     def _make_exchange(self, sock: SocketType, buffer: lines.LineBuffer, end: int) -> "Exchange":
         first = lines.parse_open(buffer.data, end, self._max_wait_ms)
         exchange = Exchange(
-            self._relay, sock, first, self._request(first), buffer.after(end), self._existing_server_of(first)
+            self._relay,
+            sock,
+            first,
+            self._request(first),
+            buffer.bytes_after(end),
+            self._existing_server_of(first),
         )
         if exchange.is_continuation:
             # Its client may send early, and its id may still be in use by its former connection.
@@ -313,9 +318,9 @@
 
     def _existing_server_of(self, first: lines.OpenLine) -> int | None:
         """Returns the server named by a client whose connection stood before this relay started, or None."""
-        if b"at" not in first.figures:
+        if b"at" not in first.parameters:
             return None
-        server = self._relay.destinations.numbered(first.text(b"at"))
+        server = self._relay.destinations.number_of_host(first.text(b"at"))
         if server is None:
             raise lines.Malformed("the server of an existing connection is unknown")
         return server
@@ -346,7 +351,7 @@
         self.is_continuation = event.mid_flow or existing_server is not None  # its connection began elsewhere
         self._deadline_us = relay.clock.now_us() + event.expires_in_us
         self._state = request.RequestState(event.request, self._deadline_us)
-        self._inbox_sender, self._inbox_receiver = trio.open_memory_channel[request.Incident](INBOX_CAPACITY)
+        self._inbox_sender, self._inbox_receiver = trio.open_memory_channel[request.Input](INBOX_CAPACITY)
         self._call: OutboundCall | None = None
 
     async def run(self) -> None:
@@ -373,10 +378,10 @@
                 del relay.ids[self._first.id]
             if self._call is not None:
                 self._call.close()
-            for effect in self._state.on(request.ClientGone(), relay.clock.now_us()):
+            for effect in self._state.on(request.ClientDisconnected(), relay.clock.now_us()):
                 if isinstance(effect, request.Report):
-                    await relay.decisions.tell(effect.event)
-            await relay.decisions.tell(Closed(self._request.request))
+                    await relay.decisions.submit(effect.event)
+            await relay.decisions.submit(Closed(self._request.request))
 
     async def _run_until_answered(self) -> bytes | None:
         """Returns the receipt of the server that accepted the request, after it was sent to the client.
@@ -385,17 +390,17 @@
         """
         server = self._existing_server
         taken = self._request if server is None else interface.Existing(self._request, server)
-        await self._relay.decisions.tell(Taken(taken, self._inbox_sender.clone()))
+        await self._relay.decisions.submit(Taken(taken, self._inbox_sender.clone()))
         receipt = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_client)
             if server is not None:
                 await self._carry_out(self._state.resume(server, self._relay.clock.now_us()), nursery)
-            while self._state.phase in (request.Phase.TAKEN, request.Phase.CALLING):
-                step_input: request.Incident = request.DeadlinePassed()
+            while self._state.phase in (request.Phase.DECIDING, request.Phase.CALLING):
+                step_input: request.Input = request.DeadlinePassed()
                 with self._relay.time_limit(self._relay.clock.to_trio(self._deadline_us)):
                     step_input = await self._inbox_receiver.receive()
-                self._relay.counters.left += isinstance(step_input, request.ClientGone)
+                self._relay.counters.left += isinstance(step_input, request.ClientDisconnected)
                 effects = self._state.on(step_input, self._relay.clock.now_us())
                 await self._carry_out(effects, nursery)
                 if isinstance(step_input, request.CallUp) and self._state.phase is request.Phase.STANDING:
@@ -420,12 +425,12 @@
                     await self._answer(receipt)
                 case request.AnswerRefused(wait_us):
                     counters.answered_busy += 1
-                    await self._answer(lines.busy(wait_us))
+                    await self._answer(lines.busy_line(wait_us))
                 case request.AnswerFailed():
                     counters.answered_failed += 1
                     await self._answer(lines.FAILED)
                 case request.Report(event):
-                    await self._relay.decisions.tell(event)
+                    await self._relay.decisions.submit(event)
                 case request.MoveClient():
                     pass  # applies to standing connections only, which have a task of their own
 
@@ -442,19 +447,19 @@
         send early, and any other client may send once it has its answer, possibly before this task is
         cancelled.
         """
-        while len(self._early) < lines.MAX_LINE:
+        while len(self._early) < lines.MAX_LINE_BYTES:
             try:
-                data = await self._sock.recv(lines.MAX_LINE)
+                data = await self._sock.recv(lines.MAX_LINE_BYTES)
             except OSError:
                 data = b""
             self._early += data
             if not data:
-                return await self._inbox_sender.send(request.ClientGone())
+                return await self._inbox_sender.send(request.ClientDisconnected())
             if not self.is_continuation:
-                return await self._inbox_sender.send(request.ClientSpoke())
+                return await self._inbox_sender.send(request.ClientSentEarly())
         while not hung_up(self._sock):  # no more is read before UP, and the end is behind unread data
             await trio.sleep_until(trio.current_time() + HANGUP_POLL_S)
-        await self._inbox_sender.send(request.ClientGone())
+        await self._inbox_sender.send(request.ClientDisconnected())
 
     def _check_before_send(self, server: int, drained_after: float) -> CallFailure | None:
         """Returns why the line must not be sent to `server`, or None.
@@ -464,7 +469,7 @@
         if (left := self._departed_client()) is not None:
             self._relay.counters.left_unsent += 1
             return left
-        if self._existing_server is not None or self._relay.destinations.ready(server):
+        if self._existing_server is not None or self._relay.destinations.is_ready(server):
             return None
         # A draining server refuses new connections. It accepts one in mid-flow during the drain grace, of
         # which half is used here.
@@ -473,16 +478,16 @@
             return None
         return request.CallEnded(interface.Outcome.CONNECT_FAILED)
 
-    def _departed_client(self) -> request.ClientGone | request.ClientSpoke | None:
+    def _departed_client(self) -> request.ClientDisconnected | request.ClientSentEarly | None:
         """Returns why the client is not worth an attempt, or None.
 
         The end of a client's stream can't be seen behind a flood of data, so a flood counts as an end. A
         client whose connection stands already at a server is exempt: it has no other attempt.
         """
         if hung_up(self._sock):
-            return request.ClientGone()
-        floods = len(self._early) >= lines.MAX_LINE and unread_bytes(self._sock) > MAX_UNREAD_BYTES
-        return request.ClientSpoke() if floods and self._existing_server is None else None
+            return request.ClientDisconnected()
+        floods = len(self._early) >= lines.MAX_LINE_BYTES and unread_bytes(self._sock) > MAX_UNREAD_BYTES
+        return request.ClientSentEarly() if floods and self._existing_server is None else None
 
     def _new_call(self, server: int, deadline_us: int) -> OutboundCall | None:
         address = self._relay.destinations.address(server)
@@ -525,10 +530,10 @@
             )
         for effect in state.on(request.ConnectionEnded(standing_connection.outcome), relay.clock.now_us()):
             if isinstance(effect, request.Report):
-                await relay.decisions.tell(effect.event)
+                await relay.decisions.submit(effect.event)
 
     async def _on_load(self, load: float) -> None:
-        await self._relay.decisions.tell(self._state.notice(interface.NoticeKind.LOAD, load))
+        await self._relay.decisions.submit(self._state.notice(interface.NoticeKind.LOAD, load))
 
     async def _move_on_request(self, standing_connection: StandingConnection) -> None:
         while True:
@@ -539,4 +544,4 @@
                 elif isinstance(
                     effect, request.Report
                 ):  # the end of the client was seen while the call came up
-                    await self._relay.decisions.tell(effect.event)
+                    await self._relay.decisions.submit(effect.event)
--- a/glenfold/net/lists.py
+++ b/glenfold/net/lists.py
@@ -25,7 +25,7 @@
     again. Returns the new value for it.
     """
     counters.lists += 1
-    for problem in destinations.faults:
+    for problem in destinations.problems:
         counters.bad_entries += 1
         if problem != last_reported:
             events.list_entry_left_out(fault=problem)
--- a/glenfold/net/outbound.py
+++ b/glenfold/net/outbound.py
@@ -8,12 +8,12 @@
 
 from glenfold.clock import SECOND_US
 from glenfold.config import Address
-from glenfold.lines import END, LineBuffer, Malformed, OpenLine
+from glenfold.lines import LINE_END, LineBuffer, Malformed, OpenLine
 from glenfold.net.sockets import KernelTimes, SocketType, kernel_times, send_pieces, without_delay
-from glenfold.request import CallEnded, CallUp, ClientGone, ClientSpoke
+from glenfold.request import CallEnded, CallUp, ClientDisconnected, ClientSentEarly
 from linnetspread.interface import Outcome
 
-CallFailure = CallEnded | ClientGone | ClientSpoke  # Every result of a call other than CallUp.
+CallFailure = CallEnded | ClientDisconnected | ClientSentEarly  # Every result of a call other than CallUp.
 MIN_STALL_S = 0.01  # The kernel's figures, in milliseconds and ticks, are too coarse below this.
 
 
@@ -106,11 +106,11 @@
     async def _reply(self, sock: SocketType) -> CallUp | CallEnded:
         buffer = LineBuffer()
         while (end := buffer.line_end()) is None:
-            count = await sock.recv_into(buffer.room())
+            count = await sock.recv_into(buffer.free_space())
             if not count:
                 return CallEnded(Outcome.RESET)
-            buffer.wrote(count)
-        word, _, rest = bytes(buffer.data[: end - len(END)]).partition(b" ")
+            buffer.mark_filled(count)
+        word, _, rest = bytes(buffer.data[: end - len(LINE_END)]).partition(b" ")
         if word == b"UP" and rest:
             stalled = compute_stall_s(self._written_at - self._started_at, kernel_times(sock))
             return CallUp(bytes(buffer.data[: buffer.filled]), round(stalled * SECOND_US))
--- a/glenfold/net/sockets.py
+++ b/glenfold/net/sockets.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from glenfold.lines import unsent
+from glenfold.lines import remaining_pieces
 
 SocketType = trio.socket.SocketType
 
@@ -29,7 +29,7 @@
     """Sends all of `pieces` with gathered writes."""
     left = list(pieces)
     while left:
-        left = unsent(left, await sock.sendmsg(left))
+        left = remaining_pieces(left, await sock.sendmsg(left))
 
 
 async def send(sock: SocketType, data: bytes) -> None:
--- a/glenfold/request.py
+++ b/glenfold/request.py
@@ -1,30 +1,36 @@
-"""The states of one request, without I/O: what comes in, and what has to be done about it.
+"""The state machine of one request, without I/O: inputs come in, and effects to carry out are returned.
 
-Whatever races, there is one final answer and at most one outbound call out. Nothing here knows the line
-protocol: an answer is UP, a refusal or a failure, and the inbound side words it.
+In whatever order inputs arrive, there is one final answer and at most one outbound call at a time. This
+module does not depend on the line protocol: an answer is UP, a refusal or a failure, and the inbound side
+encodes it.
 """
 
 from dataclasses import dataclass
 from enum import Enum, auto
 
 from glenfold.dispatch import RequestAction
-from linnetspread import interface as i
+from linnetspread import interface
 
 
 class Phase(Enum):
-    TAKEN = auto()  # the decisions have it
-    CALLING = auto()  # an outbound call is out
-    STANDING = auto()  # up
-    OVER = auto()
+    """The phases of a request."""
 
+    DECIDING = auto()  # waiting for the decisions
+    CALLING = auto()  # an outbound call is under way
+    STANDING = auto()  # answered UP, and the connection stays open
+    FINISHED = auto()
 
-# ---- what comes in, besides the actions of the decisions ----
+
+# ---- inputs other than the actions of the decisions ----
 
 
 @dataclass(frozen=True, slots=True)
 class CallUp:
-    """The server took it; `receipt` is its line, with whatever came right behind it. `stalled_us`: how long
-    the relay itself kept the call waiting, which must not look like a slow server."""
+    """The server accepted the connection.
+
+    `receipt` is the server's line, with any bytes received together with it. `stalled_us` is the time in
+    microseconds for which the relay itself delayed the call, which must not count as a slow server.
+    """
 
     receipt: bytes
     stalled_us: int = 0
@@ -32,172 +38,213 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    outcome: i.Outcome
+    """The outbound call failed."""
+
+    outcome: interface.Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
+    """The client closed its connection."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class ClientSpoke:
-    """Before its answer, for which it should have waited."""
+class ClientSentEarly:
+    """The client sent more data before its answer, which the protocol forbids."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
+    """The deadline of the request has passed."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """The standing connection is over."""
+    """The standing connection has ended."""
 
-    outcome: i.Outcome
+    outcome: interface.Outcome
 
 
-Incident = RequestAction | CallUp | CallEnded | ClientGone | ClientSpoke | DeadlinePassed | ConnectionEnded
+Input = (
+    RequestAction
+    | CallUp
+    | CallEnded
+    | ClientDisconnected
+    | ClientSentEarly
+    | DeadlinePassed
+    | ConnectionEnded
+)
 
 
-# ---- what is to be done ----
+# ---- effects ----
 
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
+    """Start an outbound call to the server."""
+
     server: int
     deadline_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class DropCall:
+    """Close the outbound call."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerUp:
+    """Answer the client with UP."""
+
     receipt: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerRefused:
+    """Answer the client with BUSY and the wait."""
+
     wait_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFailed:
+    """Answer the client with ERR."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class MoveClient:
+    """Send MOVE to the client."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """An event for the decisions."""
+    """Pass an event to the decisions."""
 
-    event: i.Event
+    event: interface.Event
 
 
 Effect = StartCall | DropCall | AnswerUp | AnswerRefused | AnswerFailed | MoveClient | Report
 
 
 class RequestState:
-    __slots__ = ("number", "deadline_us", "phase", "server", "_attempt", "_sent_us", "_bound")
+    """The state of one request. Times are in microseconds."""
+
+    __slots__ = ("number", "deadline_us", "phase", "server", "_attempt", "_started_us", "_is_bound")
 
     def __init__(self, number: int, deadline_us: int) -> None:
         self.number = number
         self.deadline_us = deadline_us
-        self.phase = Phase.TAKEN
+        self.phase = Phase.DECIDING
         self._attempt = -1
         self.server = 0
-        self._sent_us = 0
-        self._bound = False  # stands at one server already: no other may be tried
+        self._started_us = 0
+        self._is_bound = False  # established at a server before: no other may be tried
 
     def resume(self, server: int, now_us: int) -> list[Effect]:
-        """A connection that stood at this server before the relay did: its attempt 0 counts as made."""
-        self._bound = True
+        """Resumes a connection that was established at this server before the relay started, as attempt 0."""
+        self._is_bound = True
         return self._start(server, self.deadline_us, now_us)
 
-    def notice(self, kind: i.NoticeKind, amount: float) -> i.Notice:
-        """News of the standing connection, for the decisions."""
-        return i.Notice(self.number, self._attempt, self.server, kind, amount)
+    def notice(self, kind: interface.NoticeKind, amount: float) -> interface.Notice:
+        """Returns a notice about the standing connection for the decisions."""
+        return interface.Notice(self.number, self._attempt, self.server, kind, amount)
 
-    def on(self, incident: Incident, now_us: int) -> list[Effect]:
-        match incident:
-            case i.Attempt(_, server, timeout_us):
-                if self.phase is Phase.TAKEN:
+    def on(self, event_input: Input, now_us: int) -> list[Effect]:
+        """Handles one input and returns the effects to carry out, in order."""
+        match event_input:
+            case interface.Attempt(_, server, timeout_us):
+                if self.phase is Phase.DECIDING:
                     return self._start(server, min(self.deadline_us, now_us + timeout_us), now_us)
-                # Never a second call beside one that is out, and none after the final answer.
+                # There is never a second call beside one that is under way, and none after the final answer.
                 self._attempt += 1
                 done = self.phase is not Phase.CALLING
-                return [Report(i.Answer(self.number, self._attempt, server, i.Outcome.MOOT, 0, done))]
-            case i.Refuse(_, wait_us):
+                return [
+                    Report(
+                        interface.Answer(self.number, self._attempt, server, interface.Outcome.MOOT, 0, done)
+                    )
+                ]
+            case interface.Refuse(_, wait_us):
                 return self._give_up(AnswerRefused(wait_us), now_us)
-            case i.Fail():
+            case interface.Fail():
                 return self._give_up(AnswerFailed(), now_us)
-            case i.Cancel():
+            case interface.Cancel():
                 if self.phase is not Phase.CALLING:
                     return []
-                self.phase = Phase.TAKEN
-                return [DropCall(), self._ended(i.Outcome.CANCELLED, now_us, False)]
-            case i.Move():
+                self.phase = Phase.DECIDING
+                return [DropCall(), self._ended(interface.Outcome.CANCELLED, now_us, False)]
+            case interface.Move():
                 return [MoveClient()] if self.phase is Phase.STANDING else []
             case CallUp(receipt, stalled_us):
-                return self._up(receipt, now_us - stalled_us)
+                return self._call_up(receipt, now_us - stalled_us)
             case CallEnded(outcome):
                 return self._call_ended(outcome, now_us)
-            case ClientGone():
-                return self._client_gone(now_us)
-            case DeadlinePassed() | ClientSpoke():
+            case ClientDisconnected():
+                return self._client_disconnected(now_us)
+            case DeadlinePassed() | ClientSentEarly():
                 answer = self._give_up(AnswerFailed(), now_us)
-                return [*answer, Report(i.ClientLeft(self.number))] if answer else []
+                return [*answer, Report(interface.ClientLeft(self.number))] if answer else []
             case ConnectionEnded(outcome):
                 if self.phase is not Phase.STANDING:
                     return []
-                self.phase = Phase.OVER
+                self.phase = Phase.FINISHED
                 return [self._ended(outcome, now_us, True)]
 
     def _start(self, server: int, deadline_us: int, now_us: int) -> list[Effect]:
         self.phase = Phase.CALLING
         self._attempt += 1
-        self.server, self._sent_us = server, now_us
+        self.server, self._started_us = server, now_us
         return [StartCall(server, deadline_us)]
 
-    def _ended(self, outcome: i.Outcome, now_us: int, done: bool) -> Report:
-        elapsed = now_us - self._sent_us
-        return Report(i.Answer(self.number, self._attempt, self.server, outcome, elapsed, done))
+    def _ended(self, outcome: interface.Outcome, now_us: int, done: bool) -> Report:
+        elapsed = now_us - self._started_us
+        return Report(interface.Answer(self.number, self._attempt, self.server, outcome, elapsed, done))
 
     def _give_up(self, answer: AnswerRefused | AnswerFailed, now_us: int) -> list[Effect]:
         before, calling = self.phase, self.phase is Phase.CALLING
-        if before in (Phase.STANDING, Phase.OVER):  # a call came up, or the client left, just before
+        # The call came up, or the client disconnected, just before.
+        if before in (Phase.STANDING, Phase.FINISHED):
             return []
-        self.phase = Phase.OVER
-        # The answer first: it is due at once, and closing the call takes no time that matters to it.
-        return [answer, DropCall(), self._ended(i.Outcome.CANCELLED, now_us, True)] if calling else [answer]
-
-    def _up(self, receipt: bytes, came_us: int) -> list[Effect]:
-        if self.phase is not Phase.CALLING:  # it raced the final answer: it must not become a second one
+        self.phase = Phase.FINISHED
+        # The answer goes first, as it is due at once; closing the call can wait.
+        return (
+            [answer, DropCall(), self._ended(interface.Outcome.CANCELLED, now_us, True)]
+            if calling
+            else [answer]
+        )
+
+    def _call_up(self, receipt: bytes, received_us: int) -> list[Effect]:
+        # The final answer came first, so UP must not become a second answer.
+        if self.phase is not Phase.CALLING:
             return [DropCall()]
         self.phase = Phase.STANDING
-        elapsed = max(0, came_us - self._sent_us)
-        up = i.Established(self.number, self._attempt, self.server, elapsed)
+        elapsed = max(0, received_us - self._started_us)
+        up = interface.Established(self.number, self._attempt, self.server, elapsed)
         return [AnswerUp(receipt), Report(up)]
 
-    def _call_ended(self, outcome: i.Outcome, now_us: int) -> list[Effect]:
+    def _call_ended(self, outcome: interface.Outcome, now_us: int) -> list[Effect]:
         if self.phase is not Phase.CALLING:
             return []
-        self.phase = Phase.OVER if self._bound else Phase.TAKEN
-        ended = self._ended(outcome, now_us, self._bound)
-        return [AnswerFailed(), ended] if self._bound else [ended]
-
-    def _client_gone(self, now_us: int) -> list[Effect]:
-        before, self.phase = self.phase, Phase.OVER
-        left: list[Effect] = [] if before is Phase.OVER else [Report(i.ClientLeft(self.number))]
+        self.phase = Phase.FINISHED if self._is_bound else Phase.DECIDING
+        ended = self._ended(outcome, now_us, self._is_bound)
+        return [AnswerFailed(), ended] if self._is_bound else [ended]
+
+    def _client_disconnected(self, now_us: int) -> list[Effect]:
+        before, self.phase = self.phase, Phase.FINISHED
+        effects: list[Effect] = (
+            [] if before is Phase.FINISHED else [Report(interface.ClientLeft(self.number))]
+        )
         if before is Phase.CALLING:
-            left.append(DropCall())
+            effects.append(DropCall())
         if before in (Phase.CALLING, Phase.STANDING):
-            left.append(self._ended(i.Outcome.CANCELLED, now_us, True))
-        return left
+            effects.append(self._ended(interface.Outcome.CANCELLED, now_us, True))
+        return effects
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -140,7 +140,7 @@
     silent_server = SilentServer()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = connect_with(port, line + b"M" * 3 * lines.MAX_LINE)
+        stream = connect_with(port, line + b"M" * 3 * lines.MAX_LINE_BYTES)
         await trio.testing.wait_all_tasks_blocked(0.005)
         await trio.sleep(after_s)
         disconnect(stream, how)
@@ -198,7 +198,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.reached, self.go_on = trio.Event(), trio.Event()
-        tell = Decisions.tell
+        tell = Decisions.submit
 
         async def blocked(decisions: Decisions, message: Any) -> None:
             if isinstance(message, interface.Established):
@@ -206,7 +206,7 @@
                 await self.go_on.wait()
             await tell(decisions, message)
 
-        monkeypatch.setattr(Decisions, "tell", blocked)
+        monkeypatch.setattr(Decisions, "submit", blocked)
 
 
 async def up_and_echo(stream: trio.SocketStream) -> None:
@@ -292,7 +292,7 @@
     silent_server, clock, relays = SilentServer(), trio.testing.MockClock(), list[Relay]()
 
     def drain() -> None:
-        records = relays[0].destinations.state().known
+        records = relays[0].destinations.state().destinations
         host, port = next(iter(records.values())).address
         # The decisions have not received this change yet.
         relays[0].destinations.read(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -216,7 +216,7 @@
     faulty, repeated, leaving = entry("s-bad") | {"dial": "nowhere"}, entry("s-7"), entry("s-8")
     server_list = destinations.read(whole(*entries, faulty, repeated, leaving | {"health": "terminating"}))
     assert len(destinations.servers()) == 1024
-    assert [("nowhere" in fault, "s-7 " in fault, "s-8 " in fault) for fault in destinations.faults] == [
+    assert [("nowhere" in fault, "s-7 " in fault, "s-8 " in fault) for fault in destinations.problems] == [
         (True, False, False),
         (False, True, False),
         (False, False, True),
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -241,7 +241,7 @@
     after = stopping.connect(with_id(LONG_WAIT_OPEN, 2))
     await stopping.finishing.wait()
     # This MOVE has no meaning now; it only restarts the wait of the first request.
-    stopping.process.relay.decisions._pass_on(interface.Move(1))
+    stopping.process.relay.decisions._send_action(interface.Move(1))
     for stream in (before, after):
         assert (await read_line(stream)).split()[0] in (b"ERR", b"BUSY")
         assert trio.current_time() - started_at < 0.9
@@ -287,7 +287,7 @@
 
     async def answer(exchange: Exchange, line: bytes) -> None:
         await real(exchange, line)
-        while trio.current_time() < stopping.process.relay.answers_end + 0.16:  # past `leave_at`
+        while trio.current_time() < stopping.process.relay.answers_end + 0.16:  # past `exit_at`
             await trio.lowlevel.checkpoint()
 
     monkeypatch.setattr(Exchange, "_answer", answer)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,36 +21,36 @@
 from relaying import OPEN, accept_and_echo, read_line, relay
 
 from glenfold.daemon.process import Process, finish_taken
-from glenfold.leaving import Leaving, in_order
 from glenfold.lines import MOVE
 from glenfold.net import passing
 from glenfold.net.inbound import Relay
+from glenfold.shutdown import ShutdownSchedule, move_order
 from linnetspread import interface
 
 PASS_THROUGH = interface.Settings(pass_through=True, classes=(interface.RequestClass(deadline_us=3_000_000),))
 
 
 def simulated_moves(
-    leaving: Leaving, standing: int, cost: float, begin: float = 0.0, turn_s: float = 0.0
+    leaving: ShutdownSchedule, standing: int, cost: float, begin: float = 0.0, turn_s: float = 0.0
 ) -> tuple[list[float], int]:
     """Returns the time of each move, and how many the final sweep makes.
 
     Each move takes `cost` seconds of processor time, each turn of the event loop at least `turn_s`.
     """
-    now, worked_s, move_times, sweep_size = max(begin, leaving.moves_from(standing)), 0.0, [], 0
+    now, worked_s, move_times, sweep_size = max(begin, leaving.moves_start_at(standing)), 0.0, [], 0
     while len(move_times) < standing:
         step = leaving.step(now, worked_s, standing - len(move_times))
         assert 0 < step.moves <= standing - len(move_times)
         sweep_size = step.moves if step.sweep else 0
         move_times += [now] * step.moves
         worked_s += step.moves * cost
-        now = max(step.again_at, now + max(turn_s, step.moves * cost))
+        now = max(step.next_at, now + max(turn_s, step.moves * cost))
     return move_times, sweep_size
 
 
 @given(st.integers(1, 700), st.floats(0, 0.0005))
 def test_hundreds_of_moves_are_spread_evenly(standing: int, cost: float) -> None:
-    move_times, _ = simulated_moves(Leaving(10.0, PASS_THROUGH), standing, cost)
+    move_times, _ = simulated_moves(ShutdownSchedule(10.0, PASS_THROUGH), standing, cost)
     now, expected = 13.4 - 0.3 - 1.5, []
     for remaining in range(standing, 0, -1):
         expected.append(now)
@@ -62,11 +62,11 @@
 def test_no_move_comes_after_the_end_however_many_and_expensive_they_are(
     standing: int, cost: float, pass_through: bool, deadline_s: float
 ) -> None:
-    leaving = Leaving(0.0, replace(PASS_THROUGH, pass_through=pass_through), deadline_s)
+    leaving = ShutdownSchedule(0.0, replace(PASS_THROUGH, pass_through=pass_through), deadline_s)
     move_times, sweep_size = simulated_moves(leaving, standing, cost)
     # One turn may begin just before the sweep, and the cost of the first two turns is not known in advance.
-    assert move_times[-1] <= max(leaving.leave_at + 64 * cost, move_times[0] + 2 * 250 * cost) + 1e-6
-    assert not sweep_size or leaving.short
+    assert move_times[-1] <= max(leaving.exit_at + 64 * cost, move_times[0] + 2 * 250 * cost) + 1e-6
+    assert not sweep_size or leaving.is_short_of_time
 
 
 @given(st.floats(0.05, 60.0), st.floats(0.0, 60.0), st.booleans())
@@ -78,32 +78,32 @@
         pass_through=pass_through,
         classes=tuple(interface.RequestClass(deadline_us=int(s * 1e6)) for s in (0.05, longest_s)),
     )
-    leaving = Leaving(0.0, settings)
+    leaving = ShutdownSchedule(0.0, settings)
     phase_times = [
-        leaving.arrivals_until(last_arrival),
+        leaving.arrivals_end_at(last_arrival),
         leaving.moves_end,
         leaving.answers_end,
-        leaving.leave_at,
-        leaving.over_at,
+        leaving.exit_at,
+        leaving.last_answers_at,
         max(3.0, int(longest_s * 1e6) / 1e6) + 0.7,
     ]
     assert phase_times[0] > 0.4 and phase_times == sorted(phase_times)
     assert leaving.answers_end >= longest_s and all(b - a > 0.1 for a, b in pairwise(phase_times))
-    assert leaving.moves_from(100) == pytest.approx(leaving.moves_end - 1.5 if pass_through else 0.0)
+    assert leaving.moves_start_at(100) == pytest.approx(leaving.moves_end - 1.5 if pass_through else 0.0)
 
 
 @given(st.integers(2_000, 6_000), st.floats(0.0001, 0.0004))
 def test_thousands_of_moves_start_early_enough_to_finish(standing: int, cost: float) -> None:
-    leaving = Leaving(0.0, PASS_THROUGH)
+    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
     move_times, sweep_size = simulated_moves(leaving, standing, cost, begin=0.45)
-    assert move_times[-1] <= leaving.moves_end + 0.05 and not sweep_size and not leaving.short
+    assert move_times[-1] <= leaving.moves_end + 0.05 and not sweep_size and not leaving.is_short_of_time
     assert move_times[0] <= max(0.45, leaving.moves_end - standing * cost) + 1e-6
 
 
 def test_a_shortage_of_time_is_detected_early() -> None:
-    leaving = Leaving(0.0, PASS_THROUGH)
+    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
     now, worked_s, remaining = 0.45, 0.0, 6000
-    while not leaving.short:
+    while not leaving.is_short_of_time:
         step = leaving.step(now, worked_s, remaining)
         worked_s, remaining, now = (
             worked_s + step.moves * 0.001,
@@ -114,25 +114,25 @@
 
 
 def test_a_loop_with_turns_of_a_second_moves_all_clients_in_time() -> None:
-    leaving = Leaving(0.0, PASS_THROUGH)
-    leaving.came_back(0.9, 0.1)
-    leaving.came_back(1.2, 0.45)
+    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
+    leaving.record_lateness(0.9, 0.1)
+    leaving.record_lateness(1.2, 0.45)
     move_times, sweep_size = simulated_moves(leaving, 6000, 0.0, begin=1.2, turn_s=1.0)
-    assert sweep_size and move_times[-1] < leaving.leave_at - 1.0
+    assert sweep_size and move_times[-1] < leaving.exit_at - 1.0
 
 
 def test_moves_start_earlier_on_a_busy_core() -> None:
-    leaving = Leaving(0.0, PASS_THROUGH)
-    assert leaving.moves_from(3000) == pytest.approx(1.6)
-    leaving.busy(0.6)
-    assert leaving.moves_from(3000) == pytest.approx(0.1)
-    assert leaving.moves_from(900) == pytest.approx(1.6)
+    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
+    assert leaving.moves_start_at(3000) == pytest.approx(1.6)
+    leaving.set_passing_share(0.6)
+    assert leaving.moves_start_at(3000) == pytest.approx(0.1)
+    assert leaving.moves_start_at(900) == pytest.approx(1.6)
 
 
 def test_moves_go_by_age_and_by_worth_when_time_is_short() -> None:
     standing = {"watch 1": 1.0, "feed 1": 4.0, "watch 2": 1.0, "feed 2": 4.0}
-    assert in_order(standing, False) == list(standing)
-    assert in_order(standing, True) == ["feed 1", "feed 2", "watch 1", "watch 2"]
+    assert move_order(standing, False) == list(standing)
+    assert move_order(standing, True) == ["feed 1", "feed 2", "watch 1", "watch 2"]
 
 
 @relaying.async_test(relaying.instance)
@@ -168,8 +168,8 @@
     return set_up
 
 
-def leaving_in(seconds: float) -> Leaving:
-    return Leaving(trio.current_time(), PASS_THROUGH, deadline_s=seconds + 0.3)
+def leaving_in(seconds: float) -> ShutdownSchedule:
+    return ShutdownSchedule(trio.current_time(), PASS_THROUGH, deadline_s=seconds + 0.3)
 
 
 @relaying.async_test(standing(300))
@@ -182,7 +182,7 @@
     monkeypatch.setattr(
         leaving,
         "step",
-        lambda now, worked_s, remaining: replace(step, again_at=step.again_at + 0.4)
+        lambda now, worked_s, remaining: replace(step, next_at=step.next_at + 0.4)
         if (step := real(now, worked_s, remaining))
         else step,
     )
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -20,10 +20,10 @@
 from glenfold.counters import Counters
 from glenfold.daemon.process import Process, finish_taken, heed
 from glenfold.destinations import BadList, DestinationSet, server_number
-from glenfold.leaving import Leaving
 from glenfold.net import sockets
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import Relay
+from glenfold.shutdown import ShutdownSchedule
 from linnetspread import interface
 from linnetspread.choice import SEEDS
 
@@ -102,7 +102,7 @@
 def test_an_existing_connection_may_give_any_wait_time(conf: Config) -> None:
     async def server(stream: trio.SocketStream) -> None:
         _, _, wait = (await read_line(stream)).partition(b",d=")
-        assert 50_000 < int(wait.split(b",")[0]) <= lines.MOST_WAIT_MS
+        assert 50_000 < int(wait.split(b",")[0]) <= lines.MAX_WAIT_MS
         await stream.send_all(b"UP r1\r\n")
         await trio.sleep_forever()
 
@@ -198,8 +198,8 @@
 
 @pytest.mark.parametrize("load", [b"nan", b"inf", b"-1", b"much", b"1e300"])
 def test_an_invalid_load_never_reaches_the_decisions(load: bytes) -> None:
-    assert lines.read_load(load) is None
-    assert lines.read_load(b"20205.057") == 20205.057
+    assert lines.parse_load(load) is None
+    assert lines.parse_load(b"20205.057") == 20205.057
 
 
 def test_a_refusal_is_sent_at_once_with_a_retry_time(conf: Config) -> None:
@@ -315,7 +315,7 @@
             assert await read_line(stream) == lines.FAILED
         normal_client = await open_connection(port)
         assert await read_line(normal_client) == b"UP r1\r\n"
-        await silent[-1].send_all(lines.PING + lines.END)
+        await silent[-1].send_all(lines.PING + lines.LINE_END)
         assert await read_line(silent[-1]) == lines.PONG
         clock.jump(2.5)  # the others time out, whatever they sent before a complete first line
         for stream in silent[3:]:
@@ -377,7 +377,7 @@
             await stream.send_all(OPEN.replace(b"9b1f03aa", b"%08x" % n))
             await read_line(stream)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(finish_taken, Leaving(trio.current_time(), conf.settings), shared)
+            nursery.start_soon(finish_taken, ShutdownSchedule(trio.current_time(), conf.settings), shared)
             for passed, standing in ((1.5, 4), (0.2, 3), (0.4, 2), (1.2, 0)):
                 clock.jump(passed)
                 for _ in range(3):  # the end of a loopback socket may take several turns to arrive
@@ -397,7 +397,7 @@
 def test_a_relay_without_clients_ends_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         started_at = trio.current_time()
-        await finish_taken(Leaving(started_at, conf.settings, 30.0), shared)
+        await finish_taken(ShutdownSchedule(started_at, conf.settings, 30.0), shared)
         assert trio.current_time() - started_at < 1.0
 
     run_relay(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
@@ -409,7 +409,7 @@
     text = b"".join(pieces)
     assert text == OPEN.replace(b"d=2000", b"d=7")
     for sent in range(len(text) + 1):
-        assert b"".join(lines.unsent(pieces, sent)) == text[sent:]
+        assert b"".join(lines.remaining_pieces(pieces, sent)) == text[sent:]
 
 
 def test_server_numbers_do_not_depend_on_process_or_order() -> None:
@@ -455,7 +455,7 @@
         if destinations.address(server_number(host)) is not None
     }
     known = {server_number("s-1"), server_number("s-2")} if bad != 7 else {server_number("s-2")}
-    assert ready_servers == addressed == known and len(destinations.faults) == 1
+    assert ready_servers == addressed == known and len(destinations.problems) == 1
 
 
 def test_an_older_whole_list_is_applied_but_restores_no_departed_server(conf: Config) -> None:
@@ -483,7 +483,7 @@
     monkeypatch.setattr("glenfold.destinations.server_number", lambda host: 5)
     destinations = DestinationSet(conf.names)
     assert len(destinations.read(whole(entry("s-1"), entry("s-2"))).servers) == 1
-    assert (destinations.numbered("s-1"), destinations.numbered("s-2")) == (5, None)
+    assert (destinations.number_of_host("s-1"), destinations.number_of_host("s-2")) == (5, None)
 
 
 def test_a_request_whose_decision_fails_is_answered_at_once(conf: Config) -> None:
