--- a/glenfold/daemon/__init__.py
+++ b/glenfold/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one instance, and of a fleet on one machine."""
+"""Runs one instance, and the supervisor of a fleet of instances on one machine."""
--- a/glenfold/daemon/ask.py
+++ b/glenfold/daemon/ask.py
@@ -1,6 +1,6 @@
-"""Questions and answers over a Unix socket: one JSON object in a line each way.
+"""Questions and answers over a Unix socket: one JSON object per line in each direction.
 
-Only this user can connect, and both sides have the kernel tell them whose process the other one is.
+Only processes of this user can connect. Each side learns the process id and user of its peer from the kernel.
 """
 
 import socket
@@ -15,18 +15,22 @@
 
 MAX_ANSWER_BYTES = 1 << 20
 MAX_QUESTION_BYTES = 1 << 14
-MAX_CONNECTIONS = 16  # at once; of more the oldest gives way, as it has had its time
-CONNECTION_TIMEOUT_S = 5.0  # for a question to come and its answer to be taken
-RETRY_DELAY_S = 0.1  # when there is no descriptor for another connection
+# When a further client connects, the oldest connection is cancelled: it has had the most time.
+MAX_CONNECTIONS = 16
+CONNECTION_TIMEOUT_S = 5.0  # Covers receiving the question and sending its answer.
+RETRY_DELAY_S = 0.1  # The wait before the next accept when no descriptor is free.
 AnswerHandler = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
 class NoAnswer(Exception):
-    """Nobody is there, it is another user's, or no whole answer came."""
+    """Raised when nothing listens at the path, another user's process does, or no complete answer arrives."""
 
 
 async def ask(path: Path, question: dict[str, Any], deadline: float) -> tuple[int, dict[str, Any]]:
-    """Who answered, as its process id, and what. `by`: on trio's clock. Raises NoAnswer."""
+    """Asks one question and returns the process id of the peer and its answer.
+
+    `deadline` is a time on trio's clock. Raises NoAnswer.
+    """
     try:
         with trio.fail_at(deadline):
             stream = await trio.open_unix_socket(str(path))
@@ -50,14 +54,16 @@
         chunk = await stream.receive_some(1 << 16)
         if not chunk or len(data) + len(chunk) > max_bytes:
             raise msgspec.DecodeError(
-                f"a line is longer than {max_bytes} bytes" if chunk else "no whole line"
+                f"a line is longer than {max_bytes} bytes"
+                if chunk
+                else "the connection closed before a complete line"
             )
         data += chunk
     return bytes(data)
 
 
 def open_private(path: Path) -> trio.SocketListener:
-    """Listens for questions; see `private_socket.listen`. Raises OSError."""
+    """Opens a listener for questions with `private_socket.listen`. Raises OSError."""
     return trio.SocketListener(private_socket.listen(path, socket.SOCK_STREAM, MAX_CONNECTIONS))
 
 
@@ -71,8 +77,11 @@
 
 
 async def serve_answers(listener: trio.SocketListener, handler: AnswerHandler) -> None:
-    """Until it is cancelled; one question a connection, and a fault ends only that one, with a line to tell.
-    Whoever says nothing has ASKING_S, and gives way when many others come."""
+    """Answers one question per connection until it is cancelled.
+
+    A malformed question is answered with a line that says so; a connection error ends only that connection.
+    A silent client is disconnected after CONNECTION_TIMEOUT_S, or sooner when many others connect.
+    """
     open_connections: dict[trio.SocketStream, trio.CancelScope] = {}
 
     async def serve_connection(stream: trio.SocketStream, scope: trio.CancelScope) -> None:
--- a/glenfold/daemon/control.py
+++ b/glenfold/daemon/control.py
@@ -1,7 +1,7 @@
-"""The control socket of one instance, a companion: who asks is told how it stands, or has it drain or reload.
+"""The control socket of one instance: reports its status and counters, and starts a drain or a reload.
 
-One question and one answer a connection, as `ask` has them. What is asked for can't be had: `refused` says
-why, and `file` that the operators' file is at fault.
+A connection carries one question and one answer, in the format of the module `ask`. When a question is
+refused, `refused` in the answer holds the reason, and `file` is true if the operators' file is faulty.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,10 @@
 
 
 class Control:
-    """`snapshots` tells how those stand; None: there are none."""
+    """The background task that serves the control socket.
+
+    `snapshots` returns the status of the snapshots; it is None for an instance without snapshots.
+    """
 
     def __init__(self, path: Path, snapshots: Callable[[], Answer] | None = None) -> None:
         self._path = path
@@ -28,7 +31,7 @@
 
     async def __call__(self, process: Process) -> None:
         process.life.watches.append(self._on_life_change)
-        await process.accepts.wait()  # until then another process of its name answers there
+        await process.accepts.wait()  # Until then, another process of the same name answers there.
         try:
             listener = open_private(self._path)
         except OSError as error:
@@ -45,6 +48,7 @@
         self._state_since = trio.current_time()
 
     def answer(self, process: Process, question: Answer) -> Answer:
+        """Returns the answer to one question; a drain or a reload that it asks for is carried out."""
         name, asked = process.relay.config.name, question.get("ask")
         match asked:
             case "status":
@@ -64,7 +68,10 @@
         return {"refused": f"{asked!r} is none of status, counters, drain, reload"}
 
     def status(self, process: Process) -> Answer:
-        """Times in seconds. `list.age_s`: since discovery last said that the list holds; null: it has not."""
+        """Returns the answer to the question `status`, with times in seconds.
+
+        `list.age_s` is the time since discovery last confirmed the list; it is null before the first time.
+        """
         now, relay = trio.current_time(), process.relay
         heard_at, servers = process.discovery.heard_at, relay.destinations.servers()
         return {
--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -1,7 +1,7 @@
-"""What the operators' file says of a fleet, as its supervisor takes it.
+"""Reads the fleet settings of an operators' file for the supervisor.
 
-What was accepted is kept as a copy, and instances run by that: a file that is being edited, or is faulty,
-can't keep an instance that ends at night from coming back.
+The supervisor saves a copy of each accepted file, and instances run from that copy. So a file that is being
+edited, or is faulty, can't prevent the restart of an instance that exits.
 """
 
 import os
@@ -21,7 +21,7 @@
 from glenfold.located import BadFile, parse, read_text
 from glenfold.rules.fleet.terms import Terms
 
-MAX_LOG_BYTES = 16 << 20  # of one instance, twice: the file and the one before
+MAX_LOG_BYTES = 16 << 20  # An instance may use twice as much: its current and its previous log file.
 
 
 def _read(file: Path) -> operators.Operators:
@@ -32,15 +32,18 @@
 
 
 def supervisor_folder(file: Path) -> Path:
-    """Where the supervisor of that file has its own files, whatever else is faulty in it: a fleet has to be
-    looked at and stopped then, too. Raises FileRefused."""
+    """Returns the folder of the supervisor's own files.
+
+    Reads only this key, as the status and stop commands have to work when other parts of the file are faulty.
+    Raises FileRefused.
+    """
     try:
         instance = parse(read_text(file), str(file)).data.get("instance")
     except BadFile as error:
         raise FileRefused(error.message) from error
     folder = instance.get("folder") if isinstance(instance, dict) else None
     if not isinstance(folder, str) or not folder:
-        raise FileRefused(f"{file}: instance.folder: is missing; a supervisor keeps its files there")
+        raise FileRefused(f"{file}: instance.folder: is missing; the supervisor keeps its files in it")
     return file.parent.absolute() / folder / "supervisor"
 
 
@@ -51,7 +54,7 @@
 
 
 class FleetFile:
-    """`read` and `command` are a supervisor's orders."""
+    """One operators' file. `read` and `command` are the functions of the supervisor's OrderSource."""
 
     def __init__(self, file: Path) -> None:
         self.file = file
@@ -59,17 +62,19 @@
         self._numbers: dict[str, int | None] = {}
 
     def read(self) -> FleetOrder:
-        """Raises FileRefused."""
+        """Returns the checked settings of the file. Raises FileRefused."""
         text, read = _read_stable(self.file)
         places = [read.place(number) for number in read.numbers]
         if supervisor_folder(self.file) != self.paths.folder:
             raise FileRefused(
-                f"{self.file}: instance.folder: is another one than this supervisor's; "
-                "`glenfold fleet down` and `up` change it"
+                f"{self.file}: instance.folder: differs from this supervisor's folder; "
+                "to change it, run `glenfold fleet down` and then `up`"
             )
         controls = {place.name: place.socket for place in places if place.socket is not None}
         if len(controls) < len(places):
-            raise FileRefused(f"{self.file}: control.on: must be true for a supervisor, which looks there")
+            raise FileRefused(
+                f"{self.file}: control.on: must be true for a supervisor, which polls the control sockets"
+            )
         return FleetOrder(
             _fleet_terms(read, tuple(controls)), controls, lambda: self._accept(text, read, places)
         )
@@ -86,6 +91,7 @@
         return self.paths.folder / "accepted.toml"
 
     def command(self, name: str) -> list[str]:
+        """Returns the command line that starts the instance `name` from the accepted copy of the file."""
         number = self._numbers[name]
         instance_option = [] if number is None else ["--instance", str(number)]
         return [
@@ -101,7 +107,10 @@
 
 
 def _read_stable(file: Path) -> tuple[bytes, operators.Operators]:
-    """The text that was checked, and not one that was written meanwhile."""
+    """Returns the text of the file and its checked contents.
+
+    Reads again if the file changed during the check, so that the text is the one that was checked.
+    """
     while True:
         try:
             before = file.read_bytes()
@@ -113,7 +122,7 @@
 
 
 def create_supervisor(file: Path) -> Supervisor:
-    """Raises FileRefused."""
+    """Returns a supervisor for the fleet of this file. Raises FileRefused."""
     fleet = FleetFile(file)
     return Supervisor(
         fleet.paths,
--- a/glenfold/daemon/fleet_status.py
+++ b/glenfold/daemon/fleet_status.py
@@ -1,4 +1,4 @@
-"""The status of a fleet as its supervisor reports it, by the keys that operators read. Times in seconds."""
+"""The status of a fleet in the format that operators read from its supervisor. Times are in seconds."""
 
 import os
 from collections.abc import Mapping
@@ -13,7 +13,10 @@
 def report(
     state: State, statuses: Mapping[str, Report], service: Shares, now: float, *, state_saved: bool
 ) -> Report:
-    """`statuses`: what each instance last reported of itself, by name; an instance may be missing."""
+    """Returns the answer to the question `status`.
+
+    `statuses` maps an instance's name to its last own status; an instance may be missing.
+    """
     return {
         "supervisor": os.getpid(),
         "instances": [
--- a/glenfold/daemon/handshake.py
+++ b/glenfold/daemon/handshake.py
@@ -1,16 +1,20 @@
-"""How one process takes the listening sockets of another of the same name over, as states without I/O.
-
-    new (Taker)                              old (Giver)
-    asking      -- Hello ------------------> greeting
-    preparing   <- Offer, with the sockets - offered      goes on accepting
-    accepting   -- Ready ------------------> handing      has paused
-    confirming  <- Retired ----------------
-    owner       -- Taken ------------------> retired      finishes what it has taken
-
-A side that lives says Abort before it closes; an end without it means that the other has died. Up to Taken
-the old one can go on as if nothing had been, and does so if the new one dies, gives up or is late. Once
-Ready is said the old one alone decides, so the new one serves on meanwhile, however long that takes.
-Moments are in seconds, on one clock for each side; `due` is the moment at which `Due` is to come.
+"""The takeover of listening sockets by a new process from an old one of the same name: state machines without
+I/O.
+
+    new process (Successor)                    old process (Predecessor)
+    awaiting offer -- Hello ------------------> awaiting hello
+    preparing      <- Offer, with the sockets - offer sent       still accepts clients
+    accepting      -- Ready ------------------> paused           no longer accepts clients
+    confirming     <- Retired ----------------
+    owner          -- Taken ------------------> retired          finishes the requests that it has accepted
+
+A process sends Abort before it closes the connection; a connection that ends without Abort means that the
+other process died. Until Taken arrives, the old process can return to normal service, and does so if the new
+process dies, gives up or misses its deadline. After Ready is sent, only the old process decides, so the new
+one serves clients until the outcome is known, however long that takes.
+
+Times are in seconds on the clock of the process itself; `due` is the time at which `DeadlineReached` is the
+next input.
 """
 
 from dataclasses import dataclass
@@ -22,15 +26,18 @@
 
 FORMAT = 1
 MAX_LISTENERS = 64
-GREETING_TIMEOUT_S = 5.0  # from the connection to a whole Hello, and from Hello to the Offer
-CONFIRMATION_TIMEOUT_S = 5.0  # from Retired to Taken; the new one has nothing else to do
+GREETING_TIMEOUT_S = 5.0  # Limits the time from connecting to Hello, and from Hello to Offer.
+# Limits the time from Retired to Taken, between which the new process has nothing else to do.
+CONFIRMATION_TIMEOUT_S = 5.0
 
 Text = Annotated[str, msgspec.Meta(max_length=255)]
-Addresses = Annotated[list[Text], msgspec.Meta(max_length=MAX_LISTENERS)]  # HOST:PORT
+Addresses = Annotated[
+    list[Text], msgspec.Meta(max_length=MAX_LISTENERS)
+]  # Each address has the form HOST:PORT.
 
 
 class Hello(msgspec.Struct, frozen=True, tag=True):
-    """`wants`: the addresses at which the new one is to listen."""
+    """Asks for a takeover. `wants` holds the addresses at which the new process is to listen."""
 
     format: int
     instance: Text
@@ -38,8 +45,12 @@
 
 
 class Offer(msgspec.Struct, frozen=True, tag=True):
-    """`listeners`: those of its addresses that are wanted, in the order of the sockets that come with it; the
-    lock of the name is behind them, if it has one. `others`: those that it will close."""
+    """Passes the listening sockets to the new process.
+
+    `listeners` holds the wanted addresses of the old process, in the order of the descriptors that come with
+    the message. If `lock` is true, the descriptor of the name's lock follows them. `others` holds the
+    addresses that the old process will close.
+    """
 
     listeners: Addresses
     others: Addresses
@@ -47,19 +58,19 @@
 
 
 class Ready(msgspec.Struct, frozen=True, tag=True):
-    """It accepts at all its addresses."""
+    """The new process accepts clients at all its addresses."""
 
 
 class Retired(msgspec.Struct, frozen=True, tag=True):
-    """It accepts no more at the addresses that it has passed on."""
+    """The old process no longer accepts clients at the addresses that it has passed on."""
 
 
 class Taken(msgspec.Struct, frozen=True, tag=True):
-    """From here on the old one does not come back."""
+    """The new process owns the name; the old process does not resume service after this message."""
 
 
 class Abort(msgspec.Struct, frozen=True, tag=True):
-    """Whoever says it closes."""
+    """The sender ends the takeover and closes the connection."""
 
     reason: Annotated[str, msgspec.Meta(max_length=1000)]
 
@@ -67,94 +78,94 @@
 Message = Hello | Offer | Ready | Retired | Taken | Abort
 
 
-# ---- what comes in, besides messages ----
+# ---- inputs other than messages ----
 
 
 @dataclass(frozen=True, slots=True)
 class Disconnected:
-    """The other side has closed or died."""
+    """The other process closed the connection or died."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelFailed:
-    """A message could not be written, or what came could not be read."""
+    """A message could not be sent, or received data is not a valid message."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineReached:
-    """The moment has come, and all that was said before it has been heard."""
+    """The deadline `due` has passed, and all messages sent before it have been received."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessReady:
-    """This process is ready to serve."""
+    """This process is ready to serve clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStopping:
-    """This process has been told to stop."""
+    """This process was told to stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delivered:
-    """The last message lies with the other side, which still listened."""
+    """The last message was delivered to the other side's socket while that still received."""
 
 
 Input = Message | Disconnected | ChannelFailed | DeadlineReached | ProcessReady | ProcessStopping | Delivered
 
 
-# ---- what is to be done ----
+# ---- effects ----
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """An Offer goes with its sockets."""
+    """Send this message; an Offer carries the descriptors of its sockets."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Accept no more; the sockets stay open."""
+    """Stop accepting clients; the sockets stay open."""
 
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Accept again."""
+    """Accept clients again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Retire:
-    """What was passed on is the other's now: close it here, finish what was taken, and end."""
+    """The new process owns the sockets: close them here, finish the accepted requests and exit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """This handshake is over; `reason`: why it came to nothing, or None."""
+    """Close the connection. `reason` says why the takeover failed, or is None."""
 
     reason: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """At all addresses."""
+    """Accept clients at all addresses."""
 
 
 @dataclass(frozen=True, slots=True)
 class BecomeOwner:
-    """The name is this process's, alone."""
+    """This process is now the only one of its name."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartAlone:
-    """The old one died before it passed anything on: start as if there had been none."""
+    """The old process died before it passed anything on: start as if it had not existed."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The old one serves on: close what was passed on, finish what was taken, and end."""
+    """The old process continues to serve: close the passed sockets, finish accepted requests and exit."""
 
     reason: str
 
@@ -163,6 +174,8 @@
 
 
 class PredecessorState(Enum):
+    """The state of the old process; the diagram of the module shows the order."""
+
     AWAITING_HELLO = auto()
     OFFER_SENT = auto()
     PAUSED = auto()
@@ -172,7 +185,7 @@
 
 @dataclass(slots=True)
 class Predecessor:
-    """The old one's side of one connection. `until`: by when the new one has to be ready."""
+    """The old process's side of one connection. `ready_by` is the new process's deadline to be ready."""
 
     instance: str
     ready_by: float
@@ -181,7 +194,7 @@
 
     @property
     def is_chosen(self) -> bool:
-        """It is this connection's new one that takes over: no other may."""
+        """Whether the new process of this connection takes over; no other process may then."""
         return self.state in (PredecessorState.OFFER_SENT, PredecessorState.PAUSED, PredecessorState.RETIRED)
 
     @property
@@ -189,7 +202,10 @@
         return self.state in (PredecessorState.RETIRED, PredecessorState.FINISHED)
 
     def on_hello(self, hello: Hello, offer: Offer, taken: bool) -> list[Effect]:
-        """`offer`: what there is for it; `taken`: another connection is chosen already."""
+        """Handles a Hello and returns the effects.
+
+        `offer` is sent if the Hello is valid; `taken` is true if another process is taking over already.
+        """
         if self.state is not PredecessorState.AWAITING_HELLO:
             return self._end("it says hello twice")
         if hello.format != FORMAT:
@@ -202,6 +218,7 @@
         return [Send(offer)]
 
     def on(self, received_input: Input, now: float) -> list[Effect]:
+        """Handles an input other than Hello and returns the effects."""
         if self.finished:
             return []
         match self.state, received_input:
@@ -222,7 +239,7 @@
         return self._end(f"{type(received_input).__name__} is out of turn")
 
     def _end(self, reason: str, send_abort: bool = True) -> list[Effect]:
-        """It serves on."""
+        """Ends the takeover; the old process continues to serve."""
         paused = self.state is PredecessorState.PAUSED
         self.state, self.due = PredecessorState.FINISHED, inf
         messages: list[Effect] = [Send(Abort(reason))] if send_abort else []
@@ -230,6 +247,8 @@
 
 
 class SuccessorState(Enum):
+    """The state of the new process; the diagram of the module shows the order."""
+
     AWAITING_OFFER = auto()
     PREPARING = auto()
     ACCEPTING = auto()
@@ -240,7 +259,7 @@
 
 @dataclass(slots=True)
 class Successor:
-    """The new one's side. `until`: by when it has to be ready."""
+    """The new process's side. `ready_by` is the deadline for this process to be ready."""
 
     hello: Hello
     ready_by: float
@@ -252,9 +271,11 @@
         return self.state in (SuccessorState.OWNER, SuccessorState.FINISHED)
 
     def start(self) -> list[Effect]:
+        """Returns the effects that open the takeover."""
         return [Send(self.hello)]
 
     def on(self, received_input: Input) -> list[Effect]:
+        """Handles an input and returns the effects."""
         if self.finished:
             return []
         match self.state, received_input:
@@ -265,7 +286,7 @@
             case _, Disconnected():
                 return self._end(SuccessorState.OWNER, Accept(), BecomeOwner())
             case SuccessorState.ACCEPTING | SuccessorState.CONFIRMING, ChannelFailed() | DeadlineReached():
-                return []  # the end of the old one, or its Abort, is still to be read
+                return []  # The old process's Abort, or the end of the connection, is still to be received.
             case SuccessorState.AWAITING_OFFER, Offer():
                 self.state, self.due = SuccessorState.PREPARING, self.ready_by
                 return []
@@ -277,7 +298,10 @@
                 return [Send(Taken())]
             case SuccessorState.CONFIRMING, Delivered():
                 return self._end(SuccessorState.OWNER, BecomeOwner())
-            case _, Delivered() | ProcessReady():  # it was ready before, and has read its configuration again
+            case (
+                _,
+                Delivered() | ProcessReady(),
+            ):  # The process was ready before and has only reloaded its configuration.
                 return []
             case _, ChannelFailed(reason):
                 return self._give_up(reason)
--- a/glenfold/daemon/life.py
+++ b/glenfold/daemon/life.py
@@ -1,10 +1,10 @@
-"""The life of one instance as states, without I/O: steps go in, and who watches hears of each change.
+"""The lifecycle of one instance as a state machine without I/O that calls its watches at each change.
 
     starting -> waiting -> ready -> draining -> finishing -> stopped
                   ^          |
                   '----------'  ready <-> reloading while a configuration is read again
 
-An instance is asked to stop in any state; from draining on there is no way back.
+An instance may be asked to stop in any state; once it drains, it can't return to service.
 """
 
 from collections.abc import Callable
@@ -13,12 +13,14 @@
 
 
 class State(Enum):
-    STARTING = "starting"  # nothing listens yet
-    WAITING = "waiting"  # it listens, but has no list of push servers, or its start is not paid for yet
-    READY = "ready"  # it places requests at its usual pace
-    RELOADING = "reloading"  # it goes on as it did while it reads its configuration again
-    DRAINING = "draining"  # it takes what still arrives
-    FINISHING = "finishing"  # it answers what it has taken and moves its clients
+    """The state of an instance, with the value that status answers and logs show."""
+
+    STARTING = "starting"  # No socket listens yet.
+    WAITING = "waiting"  # It listens, but has no list of push servers, or still waits for CPU quota.
+    READY = "ready"  # It places requests at its usual rate.
+    RELOADING = "reloading"  # It serves as before while it reads its configuration again.
+    DRAINING = "draining"  # It still accepts clients that arrive.
+    FINISHING = "finishing"  # It answers accepted requests and tells its clients to move.
     STOPPED = "stopped"
 
 
@@ -36,18 +38,21 @@
 
 
 class NotAllowed(Exception):
-    """A step that no life takes."""
+    """Raised for a transition that ALLOWED does not list."""
 
 
 @dataclass(slots=True)
 class Life:
-    """`state` now; watches are called with the state before and the new one, in the order they were added."""
+    """The current `state` of an instance, and its `watches`.
+
+    At each change the watches are called with the previous and the new state, in the order of their addition.
+    """
 
     state: State = State.STARTING
     watches: list[Watch] = field(default_factory=list)
 
     def to(self, state: State) -> None:
-        """Raises NotAllowed; a step to the state that it is in does nothing."""
+        """Changes the state; the current state as argument changes nothing. Raises NotAllowed."""
         previous = self.state
         if state is previous:
             return
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -1,5 +1,4 @@
-"""Where listening sockets come from, other than from the configuration alone: from the environment of
-whoever started this process (LISTEN_FDS), and sorted by what the configuration asks for."""
+"""Listening sockets from the service manager (LISTEN_FDS) or an old process, matched to the configuration."""
 
 import os
 import socket
@@ -11,21 +10,25 @@
 from glenfold.config.platform import Address, written
 from glenfold.net.inbound import BACKLOG
 
-FIRST_PASSED_DESCRIPTOR = 3  # behind the three standard streams
+FIRST_PASSED_DESCRIPTOR = 3  # The descriptors 0 to 2 are the standard streams.
 MAX_PASSED_SOCKETS = 64
 VARIABLES = ("LISTEN_FDS", "LISTEN_PID", "LISTEN_FDNAMES")
 
 
 class BadListener(Exception):
-    """What was passed on is not what it should be; or an address can't be had. Names the one at fault."""
+    """Raised when a passed descriptor is not a usable listener, or an address can't be listened at.
+
+    The text names the descriptor or the address.
+    """
 
 
 def addresses_of(listeners: Iterable[socket.socket]) -> list[str]:
+    """Returns the addresses of the sockets as HOST:PORT."""
     return [written(sock.getsockname()) for sock in listeners]
 
 
 async def resolve(addresses: Iterable[Address]) -> list[str]:
-    """As getsockname would tell them. Raises BadListener."""
+    """Returns the addresses as HOST:PORT with resolved hosts, as in getsockname. Raises BadListener."""
     found = []
     for host, port in addresses:
         try:
@@ -37,8 +40,11 @@
 
 
 def listen(address: str) -> socket.socket:
-    """It listens at once: only so is an address that another process listens at refused.
-    Raises BadListener."""
+    """Returns a socket that listens at the address.
+
+    Calls listen at once: with SO_REUSEADDR, only that fails if another process listens at the address.
+    Raises BadListener.
+    """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -53,7 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reconciled:
-    """kept: passed on and wanted; opened: wanted only, and listening now; closed: passed on only."""
+    """Listeners matched to the wanted addresses.
+
+    `kept` were passed and are wanted, `opened` are wanted and were not passed, `closed` holds the addresses
+    that were passed and are not wanted.
+    """
 
     kept: list[socket.socket]
     opened: list[socket.socket]
@@ -65,7 +75,10 @@
 
 
 def reconcile(passed: Sequence[socket.socket], wants: Iterable[str]) -> Reconciled:
-    """Closes what is not wanted, and listens where one is missing. After BadListener all are closed."""
+    """Closes passed sockets that are not wanted, and opens the missing ones.
+
+    If it raises BadListener, all passed and opened sockets are closed.
+    """
     unclaimed = {written(sock.getsockname()): sock for sock in reversed(passed)}
     kept, opened = [], []
     try:
@@ -85,9 +98,11 @@
 
 
 def from_environment(environment: MutableMapping[str, str], own_id: int) -> list[socket.socket]:
-    """The sockets that the service manager has opened for this very process, none if it has not: what is
-    meant for a parent is left to it. The variables are taken away, as no child is to heed them. Raises
-    BadListener."""
+    """Returns the sockets that the service manager opened for this process, whose id is `own_id`.
+
+    Returns none if LISTEN_PID names another process, such as the parent. Removes the variables, so that no
+    child process uses them. Raises BadListener.
+    """
     count_text, pid_text, names_text = (environment.pop(name, "") for name in VARIABLES)
     if not count_text or pid_text != str(own_id):
         return []
--- a/glenfold/daemon/lock.py
+++ b/glenfold/daemon/lock.py
@@ -1,7 +1,7 @@
-"""One instance a name: a lock in the instance's folder that dies with its process.
+"""A lock file per instance name, so that at most one process runs under the name.
 
-Nothing is written into the file: a process id there could be a stranger's by the time that it is read. Who
-holds the name is asked at its control socket, whose kernel knows.
+The kernel releases the lock when the process exits. The file stays empty: a process id in it could belong to
+an unrelated process by the time that it is read. The kernel tells the id of the holder at its control socket.
 """
 
 import fcntl
@@ -10,16 +10,20 @@
 
 
 class NameHeld(Exception):
-    """Another process has the name."""
+    """Raised when another process holds the lock of the name."""
 
 
 def path_of(folder: Path, name: str) -> Path:
+    """Returns the path of the name's lock file."""
     return folder / f"{name}.lock"
 
 
 def acquire(folder: Path, name: str) -> int:
-    """The descriptor that holds the lock, until its last copy is closed. The folder is made, for this user
-    only, if it is missing. Raises Held, and OSError where there can't be a lock."""
+    """Acquires the lock of the name and returns its descriptor.
+
+    The lock is held until the last copy of the descriptor is closed. Creates a missing folder with mode 0700.
+    Raises NameHeld, and OSError if the lock file can't be opened or locked.
+    """
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     path = path_of(folder, name)
     while True:
@@ -38,7 +42,7 @@
 
 
 def _is_at(descriptor: int, path: Path) -> bool:
-    """Somebody may have removed the file meanwhile: a lock on that one keeps nobody out."""
+    """Whether the descriptor is the file at `path`: a lock on a file removed meanwhile excludes nobody."""
     try:
         return os.path.samestat(os.fstat(descriptor), os.stat(path))
     except FileNotFoundError:
--- a/glenfold/daemon/logfiles.py
+++ b/glenfold/daemon/logfiles.py
@@ -1,4 +1,7 @@
-"""What instances print, in files of bounded length: a pipe to the supervisor would break with it."""
+"""Log files of bounded length for the output of instances.
+
+Files replace a pipe to the supervisor, which would break when the supervisor exits.
+"""
 
 import os
 import shutil
@@ -6,23 +9,29 @@
 
 
 class LogFiles:
-    """NAME.log in `folder`, and NAME.log.1 with what came before. An instance goes on writing to the file it
-    was given, so that this is copied and then cut; lines written between the two are lost, and while no
-    supervisor runs nothing is cut."""
+    """The log files in `folder`: NAME.log, and NAME.log.1 with the previous contents.
+
+    An instance keeps writing to the descriptor that it was started with, so rotation copies the file and then
+    truncates it. Lines written between the two steps are lost. Nothing is rotated while no supervisor runs.
+    """
 
     def __init__(self, folder: Path, most_bytes: int) -> None:
         self.folder, self.most_bytes = folder, most_bytes
 
     def path(self, name: str) -> Path:
+        """Returns the path of the instance's current log file."""
         return self.folder / f"{name}.log"
 
     def open(self, name: str) -> int:
-        """A descriptor to append to. Raises OSError."""
+        """Opens the instance's log file and returns a descriptor that appends to it. Raises OSError."""
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         return os.open(self.path(name), os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
 
     def rotate(self, name: str) -> str | None:
-        """If it has grown too long; says what went wrong, and cuts all the same if only the copy failed."""
+        """Rotates the log file if it exceeds the limit.
+
+        Returns what went wrong, or None. If only the copy fails, the file is truncated all the same.
+        """
         path, failed = self.path(name), None
         try:
             if path.stat().st_size <= self.most_bytes:
--- a/glenfold/daemon/notify.py
+++ b/glenfold/daemon/notify.py
@@ -1,7 +1,7 @@
-"""What a service manager is told over NOTIFY_SOCKET, as sd_notify(3) has it.
+"""Notifications to the service manager over NOTIFY_SOCKET, in the protocol of sd_notify(3).
 
-A companion of the instance. Whatever becomes of the manager's socket costs the relay nothing: datagrams that
-can't be sent at once are dropped, which is logged once.
+The notifier is a background task of the instance. Failures of the manager's socket never delay the relay: a
+datagram that can't be sent at once is dropped, and the first failure is logged.
 """
 
 import os
@@ -20,13 +20,14 @@
 
 
 class Channel:
-    """Datagrams to the manager. `name`: a path, or `@` and an abstract name."""
+    """Sends datagrams to the manager. `name` is a path, or `@` followed by an abstract socket name."""
 
     def __init__(self, name: str) -> None:
         self._address = "\0" + name[1:] if name.startswith("@") else name
         self._failed = False
 
     def send(self, *lines: str) -> None:
+        """Sends one datagram; a failure is logged once until a datagram is sent again."""
         try:
             if not self._address.startswith(("/", "\0")):
                 raise ValueError(f"{self._address!r} is neither a path nor an abstract name")
@@ -40,7 +41,10 @@
 
 
 class Notifier:
-    """Beside one Process. watchdog_s: how often the manager wants to hear that the event loop turns."""
+    """Notifies the manager of one Process's state.
+
+    `watchdog_s` is the interval within which the manager expects a sign that the event loop runs, or None.
+    """
 
     def __init__(
         self,
@@ -58,18 +62,18 @@
         async with trio.open_nursery() as nursery:
             if self._watchdog_s is not None:
                 nursery.start_soon(self._feed_watchdog, self._watchdog_s / 2)
-            # Until then another process of its name serves, and goes on if this one fails.
+            # Until then another process of the same name serves, and continues to if this one fails.
             await process.accepts.wait()
             self._on_life_change(process, process.life.state)
 
     async def _feed_watchdog(self, every_s: float) -> None:
-        """From the loop itself: one that hangs says nothing. A turn that comes late is not made up for."""
+        """Sends from the event loop, so a loop that hangs sends nothing; missed signs are not made up for."""
         while True:
             self._channel.send("WATCHDOG=1")
             await trio.sleep_until(trio.current_time() + every_s)
 
     def _on_life_change(self, process: Process, now: State) -> None:
-        if not process.accepts.is_set() or process.handed_over:  # the manager follows another process
+        if not process.accepts.is_set() or process.handed_over:  # The manager follows another process.
             return
         relay = process.relay
         status = f"STATUS={now.value}: {len(relay.standing)} standing, {relay.unanswered} unanswered"
@@ -86,7 +90,10 @@
 
 
 def from_environment(environment: MutableMapping[str, str], own_id: int) -> Notifier | None:
-    """None if nobody wants to be told. The variables are taken away, as no child is to heed them."""
+    """Returns the notifier for the process `own_id`, or None if NOTIFY_SOCKET is not set.
+
+    Removes the variables, so that no child process uses them.
+    """
     name, watchdog, watched = (environment.pop(key, "") for key in VARIABLES)
     if not name:
         return None
--- a/glenfold/daemon/platform.py
+++ b/glenfold/daemon/platform.py
@@ -1,4 +1,4 @@
-"""The platform's relay: told by LB_CONFIG and by signals; LB_LOG_LEVELS says what else it logs."""
+"""The relay as the platform runs it: configured by LB_CONFIG and LB_LOG_LEVELS, controlled by signals."""
 
 import os
 from collections.abc import Mapping
@@ -11,11 +11,12 @@
 
 
 async def serve(config: Config) -> None:
+    """Runs one relay until a signal stops it and it has finished."""
     await run_by_signals(Process(config, lambda current: read_again(os.environ, current)))
 
 
 def log_levels(environment: Mapping[str, str]) -> dict[str, str]:
-    """From `name=level` pairs, with commas between. Raises ConfigError."""
+    """Returns the log levels in LB_LOG_LEVELS: `name=level`, separated by commas. Raises ConfigError."""
     pairs = [pair for pair in environment.get("LB_LOG_LEVELS", "").split(",") if pair]
     levels = {name.strip(): level.strip() for name, _, level in (pair.partition("=") for pair in pairs)}
     try:
@@ -24,11 +25,12 @@
         raise ConfigError("LB_LOG_LEVELS", str(error)) from error
     for name in levels:
         if not any(f"{event}.".startswith(f"{name}.") for event in logs.EVENTS):
-            raise ConfigError("LB_LOG_LEVELS", f"{name} is no event and no group of events")
+            raise ConfigError("LB_LOG_LEVELS", f"{name} is neither an event nor a group of events")
     return levels
 
 
 def main() -> int:
+    """Runs the relay and returns its exit status: 0 when finished, 2 when the configuration is refused."""
     logs.begin(logs.Terms())
     try:
         if levels := log_levels(os.environ):
--- a/glenfold/daemon/private_socket.py
+++ b/glenfold/daemon/private_socket.py
@@ -8,7 +8,7 @@
 
 import trio
 
-CREDENTIALS = struct.Struct("3i")  # of SO_PEERCRED: process id, user, group
+CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED returns the process id, user id and group id.
 OWNER_ONLY = 0o600
 
 
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -1,7 +1,7 @@
-"""One instance: its parts wired together, from its start to its end.
+"""One instance: wires its parts together and runs them from its start to its end.
 
-What other installations add to the platform's relay (a control socket, readiness, snapshots, a listener that
-was passed on) comes in as companions and as listeners that are open already; nothing here imports them.
+Features that other installations add to the platform's relay (a control socket, notifications, snapshots,
+passed listeners) are given as background tasks and open listeners; this module imports none of them.
 """
 
 import gc
@@ -34,22 +34,24 @@
 if TYPE_CHECKING:
     from glenfold.rules.group_parts import GroupParts
 
-CALLS_PER_S = 10.0  # that all relays together may ask of one discovery, where each call costs it time
-STANDING_CHECK_INTERVAL_S = 0.1  # between two looks at how many connections stand, before their clients move
+# All relays together make at most this many calls to one discovery service, as each call costs it time.
+CALLS_PER_S = 10.0
+# Before clients are told to move, the standing connections are counted at this interval.
+STANDING_CHECK_INTERVAL_S = 0.1
 
 
 class ListSource(Protocol):
-    """Where the list comes from in place of discovery's agent."""
+    """A source of the server list other than discovery's agent."""
 
     @property
     def heard_at(self) -> float:
-        """When the source last said that what is known holds, on trio's clock."""
+        """The time on trio's clock at which the source last confirmed the list known."""
 
     async def follow(self) -> None:
-        """Until it is cancelled."""
+        """Follows the list until it is cancelled."""
 
     def reload(self, config: Config) -> None:
-        """The configuration from now on."""
+        """Uses this configuration from now on."""
 
 
 MakeListSource = Callable[[Config, Decisions, DestinationSet, Counters], ListSource]
@@ -59,8 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadResult:
-    """`refused`: why nothing was taken over; `file`: because the file is at fault. `waits`: keys that have
-    changed and need a restart."""
+    """The result of a reload.
+
+    `refused` is the reason if nothing was applied; `file` is true if the reason is a faulty file. `waits`
+    holds changed keys that need a restart.
+    """
 
     refused: str | None = None
     file: bool = False
@@ -68,14 +73,18 @@
 
 
 class Process:
-    """`read_again`: what the configuration says now, and the keys that wait for a restart; raises
-    ConfigError. `listeners`: sockets that listen already; without them it listens at `config.listen`.
-    `held`: it accepts nobody until `accept` is called, as another process still does.
-    `companions` run beside it until it has finished, and are cancelled then. `deadline_s`: from being told
-    to stop until it may be killed, where that is not what the platform promises. `make_list_source`: of
-    where the list comes from, if not from the agent at `config.discovery`.
+    """One instance of the relay.
+
+    `read_again` returns the current configuration and the changed keys that need a restart, or raises
+    ConfigError. `listeners` are sockets that listen already; if there are none, the instance listens at
+    `config.listen`. With `start_paused`, it accepts no clients until `accept` is called, as another process
+    still does. `background_tasks` run until the instance has finished, and are cancelled then. `deadline_s`
+    is the time from the request to stop until the process may be killed, if it differs from the platform's.
+    `make_list_source` creates the source of the server list, if that is not the agent at `config.discovery`.
 
-    `accepts` is set once it takes clients. `handed_on`: another process serves under its name by now."""
+    `accepts` is set once the instance accepts clients. `handed_over` is true once another process serves
+    under its name.
+    """
 
     def __init__(
         self,
@@ -119,13 +128,13 @@
         self._read_again = read_again
         self._background_tasks = background_tasks
         self._stop_requested = trio.Event()
-        self._signalled_at: float | None = None  # by the monotonic clock
+        self._signalled_at: float | None = None  # The time of the first stop signal on the monotonic clock.
         self.life.watches.append(
             lambda before, now: events.life_changed(before=before.value, state=now.value)
         )
 
     async def run(self) -> None:
-        """Until it was told to stop and has finished all that it has taken."""
+        """Runs until the instance is told to stop and has finished all accepted requests."""
         config = self.relay.config
         await self._load_known_list()
         async with trio.open_nursery() as nursery:
@@ -149,14 +158,14 @@
                 await self._empty_queues(leaving.moves_end)
             self.release(self.listeners)
             self.life.to(State.FINISHING)
-            gc.freeze()  # looking through all that stands would hold up the moves time and again
+            gc.freeze()  # Collections that scan all connections would delay the moves.
             await finish_requests(leaving, self.relay)
             self.life.to(State.STOPPED)
             nursery.cancel_scope.cancel()
         events.relay_exit(counters=self.relay.counters.plain())
 
     async def _load_known_list(self) -> None:
-        """Before the first client: a relay that died starts again from the list it last had."""
+        """Loads the last known list before the first client, so that a relay that died restarts with it."""
         relay = self.relay
         if relay.config.known:
             try:
@@ -165,7 +174,7 @@
                 events.list_known_refused(error=error)
 
     def accept(self) -> None:
-        """At all its listeners, from now on; where it does already, nothing changes."""
+        """Accepts clients at all listeners; does nothing at those where it already does."""
         assert self._nursery is not None
         self._start_paused = False
         self.accepts.set()
@@ -176,22 +185,28 @@
                 events.relay_listens(name=self.relay.config.name, address=written(listener.getsockname()))
 
     def pause(self, listeners: Iterable[SocketType]) -> None:
-        """Accepts no more there. The sockets stay open, and with them the kernel's queue of clients."""
+        """Stops accepting at these listeners. The sockets and the kernel's queue of clients stay open."""
         for listener in listeners:
             if (scope := self._accepting.pop(listener, None)) is not None:
                 scope.cancel()
 
     def release(self, listeners: Iterable[SocketType]) -> None:
-        """Closes its own descriptors, and no more: where another process has one of the same socket, that
-        goes on listening, with all who are queued there."""
+        """Closes this process's descriptors of the listeners.
+
+        A socket that another process also has open continues to listen, with all clients in its queue.
+        """
         for listener in list(listeners):
             self.pause([listener])
             self.listeners.remove(listener)
             listener.close()
 
     async def _empty_queues(self, until: float) -> None:
-        """Closing resets who is queued, as some are when a loop that lags sees that arrivals are over. Not
-        where it accepts no more, as another process does now; in a flood, no more than a queue holds."""
+        """Accepts the clients in the kernel's queues, until `until` at the latest.
+
+        Closing a socket resets its queued clients, and an event loop that lags may leave some in the queue
+        when it sees the end of arrivals. Paused listeners are skipped, as another process accepts there. In a
+        flood of clients, it accepts no more than one queue holds.
+        """
         max_accepted = self.relay.counters.accepted + BACKLOG
         while (
             any(map(queued, self._accepting))
@@ -201,9 +216,9 @@
             await trio.lowlevel.checkpoint()
 
     async def _become_ready(self) -> None:
-        """Clients that come before are served as well as it goes; only PING waits."""
+        """Waits for a list and for readiness. Clients are served meanwhile if possible; only PING waits."""
         relay = self.relay
-        gc.freeze()  # what stands now stays to the end: no collection looks at it again
+        gc.freeze()  # Objects of the start live until the end, so no collection needs to scan them.
         gc.enable()
         while not relay.destinations.listed:
             await trio.sleep_until(trio.current_time() + CHECK_INTERVAL_S)
@@ -216,19 +231,22 @@
             self.life.to(State.READY)
 
     async def _accept(self, scope: trio.CancelScope, listener: SocketType, nursery: trio.Nursery) -> None:
-        self.relay.unheard += 1  # one that it has just accepted, when it is paused, is known a turn later
+        self.relay.unheard += 1  # A client accepted just before a pause is counted one turn later.
         with scope:
             try:
                 await self.inbound.serve(listener, nursery)
             except (OSError, trio.ClosedResourceError):
-                if not scope.cancel_called:  # closed just as a client arrived
+                if not scope.cancel_called:  # The listener was closed while a client arrived.
                     raise
             finally:
                 self.relay.unheard -= 1
 
     def record_signal_times(self, *numbers: int) -> None:
-        """Of these signals, which trio receives already: a loop with many lines to pass comes to heed one
-        up to a second later, but the kill comes by the signal's own moment."""
+        """Records the arrival time of these signals, which trio receives already.
+
+        An event loop with many lines to pass may handle a signal up to a second late, but the deadline for
+        the kill counts from the signal's arrival.
+        """
         for number in numbers:
             signal.signal(number, self._recording_handler(signal.getsignal(number)))
 
@@ -245,10 +263,14 @@
         return trio.current_time() - ago_s
 
     def stop(self) -> None:
+        """Tells the instance to stop; `run` drains it and returns."""
         self._stop_requested.set()
 
     def reload(self) -> ReloadResult:
-        """A faulty file changes nothing: the relay goes on as it was told before."""
+        """Reads the configuration again and applies it.
+
+        A faulty file changes nothing: the relay keeps its previous configuration.
+        """
         relay, before = self.relay, self.life.state
         if self.life.ending:
             return ReloadResult("it is ending")
@@ -275,15 +297,19 @@
 
 
 def group_parts() -> "GroupParts":
-    """Loaded here, as most relays place every group as one."""
+    """Returns new GroupParts; imported only here, as most relays place each group as one."""
     from glenfold.rules.group_parts import GroupParts
 
     return GroupParts()
 
 
 def calls_spread_s(settings: interface.Settings) -> float:
-    """Where the list must be asked for, one service answers all relays in turn: those who wait too long there
-    have asked in vain, yet cost it as much, so a fleet that asks at once may be told nothing for good."""
+    """Returns the time in seconds over which the relays spread their calls for the list, or 0.
+
+    Where relays have to ask for the list, one service answers all of them in turn. A call that times out
+    there costs the service as much as an answered one, so a fleet whose relays all ask at once may never get
+    a list.
+    """
     return settings.gateways / CALLS_PER_S if settings.ask_for_list else 0.0
 
 
@@ -296,20 +322,22 @@
 
 
 async def wait_for_last_arrivals(leaving: Leaving, inbound: Inbound) -> None:
+    """Waits until no more clients are expected to arrive."""
     while trio.current_time() < (until := leaving.arrivals_until(inbound.last_arrival)):
         await trio.sleep_until(until)
         leaving.came_back(trio.current_time(), until)
 
 
 async def finish_requests(leaving: Leaving, relay: Relay) -> None:
-    """Every request taken gets its answer, and every standing connection's client is told to move in time."""
+    """Answers every accepted request, and tells each standing connection's client to move in time."""
     with trio.move_on_at(leaving.leave_at):
         await _wait_until_moves(leaving, relay)
         async with trio.open_nursery() as nursery:
             await _move_all(leaving, relay, nursery)
     _end_standing(relay)
     turns = 0
-    # Their time is up, and a turn or two of the loop shows it. One may have come up just now.
+    # The remaining requests have expired, which they handle within a loop turn or two. A connection may also
+    # have come up just now.
     while relay.unanswered and (turns < ANSWER_TURNS or trio.current_time() < leaving.over_at):
         await trio.sleep_until(min(trio.current_time() + ANSWERS_S, leaving.over_at))
         turns += 1
@@ -344,8 +372,8 @@
 
 
 async def _move_all(leaving: Leaving, relay: Relay, nursery: trio.Nursery) -> None:
-    """A connection counts as standing until its client has been told to move, or is gone."""
-    awaiting_line_end: set[Passage] = set()  # they have only part of a line
+    """A connection counts as standing until its client has been told to move, or has disconnected."""
+    awaiting_line_end: set[Passage] = set()  # Connections in the middle of a line.
     queue: deque[Passage] = deque()
     while relay.owes:
         while queue and queue[0] not in relay.standing:
@@ -355,7 +383,7 @@
         step = leaving.step(trio.current_time(), time.process_time(), remaining)
         if leaving.short and not short_before:
             events.leave_short(late=step.late, connections=remaining, per_s=round(leaving.pace))
-            queue.clear()  # to be put in another order
+            queue.clear()  # The queue is rebuilt in another order.
         if len(queue) < step.moves:
             queue = deque(
                 passage
@@ -373,29 +401,34 @@
 
 
 async def _move(passage: Passage, relay: Relay, until: float) -> None:
-    """Not given up sooner: a turn of the loop may take as long as a move usually may."""
+    """Moves one client until `until`, without the usual time limit, as a loop turn may take that long."""
     await passage.move(until)
     if passage.moved:
         relay.standing.pop(passage, None)
 
 
 async def run_by_signals(process: Process) -> None:
-    """Until it has finished; SIGTERM and SIGINT tell it to stop, SIGHUP to read its configuration again."""
+    """Runs the process until it has finished.
+
+    SIGTERM and SIGINT stop it, SIGHUP reloads its configuration, SIGUSR1 logs its counters.
+    """
     by_signal: dict[int, Callable[[], object]] = {
         signal.SIGHUP: process.reload,
         signal.SIGUSR1: lambda: events.relay_counters(counters=process.relay.counters.plain()),
         signal.SIGTERM: process.stop,
         signal.SIGINT: process.stop,
     }
-    # What trio goes back to: by their default any of them would end a relay that has stopped listening to it.
-    # Blocking does not keep them off: another thread would take them.
+    # Trio restores these handlers when it stops receiving the signals: the default action of each would kill
+    # the relay. Blocking the signals is not enough, as another thread would receive them.
     early: list[int] = []
     for number in by_signal:
         signal.signal(number, lambda number, frame: early.append(number))
     try:
         with trio.open_signal_receiver(*by_signal) as signals:
             process.record_signal_times(signal.SIGTERM, signal.SIGINT)
-            signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)  # those that came during the start come now
+            signal.pthread_sigmask(
+                signal.SIG_UNBLOCK, by_signal
+            )  # Signals that arrived during the start are delivered now.
             for number in early:
                 by_signal[number]()
             async with trio.open_nursery() as nursery:
@@ -410,6 +443,6 @@
 async def dispatch_signals(
     signals: AsyncIterator[int], by_signal: Mapping[int, Callable[[], object]]
 ) -> None:
-    """Calls what belongs to each signal, for as long as it is not cancelled."""
+    """Calls the handler of each received signal until it is cancelled."""
     async for number in signals:
         by_signal[number]()
--- a/glenfold/daemon/process_handle.py
+++ b/glenfold/daemon/process_handle.py
@@ -1,7 +1,7 @@
-"""Processes that are told apart for good: a pid alone may be a stranger's by the time it is used.
+"""Handles for processes that stay valid when a pid is reused.
 
-A process is named `PID:START`, with the moment of its start in ticks since the machine's, as /proc tells it.
-It is watched and signalled through a descriptor (pidfd) that never comes to mean another one.
+A process is identified as `PID:START`, where START is its start time from /proc in clock ticks since boot. It
+is monitored and signalled through a descriptor (pidfd), which never refers to another process.
 """
 
 import os
@@ -14,22 +14,25 @@
 
 
 def identity_of(pid: int) -> str | None:
-    """None if no such process runs; one that has ended and waits to be reaped does not."""
+    """Returns the identity of the process, or None if it does not run. A zombie does not run."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_bytes()
     except (FileNotFoundError, ProcessLookupError):
         return None
-    fields = stat.rpartition(b")")[2].split()  # its command may hold blanks and brackets
+    fields = stat.rpartition(b")")[2].split()  # The command name may contain blanks and brackets.
     return None if fields[0] in (b"Z", b"X") else f"{pid}:{int(fields[19])}"
 
 
 def boot_id() -> str:
-    """Which start of the machine this is."""
+    """Returns the kernel's id of the current boot."""
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
 class ProcessHandle:
-    """One process that runs, or has: `child` if this process has started it, and so learns how it ended."""
+    """One process that runs or has exited.
+
+    `process` is its identity. `child` is set if this process started it; its exit status is only known then.
+    """
 
     def __init__(self, process: str, descriptor: int, child: subprocess.Popen[bytes] | None = None) -> None:
         self.process = process
@@ -39,17 +42,18 @@
 
     @property
     def pid(self) -> int:
+        """The process id part of the identity."""
         return int(self.process.partition(":")[0])
 
     @classmethod
     def find(cls, process: str) -> "ProcessHandle | None":
-        """None if it does not run, whoever has its pid now. Raises OSError."""
+        """Returns a handle for the process with this identity, or None if it does not run. Raises OSError."""
         pid = int(process.partition(":")[0])
         try:
             descriptor = os.pidfd_open(pid)
         except ProcessLookupError:
             return None
-        # Only now: if the pid's process started when this one did, the descriptor is this one's.
+        # Checked after opening: if the identity still matches, the descriptor refers to that process.
         if identity_of(pid) == process:
             return cls(process, descriptor)
         os.close(descriptor)
@@ -57,8 +61,10 @@
 
     @classmethod
     def start(cls, command: Sequence[str], output: int, environment: dict[str, str]) -> "ProcessHandle":
-        """In a session of its own, so that nothing meant for this process or its terminal reaches it. Raises
-        OSError."""
+        """Starts a child process and returns its handle. Raises OSError.
+
+        The child runs in its own session, so signals to this process's group or terminal don't reach it.
+        """
         child = subprocess.Popen(
             command,
             stdin=subprocess.DEVNULL,
@@ -70,13 +76,13 @@
         try:
             process, descriptor = identity_of(child.pid), os.pidfd_open(child.pid)
         except OSError:
-            child.kill()  # not yet reaped, so its pid is its own
+            child.kill()  # The child is not reaped yet, so its pid can't have been reused.
             child.wait()
             raise
         return cls(process or f"{child.pid}:0", descriptor, child)
 
     def signal(self, number: int) -> None:
-        """Does nothing to one that has ended."""
+        """Sends a signal; does nothing if the process has exited."""
         if not self.has_exited:
             try:
                 signal.pidfd_send_signal(self._descriptor, number)
@@ -84,13 +90,13 @@
                 return
 
     async def wait_for_exit(self) -> str:
-        """How it ended, in words, once it has."""
+        """Waits until the process has exited and returns a description of how."""
         await trio.lowlevel.wait_readable(self._descriptor)
         self.has_exited = True
         trio.lowlevel.notify_closing(self._descriptor)
         os.close(self._descriptor)
         if self.child is None:
-            return "its status is unknown, as another process has started it"
+            return "its exit status is unknown, as another process started it"
         status = self.child.wait()
         return f"exit status {status}" if status >= 0 else f"signal {-status} ({_signal_name(-status)})"
 
--- a/glenfold/daemon/replica.py
+++ b/glenfold/daemon/replica.py
@@ -1,4 +1,4 @@
-"""One control replica, from `glenfold replica` to its end: server, follower of its parents, signals."""
+"""One control replica, as `glenfold replica` runs it: a server, a follower of its parents, and signals."""
 
 import random
 import resource
@@ -27,7 +27,7 @@
 from glenfold.rules.replication import ListDocument, Position
 from glenfold.rules.succession import Succession
 
-PARENT_CHECK_INTERVAL_S = 0.01  # between two looks at whether a parent is followed
+PARENT_CHECK_INTERVAL_S = 0.01  # The wait between two checks whether a parent is followed.
 
 
 class Exit(IntEnum):
@@ -35,12 +35,12 @@
 
     FINISHED = 0
     FAILED = 1
-    FILE = 2  # the file is at fault
-    NO_LISTENER = 4  # it can't listen where the file says
+    FILE = 2  # The file is faulty.
+    NO_LISTENER = 4  # The replica can't listen at the configured address.
 
 
 class ReplicaProcess:
-    """`terms`: of the file at `path`, which is read again on `reload`."""
+    """A replica with the settings `terms` of the file at `path`, which `reload` reads again."""
 
     def __init__(self, path: Path, terms: Terms) -> None:
         self._path = path
@@ -54,15 +54,16 @@
 
     @property
     def counters(self) -> dict[str, int]:
+        """All counters of the server and the follower."""
         return self._counters.plain() | self._follower.counters()
 
     @property
     def children(self) -> int:
-        """That watch."""
+        """The number of children that watch this replica."""
         return self._server.children
 
     async def run(self, listener: socket.socket) -> None:
-        """Until it was told to stop and has ended its watches."""
+        """Runs until it is told to stop and has ended its children's watches."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._server.serve, trio.socket.from_stdlib_socket(listener))
             nursery.start_soon(self._follower.follow)
@@ -73,19 +74,21 @@
         events.exit_counters(counters=self.counters)
 
     async def _earlier_changes(self, since: int, upto: Position) -> Sequence[ListDocument]:
-        """Of the parent that the first list came from, once that is followed."""
+        """Asks the followed parent for earlier changes, once a parent is followed."""
         while (watch := self._follower.watch) is None:
             await trio.sleep(PARENT_CHECK_INTERVAL_S)
         return await earlier_changes(watch.parent, since, upto)
 
     def stop(self) -> None:
+        """Requests the end of `run`."""
         self._stop_requested.set()
 
     def log_counters(self) -> None:
+        """Logs the current counters."""
         events.counters(counters=self.counters)
 
     def reload(self) -> None:
-        """A faulty file changes nothing."""
+        """Reads the file again and applies it; a faulty file changes nothing."""
         try:
             terms = read(self._path)
         except Faults as error:
@@ -104,11 +107,12 @@
 
 
 def log_terms(logging: Logging) -> logs.Terms:
+    """Returns the log settings of the table `logging`."""
     return logs.Terms(logging.form, logging.level, logging.levels, logging.events_per_s, logging.burst)
 
 
 def main(path: Path, terms: Terms) -> Exit:
-    """Runs the replica of a sound file to its end."""
+    """Runs the replica of a checked file until it stops, and returns the exit status."""
     logs.begin(log_terms(terms.logging), terms.replica.name)
     try:
         _raise_descriptor_limit(descriptors(terms.limits))
@@ -127,14 +131,14 @@
 
 
 def _raise_descriptor_limit(count: int) -> None:
-    """Within what the user may have, which the check of the file has looked at."""
+    """Raises the soft limit of descriptors; checking the file has compared `count` with the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if resource.RLIM_INFINITY != soft < count:
         resource.setrlimit(resource.RLIMIT_NOFILE, (count, hard))
 
 
 async def _run_by_signals(process: ReplicaProcess, listener: socket.socket) -> None:
-    """SIGTERM and SIGINT tell it to stop, SIGHUP to read its file again, SIGUSR1 to log its counters."""
+    """Runs the replica: SIGTERM and SIGINT stop it, SIGHUP reloads its file, SIGUSR1 logs its counters."""
     by_signal: dict[int, Callable[[], object]] = {
         signal.SIGHUP: process.reload,
         signal.SIGUSR1: process.log_counters,
@@ -142,7 +146,9 @@
         signal.SIGINT: process.stop,
     }
     with trio.open_signal_receiver(*by_signal) as signals:
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)  # those that came during the start come now
+        signal.pthread_sigmask(
+            signal.SIG_UNBLOCK, by_signal
+        )  # Signals that arrived during the start are delivered now.
         async with trio.open_nursery() as nursery:
             nursery.start_soon(dispatch_signals, signals, by_signal)
             await process.run(listener)
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -1,6 +1,6 @@
-"""One instance of an operators' file, from `glenfold run` to its end, with what its file switches on.
+"""One instance of an operators' file, as `glenfold run` runs it, with the features that the file enables.
 
-Each part is imported only where it is on.
+The modules of optional features are imported only where the feature is enabled.
 """
 
 import os
@@ -22,24 +22,27 @@
 class Exit(IntEnum):
     """The exit status of `glenfold run`."""
 
-    FINISHED = 0  # it was told to stop, and has finished all that it had taken
+    FINISHED = 0  # The instance was told to stop and has finished all accepted requests.
     FAILED = 1
-    FILE = 2  # the file is at fault
-    RUNS = 3  # another instance of that name runs, and goes on
-    NO_LISTENER = 4  # it can't listen where the file says
+    FILE = 2  # The file is faulty.
+    RUNS = 3  # Another instance of that name runs and continues to.
+    NO_LISTENER = 4  # The instance can't listen at a configured address.
 
 
 @dataclass(frozen=True, slots=True)
 class NameOwnership:
-    """What makes an instance the only one of its name: the lock's descriptor, and the take-over by which it
-    came by it, if it did. None of both where there is no folder."""
+    """The ownership of an instance's name.
+
+    `lock` is the descriptor of the name's lock. `taken` is the takeover through which the name was obtained,
+    if it was. Both are None if no folder is configured.
+    """
 
     lock: int | None = None
     taken: takeover.Takeover | None = None
 
 
 class Run:
-    """`number`: of an instance of a fleet; None without one."""
+    """One run of `glenfold run`. `number` is the instance's number in its fleet, or None without one."""
 
     def __init__(self, operators: Operators, number: int | None) -> None:
         self._operators = operators
@@ -48,6 +51,7 @@
         self._again = Again(operators, number)
 
     def main(self) -> Exit:
+        """Runs the instance until it stops and returns the exit status."""
         logs.begin(self._log_terms(), self._place.name)
         try:
             return trio.run(self._main)
@@ -100,7 +104,10 @@
         return RelayLists
 
     async def _acquire_name(self, passed: Sequence[socket.socket], by: float) -> NameOwnership:
-        """Whoever has it is asked to hand it on. Raises Held and Refused."""
+        """Acquires the name, if necessary by a takeover from the process that holds it.
+
+        Raises NameHeld and Refused.
+        """
         if self._place.folder is None:
             return NameOwnership()
         try:
@@ -110,7 +117,7 @@
                 raise
             wants = await listeners.resolve(self._place.listeners)
             taken = await takeover.ask(place, wants, by, passed)
-        if taken is None:  # it hands nothing on, or has just gone
+        if taken is None:  # The holder offers no takeover, or has just exited.
             return NameOwnership(lock.acquire(self._place.folder, self._place.name))
         return NameOwnership(taken.lock, taken)
 
--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -1,7 +1,7 @@
-"""Snapshots of the destination set on durable disk: taken up at the start, kept from then on.
+"""Snapshots of the destination set on durable disk: loaded at the start and written from then on.
 
-The event loop does no file operation: a worker thread does, one at a time and with the newest state. Nothing
-waits for it, so a disk that is full, read-only or slow costs the snapshots only.
+A worker thread, not the event loop, does the file operations, one at a time and always with the newest state.
+Nothing waits for the thread, so a disk that is full, read-only or slow only affects the snapshots.
 """
 
 import math
@@ -22,17 +22,20 @@
 from glenfold.rules.snapshots import Owner, Pace, Refused, Snapshot, TooLarge
 from linnetspread import interface
 
-READ_TIMEOUT_S = 2.0  # for the disk to answer at the start
-SLOW_WRITE_S = 1.0  # of a write, before it is said
-LAST_WRITE_TIMEOUT_S = 0.25  # for the last write, after all else is over
-REFRESHES_PER_MAX_AGE = 10  # within the greatest age
+READ_TIMEOUT_S = 2.0  # Limits the read at the start.
+SLOW_WRITE_S = 1.0  # A write that takes longer is logged.
+LAST_WRITE_TIMEOUT_S = 0.25  # Limits the last write, after everything else has finished.
+REFRESHES_PER_MAX_AGE = 10  # Writes of an unchanged list within its maximum age.
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotOptions:
-    """`folder` is on a disk that outlives the process, and may be shared by instances of other names.
-    `every_s`: between two writes, unless a server leaves. `max_age_s`: since discovery last said that the
-    list holds. `max_bytes`: of one file; there are three at the most."""
+    """The settings of an instance's snapshots.
+
+    `folder` is on a disk that outlives the process, and may be shared by instances of other names. `every_s`
+    is the minimum time between two writes, except when a server leaves. A snapshot is used up to `max_age_s`
+    after discovery last confirmed its list. `max_bytes` limits one file; there are at most three files.
+    """
 
     folder: Path
     fleet: str
@@ -42,7 +45,11 @@
 
 
 class Snapshots:
-    """`take_up` before the process runs, `keep` as its companion. `wall` tells Unix seconds."""
+    """Loads and writes the snapshots of one process.
+
+    Call `load_newest` before the process runs, and run `run_writer` as its background task. `wall_clock`
+    returns the Unix time in seconds.
+    """
 
     def __init__(
         self,
@@ -57,21 +64,23 @@
         self._history = History()
         self._wake = trio.Event()
         self._ending = False
-        self._list_received_at = -math.inf  # the last list in this life, on trio's clock
-        self._earlier_confirmed_at = -math.inf  # when discovery last told another life, in Unix seconds
-        self._departed_on_disk: dict[int, int] = {}  # the starts after which servers left, as on the disk
+        self._list_received_at = -math.inf  # The last list received by this process, on trio's clock.
+        self._earlier_confirmed_at = -math.inf  # When discovery last confirmed the loaded list, in Unix time.
+        self._departed_on_disk: dict[int, int] = {}  # By departed server, its start time as on disk.
         self.generation = 0
-        self._on_disk_confirmed_at = -math.inf  # when what is on the disk was last heard of
+        self._on_disk_confirmed_at = -math.inf  # When discovery last confirmed the list on disk.
         self._write_started_at = math.inf
         self._problem = ""
         self._refused: list[str] = []
         self.loaded: Snapshot | None = None
 
-    # ---- the start ----
+    # ---- loading at the start ----
 
     async def load_newest(self, process: Process) -> None:
-        """Before the first client. The newest snapshot that is not refused goes before a list in the
-        configuration, which is of no known age."""
+        """Loads the newest valid snapshot before the first client.
+
+        The snapshot takes precedence over a list in the configuration, whose age is unknown.
+        """
         relay = process.relay
         self._process = process
         owner = Owner(self.options.fleet, relay.config.name)
@@ -105,7 +114,9 @@
                 continue
             self._on_loaded(snapshot, name)
             if len(readable) < 2 or not readable[0][0].says_as(readable[1][0]):
-                self._pace.changed(urgent=False)  # one damaged file must not bring back who left
+                self._pace.changed(
+                    urgent=False
+                )  # Writes a second copy, so that one damaged file brings back no departed server.
             return server_list
         return None
 
@@ -122,7 +133,7 @@
         self._refused.append(refused.reason)
         events.snapshot_refused(file=name, error=refused)
 
-    # ---- what there is to write ----
+    # ---- tracking changes ----
 
     def _on_list(self, server_list: interface.ServerList) -> None:
         has_departed = self._history.heard(server_list)
@@ -151,14 +162,14 @@
         }
 
     def _list_confirmed_at(self) -> float:
-        """In Unix seconds, by the clock as it stands now."""
+        """Returns when discovery last confirmed the list, in Unix time by the current wall clock."""
         ago = trio.current_time() - max(self._list_received_at, self._process.discovery.heard_at)
         return max(self._earlier_confirmed_at, self._wall_clock() - ago)
 
     # ---- writing ----
 
     async def run_writer(self, process: Process) -> None:
-        """Until it is cancelled, and for the last write up to `LAST_S` longer."""
+        """Writes snapshots until it is cancelled, and then for up to LAST_WRITE_TIMEOUT_S the last one."""
         async with trio.open_nursery() as nursery:
             writing = trio.CancelScope(shield=True)
             nursery.start_soon(self._write_all, writing)
@@ -175,10 +186,10 @@
             while await self._wait_until_due() and not (self._ending and not written):
                 written = await self._write()
         if not scope.cancelled_caught:
-            self._store.close()  # else a thread may still write, and the lock goes with the process
+            self._store.close()  # Otherwise a thread may still write: exiting releases the lock.
 
     async def _wait_until_due(self) -> bool:
-        """Waits until a write is to begin. False when none is to come any more."""
+        """Waits until the next write is due. Returns False if no further write follows."""
         while not self._ending:
             now, due = trio.current_time(), self._pace.due_at()
             if due <= now:
@@ -227,17 +238,21 @@
     async def _report_if_slow(self, at: float) -> None:
         await trio.sleep_until(at)
         self._process.relay.counters.snapshots_slow += 1
-        self._report("the disk lets it wait")
+        self._report("the disk has not finished the write yet")
 
     def _report(self, fault: str) -> None:
-        """Once, until another fault comes or a snapshot is written."""
+        """Logs a problem once, until another problem occurs or a snapshot is written."""
         if fault != self._problem:
             events.snapshot_waits(fault=fault)
         self._problem = fault
 
     def status(self) -> dict[str, Any]:
-        """`age_s`: since discovery said that what is on the disk holds; null: nothing is there. `waits`: what
-        was heard since is not on the disk. `writing_s`: for how long a write has been under way."""
+        """Returns the part of the instance's status about snapshots.
+
+        `age_s` is the time since discovery confirmed the list on disk; it is null if there is none. `waits`
+        is true if a received change is not on disk yet. `writing_s` is the duration of the current write, or
+        null.
+        """
         now = trio.current_time()
         return {
             "folder": str(self.options.folder),
--- a/glenfold/daemon/snapshot_files.py
+++ b/glenfold/daemon/snapshot_files.py
@@ -1,4 +1,7 @@
-"""The files of one instance's snapshots: two generations, each replaced as a whole. All of it may block."""
+"""The files of one instance's snapshots: two generations, each replaced atomically.
+
+All functions may block.
+"""
 
 import contextlib
 import fcntl
@@ -13,19 +16,22 @@
 from glenfold.rules.history import Section
 from glenfold.rules.snapshots import Content, Owner, Refused, Snapshot, decode, encode
 
-ROWS_PER_BATCH = 64  # some 0.1 ms of work,
-BATCH_PAUSE_S = 0.0005  # after which the event loop gets the interpreter
+ROWS_PER_BATCH = 64  # Encoding a batch takes about 0.1 ms.
+BATCH_PAUSE_S = 0.0005  # The pause after a batch lets the event loop run.
 
 
 class LockedElsewhere(Exception):
-    """Another process writes these files: the one before, as long as it finishes what it has taken."""
+    """Raised when another process has locked these files.
+
+    After a takeover this is the old process, until it has finished its accepted requests.
+    """
 
 
 class Files:
-    """What is asked of the file system. Every call may raise OSError."""
+    """The file system operations that snapshots need. Every call may raise OSError."""
 
     def read(self, path: Path, max_bytes: int) -> bytes | None:
-        """At most `most` bytes; None if there is no such file."""
+        """Returns at most `max_bytes` bytes of the file, or None if there is no such file."""
         try:
             with path.open("rb") as file:
                 return file.read(max_bytes)
@@ -33,7 +39,7 @@
             return None
 
     def write(self, path: Path, pieces: Iterable[bytes]) -> None:
-        """They are on the disk when it returns; the file's name may not be."""
+        """Writes and syncs the contents; the file's name may not be on disk yet when it returns."""
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         with open(descriptor, "wb") as file:
             file.writelines(pieces)
@@ -41,9 +47,11 @@
             os.fsync(descriptor)
 
     def rename(self, source: Path, target: Path) -> None:
+        """Renames the file and replaces an existing target."""
         os.replace(source, target)
 
     def sync_folder(self, folder: Path) -> None:
+        """Writes the names of the files in the folder to disk."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -51,10 +59,14 @@
             os.close(descriptor)
 
     def remove(self, path: Path) -> None:
+        """Removes the file if it exists."""
         path.unlink(missing_ok=True)
 
     def lock(self, path: Path) -> int | None:
-        """For as long as the descriptor is open; None if another process has it."""
+        """Acquires the lock and returns its descriptor, or None if another process holds the lock.
+
+        The lock is held for as long as the descriptor is open.
+        """
         path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -68,29 +80,33 @@
         return descriptor
 
     def unlock(self, descriptor: int) -> None:
+        """Releases a lock that `lock` returned."""
         os.close(descriptor)
 
 
 @dataclass(slots=True)
 class Store:
-    """`most`: bytes of a file. One thread at a time may use it."""
+    """The two snapshot files of one instance. Only one thread at a time may use it."""
 
     folder: Path
     owner: Owner
     max_bytes: int
     files: Files = field(default_factory=Files)
     _lock: int | None = None
-    _generations: list[int] = field(default_factory=list)  # in each place; 0: nothing that is worth keeping
+    _generations: list[int] = field(
+        default_factory=list
+    )  # The generation in each path; 0 if there is no valid one.
 
     def _path(self, suffix: str) -> Path:
         return self.folder / f"{quote(self.owner.fleet, '')}.{quote(self.owner.name, '')}.{suffix}"
 
     @property
     def paths(self) -> list[Path]:
+        """The paths of the two generations."""
         return [self._path("a.snapshot"), self._path("b.snapshot")]
 
     def read(self) -> list[Snapshot | Refused | None]:
-        """Of each place; None where there is nothing."""
+        """Returns the snapshot in each path, why it was refused, or None if there is no file."""
         return [self._read(path) for path in self.paths]
 
     def _read(self, path: Path) -> Snapshot | Refused | None:
@@ -107,9 +123,10 @@
             return refused
 
     def save(self, heard_at: float, state: State, history: Section | None) -> int:
-        """Replaces the older generation; returns the number of the new one, which is on the disk then.
+        """Replaces the older generation, and returns the number of the new one once that is on disk.
 
-        Raises OSError, TooLarge or HeldElsewhere; the newer generation is untouched, whatever happens."""
+        Raises OSError, TooLarge or LockedElsewhere. The newer generation stays untouched in each case.
+        """
         if self._lock is None:
             self._lock = self._acquire_lock()
         generation = max(self._generations) + 1
@@ -121,7 +138,7 @@
             self.files.rename(temporary, self.paths[index])
         except OSError:
             with contextlib.suppress(OSError):
-                self.files.remove(temporary)  # on a full disk it would stand in the way of all else
+                self.files.remove(temporary)  # On a full disk the partial file would take up space.
             raise
         self.files.sync_folder(self.folder)
         self._generations[index] = generation
@@ -131,17 +148,19 @@
         lock = self.files.lock(self._path("lock"))
         if lock is None:
             raise LockedElsewhere(f"{self._path('lock')} is held by another process")
-        # Only now, as the process before may have written until now.
+        # Read after locking, as the previous process may have written until now.
         self._generations = [found.generation if isinstance(found, Snapshot) else 0 for found in self.read()]
         return lock
 
     def close(self) -> None:
+        """Releases the lock, if it is held."""
         if self._lock is not None:
             self.files.unlock(self._lock)
             self._lock = None
 
 
 def _encode_in_batches(content: Content, max_bytes: int) -> list[bytes]:
+    """Encodes in batches with pauses, so that the event loop gets the interpreter in between."""
     pieces = []
     for number, piece in enumerate(encode(content, max_bytes)):
         pieces.append(piece)
--- a/glenfold/daemon/state_file.py
+++ b/glenfold/daemon/state_file.py
@@ -1,4 +1,4 @@
-"""What the supervisor keeps on disk: its state, and the operators' file as it was accepted."""
+"""The supervisor's state file, and atomic writes for it and for the accepted operators' file."""
 
 import os
 from pathlib import Path
@@ -12,7 +12,10 @@
 
 
 class Kept(msgspec.Struct):
-    """`boot`: on which start of the machine; moments mean nothing on another one."""
+    """The contents of the state file.
+
+    `boot` is the id of the boot during which it was written: its monotonic times mean nothing after another.
+    """
 
     format: int
     boot: str
@@ -20,7 +23,7 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """There is either the file before or this one, whenever the machine stops. Raises OSError."""
+    """Replaces the file atomically: a crash leaves either the old or the new contents. Raises OSError."""
     temporary = path.with_name(f"{path.name}.new")
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     with open(descriptor, "wb") as file:
@@ -36,14 +39,19 @@
 
 
 class StateFile:
+    """The supervisor's state, saved as JSON in the file at `path`."""
+
     def __init__(self, path: Path) -> None:
         self.path = path
         self._boot = boot_id()
         self._last_written = b""
 
     def load(self) -> tuple[State, bool, str | None]:
-        """The state, whether its moments are of this start of the machine, and what is wrong with the file,
-        which then is put aside: instances are still found by their control sockets. Raises OSError."""
+        """Returns the state, whether its times are of this boot, and what is wrong with the file, or None.
+
+        A faulty file is renamed and an empty state returned: instances are still found by their control
+        sockets. Raises OSError.
+        """
         try:
             kept: Kept = msgspec.json.decode(self.path.read_bytes(), type=Kept)
         except FileNotFoundError:
@@ -60,7 +68,7 @@
         return f"{problem}; put aside as {aside}"
 
     def save(self, state: State) -> None:
-        """Raises OSError; what has not changed since is not written again."""
+        """Writes the state if it has changed since the last write. Raises OSError."""
         data = msgspec.json.encode(Kept(FORMAT, self._boot, state))
         if data != self._last_written:
             write_atomically(self.path, data)
--- a/glenfold/daemon/supervisor.py
+++ b/glenfold/daemon/supervisor.py
@@ -1,7 +1,8 @@
-"""The supervisor of a fleet on one machine: processes, sockets and files around what `rules.fleet` decides.
+"""The supervisor of a fleet on one machine: processes, sockets and files for the decisions of `rules.fleet`.
 
-It is in nobody's way: relays are processes in sessions of their own that write to files, so they serve on
-when it dies. The next one finds them by their control sockets and by what the last one kept, and goes on.
+Relays don't depend on the supervisor: they are processes in their own sessions that log to files, so they
+continue to serve when it dies. The next supervisor finds them through their control sockets and the state
+file, and continues.
 """
 
 import fcntl
@@ -47,10 +48,11 @@
 from glenfold.rules.fleet.terms import Terms
 from glenfold.rules.service import Window
 
-POLL_INTERVAL_S = 0.2  # from one look at an instance to the next
-ANSWER_TIMEOUT_S = 1.0  # that an instance may take to answer
-SILENCE_TIMEOUT_S = 5.0  # without an answer for as long, an instance counts as not ready
-LOG_ROTATION_INTERVAL_S = 5.0  # from one look at the lengths of logs to the next
+POLL_INTERVAL_S = 0.2  # The wait between two status questions to an instance.
+ANSWER_TIMEOUT_S = 1.0  # The time that an instance may take to answer a question.
+SILENCE_TIMEOUT_S = 5.0  # An instance that has not answered for longer counts as not ready.
+LOG_ROTATION_INTERVAL_S = 5.0  # The wait between two checks of the lengths of the logs.
+# Variables that the service manager sets for the supervisor alone.
 NOT_INHERITED_VARIABLES = (
     "NOTIFY_SOCKET",
     "WATCHDOG_USEC",
@@ -58,34 +60,39 @@
     "LISTEN_FDS",
     "LISTEN_PID",
     "LISTEN_FDNAMES",
-)  # what the service manager said to the supervisor alone
+)
 
 
 class AlreadyRuns(Exception):
-    """Another supervisor has this folder."""
+    """Raised when another supervisor has locked this folder."""
 
 
 class FileRefused(Exception):
-    """The operators' file is faulty; the text names every fault."""
+    """Raised when the operators' file is faulty; the text names every problem."""
 
 
 @dataclass(frozen=True, slots=True)
 class SupervisorPaths:
-    """What is the supervisor's own on disk: a folder of mode 0700."""
+    """The paths of the supervisor's own files, in a folder of mode 0700."""
 
     folder: Path
 
     @property
     def socket(self) -> Path:
+        """The supervisor's control socket."""
         return self.folder / "control.sock"
 
     @property
     def state(self) -> Path:
+        """The state file."""
         return self.folder / "state.json"
 
     @contextmanager
     def locked(self) -> Iterator[None]:
-        """Against another supervisor; the lock dies with this process. Raises AlreadyRuns, OSError."""
+        """Holds the lock that excludes other supervisors; it is released when this process exits.
+
+        Raises AlreadyRuns, OSError.
+        """
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         descriptor = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
@@ -100,9 +107,12 @@
 
 @dataclass(slots=True)
 class OrderSource:
-    """`read` checks the operators' file, and raises FileRefused; once what it gave is accepted, `command`
-    tells how to start an instance by that: what is edited later changes nothing until it is read and accepted
-    again. `accept` raises OSError."""
+    """The functions that give the supervisor the operators' settings.
+
+    `read` checks the operators' file and returns its order, or raises FileRefused. Once the order is
+    accepted, `command` returns the command that starts an instance with its settings. Later edits of the file
+    have no effect until it is read and accepted again. `accept` raises OSError.
+    """
 
     read: Callable[[], "FleetOrder"]
     command: Callable[[str], Sequence[str]]
@@ -110,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOrder:
-    """`controls`: the control socket of each instance."""
+    """The fleet settings of a checked file. `controls` maps each instance's name to its control socket."""
 
     terms: Terms
     controls: Mapping[str, Path]
@@ -119,29 +129,35 @@
 
 @dataclass(slots=True)
 class LastStatus:
-    """What an instance last told of itself."""
+    """The last status of an instance, and the time on trio's clock at which it arrived."""
 
     heard_at: float
     status: dict[str, Any] = field(default_factory=dict)
 
 
 class Supervisor:
-    """Moments are in seconds on the machine's monotonic clock, which a later supervisor reads too."""
+    """Runs a fleet.
+
+    The times in its state are in seconds on the machine's monotonic clock, which the next supervisor uses
+    too.
+    """
 
     def __init__(self, paths: SupervisorPaths, orders: OrderSource, logs: LogFiles) -> None:
         self.paths, self.orders, self.logs = paths, orders, logs
         self._state_file = StateFile(paths.state)
         self._owned: dict[str, ProcessHandle] = {}
         self._instance_of: dict[str, str] = {}
-        self._started: set[str] = set()  # by this supervisor
+        self._started: set[str] = set()  # The processes that this supervisor started.
         self._last_statuses: dict[str, LastStatus] = {}
         self._polled: set[str] = set()
         self._save_failed = False
         self._input_handled = trio.Event()
 
     async def run(self) -> None:
-        """Until the fleet is down; whoever cancels it leaves the relays serving. Raises FileRefused,
-        AlreadyRuns, OSError."""
+        """Runs until the fleet is down. If it is cancelled, the relays continue to serve.
+
+        Raises FileRefused, AlreadyRuns, OSError.
+        """
         with self.paths.locked():
             order = self.orders.read()
             order.accept()
@@ -160,10 +176,10 @@
                 nursery.start_soon(self._rotate_logs)
                 await self._run_timer()
 
-    # ---- incidents and effects ----
+    # ---- inputs and effects ----
 
     def on(self, event_input: Incident) -> str | None:
-        """Why it was refused, if it was."""
+        """Handles an input and performs the effects. Returns why the input was refused, or None."""
         effects = self._fleet.on(event_input, time.monotonic())
         if problem := self._save():
             effects += self._fleet.on(StateLost(problem), time.monotonic())
@@ -248,10 +264,10 @@
                 if problem := self.logs.rotate(name):
                     log.log_uncut(name=name, fault=problem)
 
-    # ---- who is there ----
+    # ---- finding and polling instances ----
 
     async def _resume(self, same_boot: bool) -> None:
-        """Processes that the last supervisor knew, and whoever answers on the control sockets."""
+        """Finds the processes of the state file, and those that answer on the control sockets."""
         recorded = {
             process: name
             for name, instance in self._fleet.state.instances.items()
@@ -275,9 +291,12 @@
         self.on(Resumed(frozenset(self._owned), answering, same_boot))
 
     async def _query_status(self, name: str) -> str | None:
-        """The process that answers for that name, if it is watched: one that is met for the first time is
-        watched from then on, and believed when it answers again, as it then was that one all the while."""
-        if name not in self._controls:  # no longer in the file when this supervisor began
+        """Asks for the status of an instance; returns the process that answered if it is already monitored.
+
+        An unknown process that answers is monitored from then on, and only returned when it answers again:
+        its handle was then open during the whole second answer, so its pid can't have been reused.
+        """
+        if name not in self._controls:  # The instance was not in the file when this supervisor started.
             return None
         try:
             pid, status = await ask(
@@ -345,7 +364,7 @@
             case {"ask": "roll", **more}:
                 most_out = more.get("most_out")
                 if most_out is not None and type(most_out) is not int:
-                    return {"refused": "most_out is not a number"}
+                    return {"refused": "most_out is not a whole number"}
                 return self._run_command_with_file(BeginRoll(most_out))
             case {"ask": "continue"}:
                 return self._run_command_with_file(ContinueRoll())
@@ -360,13 +379,18 @@
         return {"refused": "no such question"}
 
     def _run_command(self, command: Command) -> dict[str, Any]:
-        self.on(Served(self._window.shares(time.monotonic())))  # a roll is judged by what is true now
+        self.on(
+            Served(self._window.shares(time.monotonic()))
+        )  # Updates the service level, as a roll is judged by the current one.
         refused = self.on(command)
         log.commanded(command=type(command).__name__, outcome=refused or "done")
         return {"refused": refused} if refused else {"done": True, "rolls": self._fleet.state.rolls}
 
     def _run_command_with_file(self, command: Command) -> dict[str, Any]:
-        """The file is read anew where the command brings it to instances; a faulty one changes nothing."""
+        """Runs a command that applies the file to instances, and reads the file again first.
+
+        A faulty file changes nothing.
+        """
         if self._fleet.why_not(command):
             return self._run_command(command)
         try:
@@ -376,15 +400,16 @@
             log.commanded(command=type(command).__name__, outcome=str(error))
             return {"refused": str(error), "file": True}
         self._window.length_s = order.terms.window_s
-        self._controls.update(order.controls)  # those that are gone still have to be seen to stop
+        self._controls.update(order.controls)  # Keeps removed instances, which are polled until they stop.
         self.on(NewTerms(order.terms))
         return self._run_command(command)
 
     def reload(self) -> None:
+        """Reads the file again and reloads all instances."""
         self._run_command_with_file(ReloadAll())
 
     def status(self) -> dict[str, Any]:
-        """The answer to the question `status`."""
+        """Returns the answer to the question `status`."""
         now = time.monotonic()
         return fleet_status.report(
             self._fleet.state,
--- a/glenfold/daemon/takeover.py
+++ b/glenfold/daemon/takeover.py
@@ -1,7 +1,8 @@
-"""Zero-downtime restart, the socket side: the old process's private socket, and a new one that asks there.
+"""Zero-downtime restart: the sockets through which a new process takes over from an old one.
 
-Listening sockets are passed, never opened twice: the kernel keeps one queue of clients for both processes,
-so none is refused or reset while they change places. The states are in `handshake`.
+The old process serves a private socket, and the new process connects to it. Listening sockets are passed and
+never opened twice: the kernel keeps one queue of clients for both processes, so no client is refused or reset
+during the takeover. The state machines are in `handshake`.
 """
 
 import os
@@ -23,22 +24,25 @@
 from glenfold.daemon.process import Process
 from glenfold.net.sockets import SocketType
 
-READY_TIMEOUT_S = 30.0  # for a new process to be ready
-MAX_CONNECTIONS = 4  # connections at once; more are closed unheard
-RETRY_DELAY_S = 0.1  # when there is no descriptor for another connection, or no room in its queue
-MAX_MESSAGE_BYTES = 1 << 16  # of one message
+READY_TIMEOUT_S = 30.0  # The time that a new process has to become ready.
+MAX_CONNECTIONS = 4  # Further connections are closed at once.
+RETRY_DELAY_S = 0.1  # The wait when no descriptor is free or the socket's queue is full.
+MAX_MESSAGE_BYTES = 1 << 16
 INT = struct.calcsize("i")
 ENCODER = msgspec.json.Encoder()
 DECODER: msgspec.json.Decoder[handshake.Message] = msgspec.json.Decoder(handshake.Message)
 
 
 class Refused(Exception):
-    """The old process serves on, and there is no place for this one."""
+    """Raised when the old process continues to serve, so that this process can't."""
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverLocation:
-    """Where an instance of that name is asked. ready_s: how long it waits for a new process to be ready."""
+    """The takeover socket of an instance.
+
+    `ready_s` is the time that the old process waits for a new one to be ready.
+    """
 
     folder: Path
     instance: str
@@ -46,11 +50,12 @@
 
     @property
     def path(self) -> Path:
+        """The path of the socket."""
         return self.folder / f"{self.instance}.takeover"
 
 
 class Channel:
-    """Whole messages over a SOCK_SEQPACKET socket; only `incident` waits."""
+    """Sends and receives messages over a SOCK_SEQPACKET socket; only `next_input` waits."""
 
     def __init__(self, sock: socket.socket, max_descriptors: int = 0) -> None:
         sock.setblocking(False)
@@ -59,18 +64,21 @@
         self._receiving_stopped = False
 
     def send(self, message: handshake.Message, descriptors: Sequence[int] = ()) -> None:
-        """Once it returns the message lies with the other side. Raises OSError."""
+        """Sends a message, which is in the peer's receive queue on return. Raises OSError."""
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, struct.pack(f"{len(descriptors)}i", *descriptors))]
         self._sock.sendmsg([ENCODER.encode(message)], rights if descriptors else [], socket.MSG_NOSIGNAL)
 
     def stop_receiving(self) -> None:
-        """Whatever the other side says from now on fails there; what it has said can still be heard."""
+        """Makes further sends of the peer fail; messages sent before can still be received."""
         self._receiving_stopped = True
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_RD)
 
     def receive(self) -> tuple[handshake.Input, list[int]] | None:
-        """The next message with its descriptors, which are whoever's calls to close; None: nothing yet."""
+        """Returns the next message with its descriptors, or None if there is no message yet.
+
+        The caller has to close the descriptors.
+        """
         try:
             data, rights, flags, _ = self._receive()
         except BlockingIOError:
@@ -99,27 +107,32 @@
         flags = socket.MSG_DONTWAIT | socket.MSG_CMSG_CLOEXEC
         try:
             return self._sock.recvmsg(MAX_MESSAGE_BYTES, self._ancillary_bytes, flags)
-        except ConnectionResetError:  # told once, when it closed on something unread; its words come behind
+        except (
+            ConnectionResetError
+        ):  # Reported once if the peer closed with unread data; its messages follow.
             return self._sock.recvmsg(MAX_MESSAGE_BYTES, self._ancillary_bytes, flags)
 
     async def next_input(self, due: float) -> tuple[handshake.Input, list[int]]:
+        """Waits for the next message until `due`, and returns it as an input with its descriptors."""
         while (received := self.receive()) is None:
             if trio.current_time() >= due:
                 return handshake.DeadlineReached(), []
             try:
                 with trio.move_on_at(due):
                     await trio.lowlevel.wait_readable(self._sock)
-            except trio.ClosedResourceError:  # this side has ended it meanwhile
+            except trio.ClosedResourceError:  # This process closed the channel meanwhile.
                 return handshake.Disconnected(), []
         return received
 
     def close(self) -> None:
+        """Closes the socket; further calls do nothing."""
         if self._sock.fileno() >= 0:
             trio.lowlevel.notify_closing(self._sock)
             self._sock.close()
 
 
 def close_all(descriptors: Sequence[int]) -> None:
+    """Closes these descriptors."""
     for descriptor in descriptors:
         os.close(descriptor)
 
@@ -130,8 +143,11 @@
 async def obtain_listeners(
     place: TakeoverLocation | None, addresses: Sequence[Address], passed: Sequence[socket.socket], by: float
 ) -> "tuple[list[socket.socket], Takeover | None]":
-    """The listeners of a process that starts: from the old one of its name at `place`, or else those `passed`
-    by its service manager, and opened where both lack one. Raises Refused and BadListener."""
+    """Returns the listeners of a process that starts, and its takeover if there was an old process.
+
+    The listeners come from the old process at `place`, or else from `passed`, the sockets of the service
+    manager. Missing ones are opened. Raises Refused and BadListener.
+    """
     wants = await resolve(addresses)
     taken = None if place is None else await ask(place, wants, by, passed)
     return (reconcile(passed, wants).all, None) if taken is None else (taken.listeners, taken)
@@ -140,9 +156,12 @@
 async def ask(
     place: TakeoverLocation, wants: Sequence[str], by: float, passed: Sequence[socket.socket] = ()
 ) -> "Takeover | None":
-    """What the process of that name passes on; None if there is none, or it died before it did. `wants`: the
-    addresses to listen at, as getsockname tells them; `by`: when this process has to be ready; `passed`: what
-    it has already. Raises Refused."""
+    """Asks the old process at `place` for its listeners.
+
+    Returns None if there is no old process, or it died before it passed them on. `wants` holds the addresses
+    to listen at as getsockname returns them, `by` the time at which this process has to be ready, and
+    `passed` the sockets that it has already. Raises Refused.
+    """
     sock = await _connect(place.path, by)
     if sock is None:
         return None
@@ -162,7 +181,7 @@
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         except OSError as error:
-            raise Refused(f"no socket to ask with: {error.strerror or error}") from error
+            raise Refused(f"no socket for the takeover could be opened: {error.strerror or error}") from error
         try:
             sock.setblocking(False)
             sock.connect(str(path))
@@ -170,7 +189,7 @@
         except (FileNotFoundError, ConnectionRefusedError):
             sock.close()
             return None
-        except BlockingIOError:  # many ask at once
+        except BlockingIOError:  # The queue of the old process's socket is full.
             sock.close()
             if trio.current_time() >= by:
                 raise Refused("no answer") from None
@@ -181,9 +200,12 @@
 
 
 class Takeover:
-    """The new process's side: `listeners` and `lock` (the descriptor of the name's lock, if one was passed)
-    are there from the offer on; a Process has to be made with them and `held`, with a `Keeper` beside it.
-    `refused`: why the old one serves on."""
+    """The new process's side of a takeover.
+
+    After the offer, `listeners` holds the sockets and `lock` the descriptor of the name's lock, if one was
+    passed. The caller creates a Process from the listeners with `start_paused`, and a TakeoverServer as one
+    of its background tasks. `refused` says why the old process continues to serve, or is None.
+    """
 
     def __init__(
         self,
@@ -199,7 +221,9 @@
         self._channel = channel
         self._wants = list(wants)
         self._inherited = inherited
-        self._passed: set[int] = set()  # of `listeners`, the descriptors of those that others have too
+        self._passed: set[int] = (
+            set()
+        )  # The descriptors of listeners that the old process or the service manager also has.
         hello = handshake.Hello(handshake.FORMAT, place.instance, self._wants)
         self._successor = handshake.Successor(
             hello, by, min(by, trio.current_time() + handshake.GREETING_TIMEOUT_S)
@@ -207,6 +231,10 @@
         self._process: Process | None = None
 
     async def await_offer(self) -> bool:
+        """Requests the takeover and waits for the offer.
+
+        Returns False if the old process died before that. Raises Refused.
+        """
         self._perform(self._successor.start())
         while self._successor.state is handshake.SuccessorState.AWAITING_OFFER:
             received_input, descriptors = await self._channel.next_input(self._successor.due)
@@ -220,7 +248,7 @@
         return self._successor.state is not handshake.SuccessorState.FINISHED
 
     def _adopt(self, offer: handshake.Offer, descriptors: list[int]) -> handshake.Input:
-        """The sockets are this process's from here on, or all closed."""
+        """Adopts the sockets of an offer; if one is unusable, closes all and returns ChannelFailed."""
         if len(descriptors) != len(offer.listeners) + offer.lock:
             close_all(descriptors)
             return handshake.ChannelFailed("an offer came with other descriptors than it names")
@@ -240,12 +268,15 @@
         return offer
 
     async def complete(self, process: Process) -> bool:
-        """Until the name is this process's; False: it isn't, and the process has been told to stop."""
+        """Waits for the end of the takeover and returns whether this process owns the name.
+
+        If it does not, the process has been told to stop.
+        """
         self._process = process
         process.life.watches.append(self._on_life_change)
         self._on_life_change(
             process.life.state, process.life.state
-        )  # it may be ready, or told to stop, already
+        )  # The process may already be ready or stopping.
         while not self._successor.finished:
             received_input, descriptors = await self._channel.next_input(self._successor.due)
             close_all(descriptors)
@@ -292,7 +323,10 @@
         self.close()
 
     def close(self) -> None:
-        """What was passed on and is in no Process's hands yet; the old one has its own descriptors."""
+        """Closes the channel, the lock and, without a Process, the listeners.
+
+        The old process keeps its own descriptors.
+        """
         self._channel.close()
         if self._process is None:
             for sock in self.listeners:
@@ -306,10 +340,13 @@
 
 
 class TakeoverServer:
-    """A companion: ends the take-over that this process began with, if it did, and then lets the next one
-    take over from it. `lock`: the descriptor of the name's lock, which is passed on too. It is only ever to
-    be closed, as to unlock it would unlock it for both. The socket's file stays: one that nobody listens at
-    does no harm, and to remove it could hit the next process's."""
+    """The old process's side: a background task that lets the next process take over.
+
+    If this process started with a takeover, it completes that first. `lock` is the descriptor of the name's
+    lock, which is passed on too. It may only be closed: unlocking it would release it for both processes. The
+    socket's file is never removed: without a listener it is harmless, and it may be the next process's
+    already.
+    """
 
     def __init__(
         self, place: TakeoverLocation, lock: int | None = None, taken: Takeover | None = None
@@ -317,7 +354,7 @@
         self.place = place
         self.lock = lock if taken is None else taken.lock
         self._taken = taken
-        self.serving = False  # whether the name is this process's, and the next one may ask
+        self.serving = False  # Whether this process owns the name and accepts takeover requests.
         self._chosen_predecessor: handshake.Predecessor | None = None
         self._connections = 0
 
@@ -375,7 +412,7 @@
 
 
 class _PredecessorConnection:
-    """One connection to a new process."""
+    """The old process's connection to one new process."""
 
     def __init__(
         self, channel: Channel, predecessor: handshake.Predecessor, process: Process, lock: int | None
@@ -389,7 +426,8 @@
             isinstance(received_input, handshake.DeadlineReached)
             and self._predecessor.state is handshake.PredecessorState.PAUSED
         ):
-            # Taken counts if it was said before this: the new one would not know that it came too late.
+            # A Taken sent before the deadline counts, as the new process can't know that it was received
+            # late.
             self._channel.stop_receiving()
             received_input, _ = self._channel.receive() or (received_input, [])
         return received_input
--- a/glenfold/daemon/warming.py
+++ b/glenfold/daemon/warming.py
@@ -1,19 +1,21 @@
-"""What would be slow the first time is done before the first client comes, on throw-away state."""
+"""Runs requests on temporary state before the first client, so that no client pays for a slow first run."""
 
 from glenfold import lines, request
 from glenfold.config import Config
 from glenfold.dispatch import Dispatch
 from linnetspread import interface
 
-WARM_UP_REQUESTS = 32  # from the eighth or so on the interpreter has specialised its code
+WARM_UP_REQUESTS = 32  # The interpreter has specialised its code after about eight requests.
 SET_UP_US = 5_000
 REQUEST_INTERVAL_US = 20_000
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15
 
 
 def warm_up(config: Config, servers: tuple[interface.ListedServer, ...], now_us: int) -> None:
-    """Requests from their first lines to their ends, by decisions that nobody else ever sees. `servers`: the
-    list as it is, so that the map is built at its real size."""
+    """Runs requests from their first lines to their ends on a separate Dispatch.
+
+    `servers` is the current list, so that the map is built at its real size.
+    """
     dispatch = Dispatch(config.settings, config.seed, lambda text: None)
     dispatch.handle(now_us, interface.ServerList(interface.ListKind.CACHED, 1, servers))
     for number in range(1, WARM_UP_REQUESTS + 1):
