--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -49,8 +49,8 @@
 
 def _fleet_terms(read: operators.Operators, names: tuple[str, ...]) -> Terms:
     fleet = msgspec.structs.asdict(read.terms.fleet or Fleet(instances=1))
-    told = {name: value for name, value in fleet.items() if name in Terms.__struct_fields__}
-    return Terms(**(told | {"instances": names, "take_over": read.terms.restart.take_over}))
+    settings = {name: value for name, value in fleet.items() if name in Terms.__struct_fields__}
+    return Terms(**(settings | {"instances": names, "take_over": read.terms.restart.take_over}))
 
 
 class FleetFile:
@@ -83,8 +83,10 @@
         self._accepted.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
         write_atomically(self._accepted, text)
         self._numbers = {place.name: place.number for place in places}
-        told = read.terms.logging
-        logs.take_terms(logs.Terms(told.form, told.level, told.levels, told.events_per_s, told.burst))
+        settings = read.terms.logging
+        logs.take_terms(
+            logs.Terms(settings.form, settings.level, settings.levels, settings.events_per_s, settings.burst)
+        )
 
     @property
     def _accepted(self) -> Path:
--- a/glenfold/daemon/handshake.py
+++ b/glenfold/daemon/handshake.py
@@ -199,6 +199,7 @@
 
     @property
     def finished(self) -> bool:
+        """Whether the handshake has ended on this side."""
         return self.state in (PredecessorState.RETIRED, PredecessorState.FINISHED)
 
     def on_hello(self, hello: Hello, offer: Offer, taken: bool) -> list[Effect]:
@@ -268,6 +269,7 @@
 
     @property
     def finished(self) -> bool:
+        """Whether the handshake has ended on this side."""
         return self.state in (SuccessorState.OWNER, SuccessorState.FINISHED)
 
     def start(self) -> list[Effect]:
--- a/glenfold/daemon/life.py
+++ b/glenfold/daemon/life.py
@@ -64,4 +64,5 @@
 
     @property
     def ending(self) -> bool:
+        """Whether the instance is stopping or has stopped."""
         return self.state in (State.DRAINING, State.FINISHING, State.STOPPED)
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -71,6 +71,7 @@
 
     @property
     def all(self) -> list[socket.socket]:
+        """All sockets that listen now."""
         return [*self.kept, *self.opened]
 
 
--- a/glenfold/daemon/private_socket.py
+++ b/glenfold/daemon/private_socket.py
@@ -21,6 +21,7 @@
 
     @property
     def is_own_user(self) -> bool:
+        """Whether the peer runs as the same user as this process."""
         return self.user == os.getuid()
 
 
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -133,14 +133,14 @@
         if self._place.snapshots is not None:
             from glenfold.daemon.snapshot import SnapshotOptions, Snapshots
 
-            told = self._operators.terms.snapshot
+            settings = self._operators.terms.snapshot
             snapshots = Snapshots(
                 SnapshotOptions(
                     self._place.snapshots,
                     self._operators.terms.instance.name,
-                    told.every_s,
-                    told.most_age_s,
-                    told.most_mb << 20,
+                    settings.every_s,
+                    settings.most_age_s,
+                    settings.most_mb << 20,
                 )
             )
             await snapshots.load_newest(process)
@@ -154,10 +154,12 @@
         return found
 
     def _read_again(self, current: Config) -> tuple[Config, list[str]]:
-        told = self._again(current)
+        settings = self._again(current)
         logs.take_terms(self._log_terms())
-        return told
+        return settings
 
     def _log_terms(self) -> logs.Terms:
-        told = self._again.operators.terms.logging
-        return logs.Terms(told.form, told.level, told.levels, told.events_per_s, told.burst)
+        settings = self._again.operators.terms.logging
+        return logs.Terms(
+            settings.form, settings.level, settings.levels, settings.events_per_s, settings.burst
+        )
--- a/glenfold/daemon/takeover.py
+++ b/glenfold/daemon/takeover.py
@@ -421,6 +421,7 @@
         self._passed: list[SocketType] = []
 
     async def next_input(self) -> handshake.Input:
+        """Waits for the next input, at most until the deadline of the handshake."""
         received_input, _ = await self._channel.next_input(self._predecessor.due)
         if (
             isinstance(received_input, handshake.DeadlineReached)
@@ -433,6 +434,7 @@
         return received_input
 
     def on_hello(self, hello: handshake.Hello, taken: bool) -> None:
+        """Answers a Hello; `taken` is true if another process is taking over already."""
         places = {listener: written(listener.getsockname()) for listener in self._process.listeners}
         passed = [listener for listener, where in places.items() if where in hello.wants]
         offer = handshake.Offer(
@@ -444,6 +446,7 @@
         self.perform(self._predecessor.on_hello(hello, offer, taken))
 
     def perform(self, effects: Sequence[handshake.Effect]) -> None:
+        """Performs the effects of the handshake."""
         for effect in effects:
             match effect:
                 case handshake.Send(message):
--- a/tests/daemon/fake_instance.py
+++ b/tests/daemon/fake_instance.py
@@ -1,6 +1,6 @@
-"""A process that behaves as an instance does towards its supervisor: FOLDER NAME.
+"""A process that acts as an instance towards its supervisor, started with the arguments FOLDER NAME.
 
-What it does is told by words in FOLDER/NAME.does: `crash` (ends at once), `waits` (is not ready), `refuses`
+Words in the file FOLDER/NAME.does control it: `crash` (exits at once), `waits` (is not ready), `refuses`
 (counts half of its requests as refused), `stays` (does not stop when told to).
 """
 
@@ -16,9 +16,9 @@
 folder, name = Path(sys.argv[1]), sys.argv[2]
 
 
-def does(what: str) -> bool:
+def behaves(word: str) -> bool:
     try:
-        return what in (folder / f"{name}.does").read_text().split()
+        return word in (folder / f"{name}.does").read_text().split()
     except FileNotFoundError:
         return False
 
@@ -28,14 +28,14 @@
         print("reloads", flush=True)
         return
     print("told to stop", flush=True)
-    if not does("stays"):
+    if not behaves("stays"):
         with suppress(FileNotFoundError):
             path.unlink()
         os._exit(0)
 
 
 print(f"starts as {os.getpid()}", flush=True)
-if does("crash"):
+if behaves("crash"):
     sys.exit(3)
 path = folder / f"{name}.control"
 for number in (signal.SIGTERM, signal.SIGHUP):
@@ -46,23 +46,23 @@
 listener.bind(str(path))
 listener.listen(16)
 listener.settimeout(0.1)
-asked = 0
-until = time.monotonic() + 40  # whatever becomes of the test
-while time.monotonic() < until and folder.exists():
+request_count = 0
+deadline = time.monotonic() + 40  # Exits even if the test dies.
+while time.monotonic() < deadline and folder.exists():
     with suppress(TimeoutError):
         connection, _ = listener.accept()
         with connection, suppress(OSError):
             connection.settimeout(1.0)
             connection.recv(1000)
-            asked += 40
+            request_count += 40
             counters = {
-                "answered_up": asked // 2 if does("refuses") else asked,
-                "answered_busy": asked // 2 if does("refuses") else 0,
+                "answered_up": request_count // 2 if behaves("refuses") else request_count,
+                "answered_busy": request_count // 2 if behaves("refuses") else 0,
             }
             status = {
                 "instance": name,
                 "pid": os.getpid(),
-                "state": "waiting" if does("waits") else "ready",
+                "state": "waiting" if behaves("waits") else "ready",
                 "counters": counters,
             }
             connection.sendall(json.dumps(status).encode() + b"\n")
--- a/tests/daemon/supervising.py
+++ b/tests/daemon/supervising.py
@@ -1,4 +1,4 @@
-"""A supervisor of fake instances,."""
+"""Helpers for tests of a supervisor with fake instances."""
 
 import functools
 import json
@@ -19,8 +19,8 @@
 from glenfold.rules.fleet.terms import Terms
 
 supervisor_module.POLL_INTERVAL_S = 0.05
-FAKE = str(Path(__file__).with_name("fake_instance.py"))
-QUICK: dict[str, Any] = dict(
+FAKE_INSTANCE = str(Path(__file__).with_name("fake_instance.py"))
+FAST_SETTINGS: dict[str, Any] = dict(
     backoff_s=0.1,
     jitter=0.0,
     ready_within_s=3.0,
@@ -31,20 +31,23 @@
 )
 
 
-def read(folder: Path, names: tuple[str, ...], terms: dict[str, Any]) -> FleetOrder:
+def read_order(folder: Path, names: tuple[str, ...], terms: dict[str, Any]) -> FleetOrder:
     return FleetOrder(
-        Terms(names, **(QUICK | terms)), {name: folder / f"{name}.control" for name in names}, lambda: None
+        Terms(names, **(FAST_SETTINGS | terms)),
+        {name: folder / f"{name}.control" for name in names},
+        lambda: None,
     )
 
 
 def supervisor(folder: Path, names: tuple[str, ...], **terms: Any) -> Supervisor:
     orders = OrderSource(
-        lambda: read(folder, names, terms), lambda name: [sys.executable, "-SE", FAKE, str(folder), name]
+        lambda: read_order(folder, names, terms),
+        lambda name: [sys.executable, "-SE", FAKE_INSTANCE, str(folder), name],
     )
     return Supervisor(SupervisorPaths(folder), orders, LogFiles(folder, 2000))
 
 
-def does(folder: Path, name: str, *words: str) -> None:
+def set_behavior(folder: Path, name: str, *words: str) -> None:
     (folder / f"{name}.does").write_text(" ".join(words))
 
 
@@ -53,26 +56,26 @@
     return answer
 
 
-async def status_when(folder: Path, what: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-    """The first status of which that is true."""
+async def wait_for_status(folder: Path, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+    """Returns the first status that meets the condition."""
     status: dict[str, Any] = {}
     with trio.move_on_after(15):
         while True:
             with suppress(NoAnswer):
                 status = await command(folder, "status")
-                if what(status):
+                if condition(status):
                     return status
             await trio.sleep(0.02)
-    raise AssertionError(f"it never came to be: {json.dumps(status)}")
+    raise AssertionError(f"no status met the condition in time: {json.dumps(status)}")
 
 
-async def until(what: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     with trio.fail_after(10):
-        while not what():
+        while not condition():
             await trio.sleep(0.02)
 
 
-def in_trio(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
+def run_in_trio(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
     @functools.wraps(test)
     def run(**fixtures: Any) -> None:
         trio.run(functools.partial(test, **fixtures))
@@ -81,35 +84,40 @@
 
 
 def phases(status: dict[str, Any]) -> dict[str, str]:
-    return {one["name"]: one["phase"] for one in status["instances"]}
+    return {instance["name"]: instance["phase"] for instance in status["instances"]}
 
 
 def all_ready(status: dict[str, Any]) -> bool:
     return set(phases(status).values()) == {"ready"}
 
 
-def pids(status: dict[str, Any]) -> dict[str, int]:
-    return {one["name"]: one["pid"] for one in status["instances"]}
+def process_ids(status: dict[str, Any]) -> dict[str, int]:
+    return {instance["name"]: instance["pid"] for instance in status["instances"]}
 
 
-def log(folder: Path, name: str) -> str:
+def read_log(folder: Path, name: str) -> str:
     return (folder / f"{name}.log").read_text()
 
 
 @asynccontextmanager
-async def supervised(folder: Path, names: tuple[str, ...], **terms: Any) -> AsyncIterator[trio.CancelScope]:
-    """Whoever cancels the scope has the supervisor die and its instances go on; all are gone in the end."""
+async def running_supervisor(
+    folder: Path, names: tuple[str, ...], **terms: Any
+) -> AsyncIterator[trio.CancelScope]:
+    """Runs a supervisor.
+
+    Cancelling the scope ends the supervisor while its instances continue to run; all are killed at the end.
+    """
     try:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(supervisor(folder, names, **terms).run)
             yield nursery.cancel_scope
             nursery.cancel_scope.cancel()
     finally:
-        end_all(folder)
+        kill_all(folder)
 
 
-def end_all(folder: Path) -> None:
-    """Every process of that folder, which no other test has, told by its own command line."""
+def kill_all(folder: Path) -> None:
+    """Kills every process whose command line names this folder, which only one test uses."""
     for entry in Path("/proc").iterdir():
         with suppress(OSError):
             if entry.name.isdigit() and f"{folder}".encode() in (entry / "cmdline").read_bytes():
--- a/tests/daemon/test_control.py
+++ b/tests/daemon/test_control.py
@@ -1,4 +1,4 @@
-"""The control socket of an instance, asked well and badly."""
+"""The control socket of an instance, with valid and invalid questions."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 import trio
 from relaying import entry, whole
 
-from glenfold.daemon import ask as asking
+from glenfold.daemon import ask as ask_module
 from glenfold.daemon.ask import MAX_CONNECTIONS, MAX_QUESTION_BYTES, NoAnswer, ask
 from glenfold.daemon.control import Control
 from glenfold.daemon.life import State
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Asked:
+class ControlClient:
     process: Process
     path: Path
 
@@ -31,30 +31,30 @@
 
 
 @asynccontextmanager
-async def control(folder: Path) -> AsyncIterator[Asked]:
+async def control(folder: Path) -> AsyncIterator[ControlClient]:
     async with relaying.instance(folder) as process, trio.open_nursery() as nursery:
         process.relay.destinations.read(whole(entry("s-1"), seq=41))
         nursery.start_soon(Control(folder / "a.sock", lambda: {"age_s": 3.0}), process)
-        asked = Asked(process, folder / "a.sock")
+        client = ControlClient(process, folder / "a.sock")
         await trio.testing.wait_all_tasks_blocked()
-        with pytest.raises(NoAnswer):  # while another process has the name
-            await asked("status")
+        with pytest.raises(NoAnswer):  # Another process has the name.
+            await client("status")
         process.accepts.set()
         await trio.testing.wait_all_tasks_blocked()
-        yield asked
+        yield client
         nursery.cancel_scope.cancel()
 
 
 @relaying.scripted(control)
-async def test_it_tells_how_the_instance_stands(asked: Asked) -> None:
-    assert stat.S_IMODE(asked.path.stat().st_mode) == 0o600
-    asked.process.life.to(State.WAITING)
-    asked.process.relay.unanswered = 2
-    told = await asked("status")
-    assert 0 <= told.pop("since_s") <= told.pop("up_s")
-    counters = told.pop("counters")
-    assert counters["taken"] == 0 and (await asked("counters"))["counters"] == counters
-    assert told == {
+async def test_status_reports_the_state_of_the_instance(client: ControlClient) -> None:
+    assert stat.S_IMODE(client.path.stat().st_mode) == 0o600
+    client.process.life.to(State.WAITING)
+    client.process.relay.unanswered = 2
+    status = await client("status")
+    assert 0 <= status.pop("since_s") <= status.pop("up_s")
+    counters = status.pop("counters")
+    assert counters["taken"] == 0 and (await client("counters"))["counters"] == counters
+    assert status == {
         "instance": "a",
         "state": "waiting",
         "list": {"version": 41, "servers": 1, "age_s": None},
@@ -65,18 +65,18 @@
 
 
 @relaying.scripted(control)
-async def test_it_drains_and_reloads_by_word(asked: Asked, tmp_path: Path) -> None:
-    assert await asked("reload") == {"instance": "a", "waits": ["listeners"]}
+async def test_drain_and_reload_follow_a_question(client: ControlClient, tmp_path: Path) -> None:
+    assert await client("reload") == {"instance": "a", "waits": ["listeners"]}
     (tmp_path / "faulty").touch()
-    assert await asked("reload") == {"instance": "a", "refused": "list.discovery: is missing", "file": True}
-    assert await asked("drain") == {"instance": "a"}
-    assert asked.process._stop_requested.is_set()
-    asked.process.life.to(State.DRAINING)
-    assert await asked("reload") == {"instance": "a", "refused": "it is ending", "file": False}
+    assert await client("reload") == {"instance": "a", "refused": "list.discovery: is missing", "file": True}
+    assert await client("drain") == {"instance": "a"}
+    assert client.process._stop_requested.is_set()
+    client.process.life.to(State.DRAINING)
+    assert await client("reload") == {"instance": "a", "refused": "it is ending", "file": False}
 
 
 @pytest.mark.parametrize(
-    "said, told",
+    "sent, expected",
     [
         (b"what?\n", "no question: "),
         (b"[1]\n", "no question: "),
@@ -88,27 +88,31 @@
     ],
 )
 @relaying.scripted(control)
-async def test_bad_input_gets_a_line_that_says_so(asked: Asked, said: bytes, told: str) -> None:
-    async with await trio.open_unix_socket(asked.path) as stream:
-        await stream.send_all(said)
-        assert told in json.loads(await stream.receive_some(4096))["refused"]
-    assert (await asked("status"))["instance"] == "a"
+async def test_an_invalid_question_is_answered_with_the_reason(
+    client: ControlClient, sent: bytes, expected: str
+) -> None:
+    async with await trio.open_unix_socket(client.path) as stream:
+        await stream.send_all(sent)
+        assert expected in json.loads(await stream.receive_some(4096))["refused"]
+    assert (await client("status"))["instance"] == "a"
 
 
 @relaying.scripted(control)
-async def test_clients_that_hang_keep_nobody_out(asked: Asked) -> None:
-    hanging = [await trio.open_unix_socket(asked.path) for _ in range(3 * MAX_CONNECTIONS)]
+async def test_silent_clients_do_not_block_other_clients(client: ControlClient) -> None:
+    hanging = [await trio.open_unix_socket(client.path) for _ in range(3 * MAX_CONNECTIONS)]
     for _ in range(MAX_CONNECTIONS):
-        assert (await asked("status"))["instance"] == "a"
+        assert (await client("status"))["instance"] == "a"
     for stream in hanging:
         await stream.aclose()
 
 
 @relaying.scripted(control)
-async def test_a_client_that_reads_nothing_is_let_go(asked: Asked, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(asking, "CONNECTION_TIMEOUT_S", 0.05)
+async def test_a_silent_client_is_disconnected_after_the_timeout(
+    client: ControlClient, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(ask_module, "CONNECTION_TIMEOUT_S", 0.05)
     with socket.socket(socket.AF_UNIX) as silent:
-        silent.connect(str(asked.path))
+        silent.connect(str(client.path))
         with trio.fail_after(20):
             await trio.lowlevel.wait_readable(silent)
         assert silent.recv(1) == b""
--- a/tests/daemon/test_fleet_commands.py
+++ b/tests/daemon/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""`glenfold fleet ...` on an operators' file, with a supervisor process whose instances are fakes."""
+"""The `glenfold fleet` commands on an operators' file, with a supervisor process and fake instances."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 import pytest
 from click.testing import CliRunner, Result
-from supervising import FAKE, end_all
+from supervising import FAKE_INSTANCE, kill_all
 
 import glenfold
 from glenfold.cli.main import main
@@ -31,7 +31,7 @@
 UP = f"""
 import sys
 from glenfold.daemon.fleet_file import FleetFile
-FleetFile.command = lambda self, name: [sys.executable, "-SE", {FAKE!r}, str(self.file.parent), name]
+FleetFile.command = lambda self, name: [sys.executable, "-SE", {FAKE_INSTANCE!r}, str(self.file.parent), name]
 from glenfold.cli.main import main
 main(["fleet", "up", sys.argv[1]])
 """
@@ -42,11 +42,11 @@
     path = tmp_path / "glenfold.toml"
     path.write_text(FILE)
     yield path
-    end_all(tmp_path)
+    kill_all(tmp_path)
 
 
 @contextmanager
-def up(file: Path) -> Iterator[subprocess.Popen[bytes]]:
+def running_fleet(file: Path) -> Iterator[subprocess.Popen[bytes]]:
     environment = os.environ | {"PYTHONPATH": str(Path(glenfold.__file__).parents[1])}
     with subprocess.Popen([sys.executable, "-c", UP, str(file)], env=environment) as supervisor:
         try:
@@ -55,66 +55,66 @@
             supervisor.kill()
 
 
-def up_ends(file: Path) -> int:
-    with up(file) as supervisor:
+def wait_for_fleet_up(file: Path) -> int:
+    with running_fleet(file) as supervisor:
         return supervisor.wait(20)
 
 
-def fleet(*words: str | Path) -> Result:
+def run_fleet_command(*words: str | Path) -> Result:
     return CliRunner().invoke(main, ["fleet", *map(str, words)])
 
 
-def until_ready(file: Path) -> list[int]:
-    """The pids of all instances."""
+def wait_until_ready(file: Path) -> list[int]:
+    """Returns the process ids of all instances."""
     for _ in range(400):
-        result = fleet("status", "--json", file)
+        result = run_fleet_command("status", "--json", file)
         if result.exit_code == 0:
-            return [one["pid"] for one in json.loads(result.stdout)["instances"]]
+            return [instance["pid"] for instance in json.loads(result.stdout)["instances"]]
         assert result.exit_code in (1, 3)
         time.sleep(0.05)
     raise AssertionError(result.output)
 
 
-def test_a_fleet_through_its_commands_each_with_its_exit_status(file: Path) -> None:
-    assert fleet("status", file).exit_code == 3
-    with up(file) as supervisor:
-        until_ready(file)
-        assert up_ends(file) == 1
-        shown = fleet("status", file)
+def test_each_fleet_command_and_its_exit_status(file: Path) -> None:
+    assert run_fleet_command("status", file).exit_code == 3
+    with running_fleet(file) as supervisor:
+        wait_until_ready(file)
+        assert wait_for_fleet_up(file) == 1
+        shown = run_fleet_command("status", file)
         assert shown.exit_code == 0 and "s-1" in shown.output and "s-2" in shown.output
-        assert fleet("release", file).exit_code == 1
-        rolled = fleet("roll", file)
+        assert run_fleet_command("release", file).exit_code == 1
+        rolled = run_fleet_command("roll", file)
         assert rolled.exit_code == 0 and "the roll is done" in rolled.output
         (file.parent / "s-2.does").write_text("crash")
-        stopped = fleet("roll", "--json", file)
+        stopped = run_fleet_command("roll", "--json", file)
         assert stopped.exit_code == 1 and "s-2 ended: exit status 3" in stopped.output
-        assert fleet("status", file).exit_code == 1
-        assert "a roll was stopped" in fleet("roll", file).output
-        assert fleet("roll", "--call-off", file).exit_code == 0
+        assert run_fleet_command("status", file).exit_code == 1
+        assert "a roll was stopped" in run_fleet_command("roll", file).output
+        assert run_fleet_command("roll", "--call-off", file).exit_code == 0
         (file.parent / "s-2.does").unlink()
-        until_ready(file)
-        assert fleet("down", file).exit_code == 0 and supervisor.wait(10) == 0
+        wait_until_ready(file)
+        assert run_fleet_command("down", file).exit_code == 0 and supervisor.wait(10) == 0
     assert not list(file.parent.glob("*.control"))
 
 
-def test_a_file_that_is_edited_or_faulty_changes_nothing_until_it_is_sound_and_read_again(file: Path) -> None:
+def test_an_edited_file_takes_effect_only_when_it_is_valid_and_read_again(file: Path) -> None:
     accepted = file.parent / "state/supervisor/accepted.toml"
     faulty = FILE.replace("instances = 2", 'instances = "many"')
-    with up(file) as supervisor:
-        until_ready(file)
+    with running_fleet(file) as supervisor:
+        wait_until_ready(file)
         file.write_text(faulty)
         for word in ("reload", "roll"):
-            refused = fleet(word, file)
+            refused = run_fleet_command(word, file)
             assert refused.exit_code == 2 and "fleet.instances" in refused.output
-        assert accepted.read_text() == FILE and len(until_ready(file)) == 2
+        assert accepted.read_text() == FILE and len(wait_until_ready(file)) == 2
         file.write_text(FILE.replace("instances = 2", "instances = 3"))
         os.kill(supervisor.pid, signal.SIGHUP)
-        while len(until_ready(file)) == 2:
+        while len(wait_until_ready(file)) == 2:
             time.sleep(0.05)
         assert accepted.read_text() == file.read_text()
         supervisor.terminate()
         assert supervisor.wait(10) == 0
-    assert fleet("down", file).exit_code == 3
+    assert run_fleet_command("down", file).exit_code == 3
     file.write_text(faulty)
-    assert up_ends(file) == 2
+    assert wait_for_fleet_up(file) == 2
     assert len(list(file.parent.glob("*.control"))) == 3
--- a/tests/daemon/test_handshake.py
+++ b/tests/daemon/test_handshake.py
@@ -1,4 +1,4 @@
-"""Both sides of a take-over, with deaths, lateness and news in every order: somebody always accepts."""
+"""Both sides of a takeover with deaths, timeouts and messages in any order: one process always accepts."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -41,51 +41,53 @@
 WANTS = ["127.0.0.1:7000"]
 DEATHS = ("old dies", "new dies")
 LATE = ("old is late", "new is late", "stop")
-STEPS = (*("old hears", "new hears", "ready") * 4, *LATE, *DEATHS)  # most of them lead on
+STEPS = (*("old hears", "new hears", "ready") * 4, *LATE, *DEATHS)  # Most steps advance the takeover.
 
 
 @dataclass
-class End:
-    """One process: `inbox` is the kernel's, and outlives whoever wrote there."""
+class Endpoint:
+    """One process. Its `inbox` stands for the kernel's queue, which outlives the sender."""
 
     inbox: deque[Message] = field(default_factory=deque)
-    alive: bool = True
-    open: bool = True  # its end of the channel
-    holds: bool = False
-    accepts: bool = False
+    is_alive: bool = True
+    is_open: bool = True  # Whether its end of the channel is open.
+    has_sockets: bool = False
+    is_accepting: bool = False
     gave_up: bool = False
 
     def die(self) -> None:
-        self.alive = self.open = self.holds = self.accepts = False
+        self.is_alive = self.is_open = self.has_sockets = self.is_accepting = False
 
 
 class Pair:
     def __init__(self) -> None:
-        self.old, self.new = End(holds=True, accepts=True), End()
+        self.old, self.new = Endpoint(has_sockets=True, is_accepting=True), Endpoint()
         self.predecessor = Predecessor("cardiff-1", ready_by=inf, due=0.0)
         self.successor = Successor(Hello(FORMAT, "cardiff-1", WANTS), ready_by=0.0, due=0.0)
-        self.do(self.new, self.successor.start())
+        self.perform(self.new, self.successor.start())
 
     def step(self, name: str) -> None:
         who, _, what = name.partition(" ")
         end, other = (self.old, self.new) if who == "old" else (self.new, self.old)
         if what == "hears":
-            self.hear(end)
+            self.receive(end)
         elif what == "dies":
             end.die()
-        elif what == "is late" and end.open and not end.inbox and other.open:
-            self.tell(end, DeadlineReached())
-        elif not what and self.new.holds:
-            self.tell(self.new, ProcessReady() if name == "ready" else ProcessStopping())
-        assert self.old.holds or self.new.holds or not self.somebody_serves, "the queue of clients is lost"
+        elif what == "is late" and end.is_open and not end.inbox and other.is_open:
+            self.handle(end, DeadlineReached())
+        elif not what and self.new.has_sockets:
+            self.handle(self.new, ProcessReady() if name == "ready" else ProcessStopping())
+        assert self.old.has_sockets or self.new.has_sockets or not self.any_process_serves, (
+            "the queue of clients is lost"
+        )
 
     @property
-    def somebody_serves(self) -> bool:
+    def any_process_serves(self) -> bool:
         return (
-            self.old.alive
+            self.old.is_alive
             and self.predecessor.state is not PredecessorState.RETIRED
             or (
-                self.new.alive
+                self.new.is_alive
                 and self.successor.state
                 in (
                     SuccessorState.PREPARING,
@@ -96,70 +98,72 @@
             )
         )
 
-    def hear(self, end: End) -> bool:
+    def receive(self, end: Endpoint) -> bool:
         other = self.new if end is self.old else self.old
-        if not end.open or not end.inbox and other.open:
+        if not end.is_open or not end.inbox and other.is_open:
             return False
         received_input: Input = end.inbox.popleft() if end.inbox else Disconnected()
-        end.holds = end.holds or isinstance(received_input, Offer)
-        self.tell(end, received_input)
+        end.has_sockets = end.has_sockets or isinstance(received_input, Offer)
+        self.handle(end, received_input)
         return True
 
-    def tell(self, end: End, received_input: Input) -> None:
+    def handle(self, end: Endpoint, received_input: Input) -> None:
         if end is self.new:
-            self.do(end, self.successor.on(received_input))
+            self.perform(end, self.successor.on(received_input))
         elif isinstance(received_input, Hello):
-            self.do(end, self.predecessor.on_hello(received_input, Offer(WANTS, [], True), taken=False))
+            self.perform(end, self.predecessor.on_hello(received_input, Offer(WANTS, [], True), taken=False))
         else:
-            self.do(end, self.predecessor.on(received_input, 0.0))
+            self.perform(end, self.predecessor.on(received_input, 0.0))
 
-    def do(self, end: End, effects: list[Effect]) -> None:
+    def perform(self, end: Endpoint, effects: list[Effect]) -> None:
         other = self.new if end is self.old else self.old
         for effect in effects:
             match effect:
                 case Send(message):
-                    if heard := other.open:
+                    if was_received := other.is_open:
                         other.inbox.append(message)
-                    if end is self.new or not heard:
-                        self.tell(end, Delivered() if heard else ChannelFailed("broken pipe"))
+                    if end is self.new or not was_received:
+                        self.handle(end, Delivered() if was_received else ChannelFailed("broken pipe"))
                 case Pause():
-                    end.accepts = False
+                    end.is_accepting = False
                 case Resume() | Accept():
-                    assert end.holds
-                    end.accepts = True
+                    assert end.has_sockets
+                    end.is_accepting = True
                 case Retire() | GiveUp():
-                    end.holds = end.accepts = False
+                    end.has_sockets = end.is_accepting = False
                     end.gave_up = isinstance(effect, GiveUp)
                 case Close():
-                    end.open = False
+                    end.is_open = False
 
     def settle(self) -> None:
-        while self.hear(self.old) or self.hear(self.new):
+        while self.receive(self.old) or self.receive(self.new):
             pass
 
 
 @settings(max_examples=2000, derandomize=True)
 @given(st.lists(st.sampled_from(STEPS), max_size=14))
-def test_whoever_dies_or_is_late_and_whenever_somebody_accepts_and_one_owns(steps: list[str]) -> None:
+def test_one_process_accepts_and_owns_the_name_whatever_dies_or_is_late(steps: list[str]) -> None:
     pair = Pair()
     for step in steps:
         pair.step(step)
     pair.settle()
     old, new, predecessor, successor = pair.old, pair.new, pair.predecessor, pair.successor
-    if old.alive and predecessor.state is not PredecessorState.RETIRED:
+    if old.is_alive and predecessor.state is not PredecessorState.RETIRED:
         assert (
-            old.accepts
+            old.is_accepting
             and successor.state is not SuccessorState.OWNER
-            or new.accepts
+            or new.is_accepting
             and not predecessor.finished
         )
-    if not old.alive and new.holds:
-        assert new.accepts and successor.state is SuccessorState.OWNER
-    if old.alive and new.alive and not new.open:
-        assert old.holds != new.holds and old.accepts != new.accepts  # never two owners, nothing left behind
-    assert not (new.gave_up and (new.holds or not set(LATE) & set(steps)))
+    if not old.is_alive and new.has_sockets:
+        assert new.is_accepting and successor.state is SuccessorState.OWNER
+    if old.is_alive and new.is_alive and not new.is_open:
+        assert (
+            old.has_sockets != new.has_sockets and old.is_accepting != new.is_accepting
+        )  # There are never two owners, and no socket is left open.
+    assert not (new.gave_up and (new.has_sockets or not set(LATE) & set(steps)))
     if predecessor.state is PredecessorState.RETIRED:
-        assert not old.holds and (not new.alive or successor.state is SuccessorState.OWNER)
+        assert not old.has_sockets and (not new.is_alive or successor.state is SuccessorState.OWNER)
 
 
 @pytest.mark.parametrize(
@@ -170,7 +174,7 @@
         (Hello(FORMAT, "cardiff-1", []), True, "another process is taking over"),
     ],
 )
-def test_who_may_not_take_over_is_told_why(hello: Hello, taken: bool, reason: str) -> None:
+def test_a_refused_successor_receives_the_reason(hello: Hello, taken: bool, reason: str) -> None:
     predecessor = Predecessor("cardiff-1", 30.0, 5.0)
     assert predecessor.on_hello(hello, Offer([], [], False), taken) == [
         Send(Abort(reason)),
@@ -180,6 +184,6 @@
 
 
 @pytest.mark.parametrize("message", [Ready(), Taken(), Retired(), Offer([], [], False)])
-def test_a_message_out_of_turn_ends_it_and_passes_nothing_on(message: Message) -> None:
+def test_a_message_out_of_turn_ends_the_takeover_and_passes_nothing_on(message: Message) -> None:
     effects = Predecessor("cardiff-1", 30.0, 5.0).on(message, 0.0)
     assert [type(effect) for effect in effects] == [Send, Close]
--- a/tests/daemon/test_lock.py
+++ b/tests/daemon/test_lock.py
@@ -1,4 +1,4 @@
-"""One process a name, whatever becomes of the file and of the process."""
+"""Only one process holds a name's lock, whatever happens to the file and the process."""
 
 import os
 import subprocess
@@ -15,7 +15,7 @@
 )
 
 
-def test_it_dies_with_its_process_however_that_ends(tmp_path: Path) -> None:
+def test_the_lock_is_released_when_its_process_is_killed(tmp_path: Path) -> None:
     root = Path(lock.__file__).parents[2]
     with subprocess.Popen(
         [sys.executable, "-c", HOLD, tmp_path], stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=root
@@ -29,7 +29,7 @@
     os.close(lock.acquire(tmp_path, "a"))
 
 
-def test_one_that_is_passed_on_outlives_the_first_holder(tmp_path: Path) -> None:
+def test_a_lock_passed_to_another_descriptor_outlives_the_first(tmp_path: Path) -> None:
     first = lock.acquire(tmp_path / "made", "a")
     second = os.dup(first)
     os.close(first)
@@ -39,10 +39,10 @@
     assert (tmp_path / "made").stat().st_mode & 0o777 == 0o700
 
 
-def test_a_file_that_was_replaced_keeps_nobody_out_unnoticed(
+def test_a_lock_file_removed_before_locking_is_created_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Somebody removes the file between its being opened and locked: the lock is on what is there now."""
+    """The file is removed between opening and locking: the lock must be on the file that is there now."""
     lock_it, seen = lock.fcntl.flock, []
 
     def removed_first(descriptor: int, operation: int) -> None:
@@ -57,7 +57,7 @@
     os.close(held)
 
 
-def test_a_link_that_somebody_laid_is_not_followed(tmp_path: Path) -> None:
+def test_a_symbolic_link_is_not_followed(tmp_path: Path) -> None:
     lock.path_of(tmp_path, "a").symlink_to(tmp_path / "elsewhere")
     with pytest.raises(OSError):
         lock.acquire(tmp_path, "a")
--- a/tests/daemon/test_notify.py
+++ b/tests/daemon/test_notify.py
@@ -1,4 +1,4 @@
-"""What the service manager hears, over real sockets, in virtual time."""
+"""Notifications to the service manager, over real sockets and in virtual time."""
 
 import os
 import socket
@@ -18,7 +18,7 @@
 from glenfold.daemon.process import Process
 
 Manager = tuple[socket.socket, str]
-Begin = Callable[[Notifier | None], Awaitable[Process]]
+StartNotifier = Callable[[Notifier | None], Awaitable[Process]]
 
 
 @pytest.fixture(params=["path", "abstract"])
@@ -29,7 +29,7 @@
         yield sock, name
 
 
-def heard(sock: socket.socket) -> list[list[str]]:
+def received_lines(sock: socket.socket) -> list[list[str]]:
     found = []
     with suppress(BlockingIOError):
         while True:
@@ -38,45 +38,47 @@
 
 
 @asynccontextmanager
-async def instance(folder: Path) -> AsyncIterator[Begin]:
-    async def begin(notifier: Notifier | None) -> Process:
+async def instance(folder: Path) -> AsyncIterator[StartNotifier]:
+    async def start_notifier(notifier: Notifier | None) -> Process:
         nursery.start_soon(notifier, process)
         await trio.testing.wait_all_tasks_blocked()
         return process
 
     async with relaying.instance(folder) as process, trio.open_nursery() as nursery:
-        yield begin
+        yield start_notifier
         nursery.cancel_scope.cancel()
 
 
 CLOCK = trio.testing.MockClock(autojump_threshold=0)
-in_virtual_time = relaying.scripted(instance, clock=CLOCK)
+scripted_in_virtual_time = relaying.scripted(instance, clock=CLOCK)
 
 
-@in_virtual_time
-async def test_it_hears_of_readiness_reloads_and_the_end(begin: Begin, manager: Manager) -> None:
+@scripted_in_virtual_time
+async def test_readiness_reloads_and_the_end_are_notified(
+    start_notifier: StartNotifier, manager: Manager
+) -> None:
     sock, name = manager
-    process = await begin(Notifier(Channel(name), now_us=lambda: 7))
+    process = await start_notifier(Notifier(Channel(name), now_us=lambda: 7))
     process.life.to(State.WAITING)
-    process.reload()  # before it is ready: nothing that the manager would wait for
-    assert heard(sock) == []
+    process.reload()  # Before readiness, a reload must not be notified.
+    assert received_lines(sock) == []
     process.accepts.set()
     await trio.testing.wait_all_tasks_blocked()
     process.life.to(State.READY)
     ready = ["READY=1", f"MAINPID={os.getpid()}", "STATUS=ready: 0 standing, 0 unanswered"]
-    assert heard(sock)[1] == ready
+    assert received_lines(sock)[1] == ready
     process.reload()
-    assert [lines[:2] for lines in heard(sock)] == [["RELOADING=1", "MONOTONIC_USEC=7"], ready[:2]]
+    assert [lines[:2] for lines in received_lines(sock)] == [["RELOADING=1", "MONOTONIC_USEC=7"], ready[:2]]
     for state in (State.DRAINING, State.FINISHING):
         process.life.to(state)
-    assert [lines[0].split(":")[0] for lines in heard(sock)] == ["STOPPING=1", "STATUS=finishing"]
-    process.handed_over = True  # the manager follows another process
+    assert [lines[0].split(":")[0] for lines in received_lines(sock)] == ["STOPPING=1", "STATUS=finishing"]
+    process.handed_over = True  # The manager follows another process.
     process.life.to(State.STOPPED)
-    assert heard(sock) == []
+    assert received_lines(sock) == []
 
 
 @pytest.mark.parametrize(
-    "more, fed",
+    "variables, sign_count",
     [
         ({"WATCHDOG_USEC": "2000000"}, 10),
         ({"WATCHDOG_USEC": "2000000", "WATCHDOG_PID": "2"}, 0),
@@ -84,40 +86,42 @@
         ({}, 0),
     ],
 )
-@in_virtual_time
-async def test_the_watchdog_is_fed_at_half_its_time_if_it_is_meant_for_it_and_only_while_the_loop_turns(
-    begin: Begin, manager: Manager, more: dict[str, str], fed: int
+@scripted_in_virtual_time
+async def test_the_watchdog_is_notified_at_half_its_interval_while_the_loop_runs(
+    start_notifier: StartNotifier, manager: Manager, variables: dict[str, str], sign_count: int
 ) -> None:
-    environment = {"NOTIFY_SOCKET": manager[1], **more}
-    await begin(notify.from_environment(environment, 1))
+    environment = {"NOTIFY_SOCKET": manager[1], **variables}
+    await start_notifier(notify.from_environment(environment, 1))
     await trio.sleep(9.5)
-    assert heard(manager[0]) == [["WATCHDOG=1"]] * fed and environment == {}
-    CLOCK.jump(30.0)  # the loop hung
+    assert received_lines(manager[0]) == [["WATCHDOG=1"]] * sign_count and environment == {}
+    CLOCK.jump(30.0)  # Simulates a loop that hung.
     await trio.sleep(0)
-    assert len(heard(manager[0])) <= 1
+    assert len(received_lines(manager[0])) <= 1
 
 
 @pytest.fixture
-def told(monkeypatch: pytest.MonkeyPatch) -> list[Exception]:
+def logged_failures(monkeypatch: pytest.MonkeyPatch) -> list[Exception]:
     found: list[Exception] = []
     monkeypatch.setattr(events, "notify_failed", lambda *, error: found.append(error))
     return found
 
 
 @pytest.mark.parametrize("name", ["/nowhere/at-all", "@nobody-listens", "vsock:1", "/" + "x" * 200])
-def test_a_manager_that_can_not_be_told_is_logged_once(told: list[Exception], name: str) -> None:
+def test_a_failure_to_notify_is_logged_once(logged_failures: list[Exception], name: str) -> None:
     channel = Channel(name)
     for _ in range(3):
         channel.send("READY=1")
-    assert len(told) == 1
+    assert len(logged_failures) == 1
 
 
-def test_a_manager_that_takes_nothing_holds_nobody_up(manager: Manager, told: list[Exception]) -> None:
+def test_a_manager_that_reads_nothing_does_not_block(
+    manager: Manager, logged_failures: list[Exception]
+) -> None:
     sock, name = manager
     channel = Channel(name)
-    for _ in range(2000):  # more than its queue holds
+    for _ in range(2000):  # This is more than the socket's queue holds.
         channel.send("WATCHDOG=1")
-    assert len(told) == 1 and isinstance(told[0], BlockingIOError)
-    heard(sock)
+    assert len(logged_failures) == 1 and isinstance(logged_failures[0], BlockingIOError)
+    received_lines(sock)
     channel.send("READY=1")
-    assert heard(sock) == [["READY=1"]]
+    assert received_lines(sock) == [["READY=1"]]
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -1,4 +1,4 @@
-"""An instance is ready only when it can go at its usual pace, and learns nothing from its own stalls."""
+"""An instance is ready once it works at its usual rate, and doesn't count its own stalls as set-up time."""
 
 import gc
 import socket
@@ -25,17 +25,17 @@
 
 
 def ready_at(
-    cores: float, cpu_s: float, used_before_s: float = 0.0, late: Callable[[float], float] = lambda now: 0.0
+    cores: float, cpu_s: float, cpu_before_s: float = 0.0, delay: Callable[[float], float] = lambda now: 0.0
 ) -> float:
-    """In virtual time; `late`: how late the look comes that is due at that moment."""
-    now, readiness = 0.0, Readiness(0.0, used_before_s, cores)
+    """Returns the virtual time of readiness. `delay` returns how late the check due at a time comes."""
+    now, readiness = 0.0, Readiness(0.0, cpu_before_s, cores)
     while not readiness.check(now, cpu_s):
-        now = readiness.next_check + late(readiness.next_check)
+        now = readiness.next_check + delay(readiness.next_check)
     return now
 
 
 @pytest.mark.parametrize(
-    "cores, cpu_s, used_before_s, at",
+    "cores, cpu_s, cpu_before_s, at",
     [
         (0.25, 0.2, 0.0, 0.8),
         (0.25, 0.2, 0.2, 0.6),
@@ -43,58 +43,60 @@
         (0.01, 5.0, 0.0, MAX_WAIT_S),
     ],
 )
-def test_it_waits_until_its_part_of_a_core_has_covered_the_start(cores, cpu_s, used_before_s, at):
-    assert ready_at(cores, cpu_s, used_before_s) == pytest.approx(at, abs=CHECK_INTERVAL_S)
+def test_readiness_waits_until_the_cpu_quota_has_covered_the_start(cores, cpu_s, cpu_before_s, at):
+    assert ready_at(cores, cpu_s, cpu_before_s) == pytest.approx(at, abs=CHECK_INTERVAL_S)
 
 
-def test_a_start_is_not_held_up_by_a_kernel_whose_clock_is_not_the_process_s(
+def test_readiness_does_not_depend_on_the_kernels_clock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    told = []
+    ages = []
 
     class Seen(Readiness):
         def __init__(self, now: float, *more: float) -> None:
             super().__init__(now, *more)
-            told.append(now - self._started_at)
+            ages.append(now - self._started_at)
 
     async def main() -> None:
-        async with listless(tmp_path) as process:
+        async with instance_without_list(tmp_path) as process:
             process.relay.destinations.read(whole(entry("s-1")))
             await process.relay.ready.wait()
 
-    monkeypatch.setattr(time, "clock_gettime", lambda clock: -1.0)  # by it the process starts in a while
+    monkeypatch.setattr(
+        time, "clock_gettime", lambda clock: -1.0
+    )  # By this clock the process starts in the future.
     monkeypatch.setattr("glenfold.daemon.process.Readiness", Seen)
     trio.run(main)
-    assert told[0] >= 0
+    assert ages[0] >= 0
 
 
 @pytest.mark.parametrize("busy_s, at", [(0.5, 0.5 + CALM_PERIOD_S), (99.0, MAX_WAIT_S)])
-def test_it_waits_until_its_loop_has_been_on_time_or_for_the_latest_moment(busy_s, at):
-    calm_at = ready_at(1.0, 0.0, late=lambda now: 0.05 if now < busy_s else 0.0)
+def test_readiness_waits_until_the_loop_is_on_time_or_the_maximum_wait(busy_s, at):
+    calm_at = ready_at(1.0, 0.0, delay=lambda now: 0.05 if now < busy_s else 0.0)
     assert calm_at == pytest.approx(at, abs=0.06)
 
 
-def test_a_reply_that_lay_in_the_kernel_while_this_process_stood_still_was_no_slow_set_up():
+def test_time_of_a_reply_in_the_kernel_during_a_stall_is_no_set_up_time():
     async def look() -> KernelTimes:
-        return kernel_times(trio.socket.from_stdlib_socket(near))
+        return kernel_times(trio.socket.from_stdlib_socket(client_end))
 
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
-        socket.create_connection(listener.getsockname()) as near,
-        listener.accept()[0] as far,
+        socket.create_connection(listener.getsockname()) as client_end,
+        listener.accept()[0] as server_end,
     ):
-        far.sendall(b"UP x\r\n")
+        server_end.sendall(b"UP x\r\n")
         time.sleep(0.2)
         kernel = trio.run(look)
     assert kernel.came_s == pytest.approx(0.2, abs=0.1) and kernel.round_trip_s < 0.1
     assert stalled_s(0.0, kernel) == kernel.came_s
-    # Before its line was written, too; but for a connection that came up late, and what is hardly seen.
+    # A stall before the line was written counts too, except for a late connection or a very short stall.
     assert stalled_s(0.15, KernelTimes(0.0, 0.001, 0)) == pytest.approx(0.149)
     assert stalled_s(0.15, KernelTimes(0.0, 0.001, 1)) == 0
     assert stalled_s(0.009, KernelTimes(0.009, 0.0, 0)) == 0
 
 
-def test_the_decisions_are_told_of_the_set_up_without_the_stall():
+def test_the_reported_set_up_time_excludes_the_stall():
     state = request.RequestState(1, 3_000_000)
     state.on(interface.Attempt(1, 7, 1_000_000), 0)
     effects = state.on(request.CallUp(b"UP x\r\n", 140_000), 150_000)
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize("ready", [0, 1, 20])
-def test_a_warm_up_takes_requests_to_their_ends(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ready: int):
+def test_a_warm_up_runs_requests_to_their_ends(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ready: int):
     seen, handle = Counter[str](), Dispatch.handle
 
     def spy(self: Dispatch, now_us: int, event: interface.Event) -> list[RequestAction]:
@@ -116,15 +118,15 @@
     assert seen == Counter(ServerList=1, Request=WARM_UP_REQUESTS, Established=ended, Answer=ended)
 
 
-async def said(process: Process, line: bytes) -> bytes:
+async def exchange(process: Process, line: bytes) -> bytes:
     async with await trio.open_tcp_stream(*process.listeners[0].getsockname()) as stream:
         await stream.send_all(line)
         return bytes(await stream.receive_some(64))
 
 
 @asynccontextmanager
-async def listless(folder: Path) -> AsyncIterator[Process]:
-    """An instance that starts without any list."""
+async def instance_without_list(folder: Path) -> AsyncIterator[Process]:
+    """Runs an instance that starts without a list."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         process = Process(
             relaying.config(folder, known=whole()), lambda current: (current, []), listeners=[sock]
@@ -140,14 +142,14 @@
             gc.unfreeze()
 
 
-@relaying.scripted(listless)
-async def test_ping_waits_for_a_list_while_clients_are_served_and_then_is_answered(process: Process):
+@relaying.scripted(instance_without_list)
+async def test_ping_is_answered_once_there_is_a_list_and_clients_are_served_before(process: Process):
     states: list[State] = []
     process.life.watches.append(lambda _, now: states.append(now))
     with trio.move_on_after(0.3) as too_early:
-        await said(process, b"PING\r\n")
+        await exchange(process, b"PING\r\n")
     assert too_early.cancelled_caught and states == [State.WAITING]
-    assert (await said(process, OPEN)).startswith(b"BUSY")
+    assert (await exchange(process, OPEN)).startswith(b"BUSY")
     await process.relay.decisions.tell(process.relay.destinations.read(whole(entry("s-1"))))
-    assert await said(process, b"PING\r\n") == b"PONG\r\n"
+    assert await exchange(process, b"PING\r\n") == b"PONG\r\n"
     assert states == [State.WAITING, State.READY]
--- a/tests/daemon/test_run.py
+++ b/tests/daemon/test_run.py
@@ -1,4 +1,4 @@
-"""`glenfold run` and those who ask it, with real processes on loopback."""
+"""`glenfold run` and the commands that control it, with real processes on loopback."""
 
 import json
 import os
@@ -35,7 +35,7 @@
 
 
 class InstanceUnderTest:
-    """One operators' file, and the processes that were started with it."""
+    """One operators' file, and the processes started with it."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -49,14 +49,14 @@
     def write(self, take_over: str = "true") -> None:
         self.file.write_text(FILE.format(port=self.port, take_over=take_over))
 
-    def start(self, **how: Any) -> subprocess.Popen[bytes]:
+    def start(self, **popen_options: Any) -> subprocess.Popen[bytes]:
         environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         self.started.append(
             subprocess.Popen(
                 [sys.executable, "-m", "glenfold", "run", self.file],
                 cwd=ROOT,
                 env=environment,
-                **{"stderr": (self.folder / "log").open("ab"), **how},
+                **{"stderr": (self.folder / "log").open("ab"), **popen_options},
             )
         )
         return self.started[-1]
@@ -69,14 +69,14 @@
             text=True,
             timeout=30,
         )
-        told = json.loads(done.stdout)["instances"][0] if done.stdout else {"said": done.stderr}
-        return done.returncode, told
-
-    def until_ready(self, process: subprocess.Popen[bytes]) -> subprocess.Popen[bytes]:
-        by, told = time.monotonic() + 20, {}
-        while told.get("pid") != process.pid or told.get("state") != "ready":
-            assert time.monotonic() < by, f"{told}\n{(self.folder / 'log').read_text()}"
-            _, told = self.command("status")
+        status = json.loads(done.stdout)["instances"][0] if done.stdout else {"said": done.stderr}
+        return done.returncode, status
+
+    def wait_until_ready(self, process: subprocess.Popen[bytes]) -> subprocess.Popen[bytes]:
+        by, status = time.monotonic() + 20, {}
+        while status.get("pid") != process.pid or status.get("state") != "ready":
+            assert time.monotonic() < by, f"{status}\n{(self.folder / 'log').read_text()}"
+            _, status = self.command("status")
         return process
 
 
@@ -89,12 +89,12 @@
         process.wait()
 
 
-def test_an_instance_from_its_start_by_take_over_to_its_drain(instance: InstanceUnderTest) -> None:
+def test_an_instance_starts_is_taken_over_and_drains(instance: InstanceUnderTest) -> None:
     assert instance.command("status")[0] == 3
-    first = instance.until_ready(instance.start())
+    first = instance.wait_until_ready(instance.start())
     process = instance.start()
     assert first.wait(20) == Exit.FINISHED
-    instance.until_ready(process)
+    instance.wait_until_ready(process)
     assert instance.command("status")[0] == 0
     assert instance.command("reload") == (0, {"instance": "a", "pid": process.pid, "waits": []})
     instance.write(take_over="false")
@@ -107,19 +107,19 @@
     assert instance.command("drain")[0] == 3
 
 
-def test_it_says_by_its_status_what_was_wrong(instance: InstanceUnderTest) -> None:
+def test_the_exit_status_says_what_was_wrong(instance: InstanceUnderTest) -> None:
     instance.write(take_over="false")
-    first = instance.until_ready(instance.start())
+    first = instance.wait_until_ready(instance.start())
     assert instance.start().wait(20) == Exit.RUNS
     first.kill()
     first.wait()
     with socket.create_server(("127.0.0.1", instance.port)):
-        assert instance.start().wait(20) == Exit.NO_LISTENER  # but the lock has died with its process
+        assert instance.start().wait(20) == Exit.NO_LISTENER  # The lock was released with its process.
     instance.file.write_text("format = 1\n")
     assert instance.start().wait(20) == Exit.FILE
 
 
-def test_a_reload_by_signal_and_the_managers_word(
+def test_a_reload_by_signal_is_notified_to_the_manager(
     instance: InstanceUnderTest, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     name = str(instance.folder / "notify")
@@ -129,24 +129,26 @@
         monkeypatch.setenv("NOTIFY_SOCKET", name)
         process = instance.start()
         words = ["READY=1", "RELOADING=1", "READY=1", "STOPPING=1"]
-        heard: list[str] = []
-        while "STOPPING=1" not in heard:
-            heard.append(manager.recv(4096).decode().split("\n")[0])
-            if heard[-1] == "READY=1":
-                process.send_signal(signal.SIGTERM if "RELOADING=1" in heard else signal.SIGHUP)
-        assert [word for word in heard if word in words] == words
+        received: list[str] = []
+        while "STOPPING=1" not in received:
+            received.append(manager.recv(4096).decode().split("\n")[0])
+            if received[-1] == "READY=1":
+                process.send_signal(signal.SIGTERM if "RELOADING=1" in received else signal.SIGHUP)
+        assert [word for word in received if word in words] == words
     assert process.wait(20) == Exit.FINISHED
 
 
 @pytest.mark.parametrize("log", ["is read by nobody", "has lost its reader", "is closed"])
-def test_it_serves_and_ends_whatever_becomes_of_its_log(instance: InstanceUnderTest, log: str) -> None:
+def test_an_instance_serves_and_exits_when_its_log_can_not_be_written(
+    instance: InstanceUnderTest, log: str
+) -> None:
     close = (lambda: os.close(2)) if log == "is closed" else None
     with relaying.full_pipe() as (reader, writer, _):
         if log == "has lost its reader":
             reader.close()
-        process = instance.until_ready(instance.start(stderr=writer, preexec_fn=close))
+        process = instance.wait_until_ready(instance.start(stderr=writer, preexec_fn=close))
         for _ in range(200):
-            process.send_signal(signal.SIGUSR1)  # a line to log
+            process.send_signal(signal.SIGUSR1)  # Logs the counters in a line.
             with socket.create_connection(("127.0.0.1", instance.port), 5) as sock:
                 sock.sendall(b"PING\r\n")
                 assert sock.recv(100).startswith(b"PONG")
--- a/tests/daemon/test_snapshot_model.py
+++ b/tests/daemon/test_snapshot_model.py
@@ -1,8 +1,8 @@
-"""Whatever lists, drains, restarts and deaths come, no server known to have left comes back by a snapshot.
+"""No server known to have departed comes back through a snapshot, whatever lists, restarts and crashes occur.
 
-A history is a list of lives on one disk. Each hears some lists, waits or not, and ends in good order or with
-its machine at any step of a write; then one file may be hurt, and time passes. What a life knew for sure to
-be on the disk, the next ones must know.
+A history is a list of process lives on one disk. Each process receives some lists, may wait, and exits
+normally or with its machine at any step of a write. Then one file may be damaged, and time passes. What a
+process knew to be on disk, the next ones must know.
 """
 
 import random
@@ -17,7 +17,7 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 from relaying import entry, whole
-from snapshot_disk import Died, Disk
+from snapshot_disk import Disk, MachineDied
 
 from glenfold.daemon.process import Process
 from glenfold.daemon.snapshot import SnapshotOptions, Snapshots
@@ -25,7 +25,7 @@
 from linnetspread import interface
 
 SERVERS = range(4)
-MOST_S = 100.0
+MAX_AGE_S = 100.0
 WORDS = st.sampled_from(["drain", "remove", "leave out", "add", "start anew", "late list", "wait"])
 STEPS = st.lists(st.tuples(WORDS, st.sampled_from(SERVERS)), max_size=7)
 LIVES = st.lists(
@@ -43,7 +43,7 @@
 
 
 def ready(process: Process) -> dict[int, int]:
-    """Who is, with the start of each in milliseconds."""
+    """Returns the start time in milliseconds of each ready server."""
     numbers = {server_number(f"s-{n}"): n for n in SERVERS}
     return {
         numbers[server]: known.line.started_us // 1000
@@ -53,8 +53,11 @@
 
 
 class World:
-    """Discovery and what must hold. `gone`: who left and was on the disk, with the start that it left after;
-    `said`: of these, who was named when it left, whom no late list may bring back either."""
+    """Simulates discovery, and records what must hold.
+
+    `departed` maps each server that departed, and whose departure was on disk, to its start time.
+    `departed_by_name` holds those that a change named, which a late list must not bring back either.
+    """
 
     def __init__(self, conf: Any, seed: int) -> None:
         self.conf, self.random = conf, random.Random(seed)
@@ -63,9 +66,9 @@
         self.seq = 10
         self.health = dict.fromkeys(SERVERS, "in_service")
         self.started = dict.fromkeys(SERVERS, 0)
-        self.gone: dict[int, int] = {}
-        self.said: dict[int, int] = {}
-        self.told_at: list[float] = []
+        self.departed: dict[int, int] = {}
+        self.departed_by_name: dict[int, int] = {}
+        self.received_at: list[float] = []
 
     def wall(self) -> float:
         return self.now + trio.current_time()
@@ -90,30 +93,32 @@
         return {"seq": self.seq, "whole": False, "hosts": [self.entry(n)]}
 
     def note(self, process: Process, kept: Snapshots) -> None:
-        """Who is ready now may be so after a restart; who isn't must not, once that is on the disk."""
+        """Records which servers may be ready after a restart: no others, once their departure is on disk."""
         left, serving = process.relay.destinations.state().left, ready(process)
         for n in SERVERS:
             if n in serving:
-                self.gone.pop(n, None)
-                self.said.pop(n, None)
+                self.departed.pop(n, None)
+                self.departed_by_name.pop(n, None)
             elif not kept.status()["waits"]:
-                self.gone[n] = self.started[n]
+                self.departed[n] = self.started[n]
                 if server_number(f"s-{n}") in left:
-                    self.said[n] = left[server_number(f"s-{n}")][1] // 1000
+                    self.departed_by_name[n] = left[server_number(f"s-{n}")][1] // 1000
 
     async def life(self, steps: list[tuple[str, int]]) -> None:
         process = Process(self.conf, lambda current: (current, []))
         kept = Snapshots(
-            SnapshotOptions(Path("/snapshots"), "valleys", max_age_s=MOST_S), self.disk, self.wall
+            SnapshotOptions(Path("/snapshots"), "valleys", max_age_s=MAX_AGE_S), self.disk, self.wall
         )
         await kept.load_newest(process)
         if kept.loaded is not None:
-            assert self.wall() - kept.loaded.heard_at <= MOST_S
-            assert min(abs(kept.loaded.heard_at - at) for at in self.told_at) < 1e-3  # not made younger
+            assert self.wall() - kept.loaded.heard_at <= MAX_AGE_S
+            assert (
+                min(abs(kept.loaded.heard_at - at) for at in self.received_at) < 1e-3
+            )  # The snapshot's age was not reduced.
         for n, started in ready(process).items():
-            assert started > self.gone.get(n, -1), f"s-{n} came back"
-        if kept.loaded is None:  # it knows nothing, so of nobody that it left
-            self.gone, self.said = {}, {}
+            assert started > self.departed.get(n, -1), f"s-{n} came back"
+        if kept.loaded is None:  # Without a snapshot, no departure is known.
+            self.departed, self.departed_by_name = {}, {}
         async with trio.open_nursery() as nursery:
             nursery.start_soon(kept.run_writer, process)
             for word, n in [("hear", 0), *steps] if steps else []:
@@ -125,19 +130,21 @@
         if word == "wait":
             await trio.sleep(12.0)
         else:
-            self.told_at.append(self.wall())
+            self.received_at.append(self.wall())
             read = process.relay.destinations.read
-            told = read(self.whole() if word == "hear" else self.change(word, n))
+            server_list = read(self.whole() if word == "hear" else self.change(word, n))
             if word == "late list":
-                late = {line.server for line in told.servers if line.state is interface.ServerState.READY}
+                late = {
+                    line.server for line in server_list.servers if line.state is interface.ServerState.READY
+                }
                 assert not [
                     n
-                    for n in self.said
-                    if server_number(f"s-{n}") in late and self.started[n] <= self.said[n]
+                    for n in self.departed_by_name
+                    if server_number(f"s-{n}") in late and self.started[n] <= self.departed_by_name[n]
                 ], "a late list brought one back"
                 self.note(process, kept)
                 read(self.whole())
-            self.note(process, kept)  # who is told to be ready may be so on the disk before the next note
+            self.note(process, kept)  # A server reported ready may be so on disk before the next note.
         await trio.testing.wait_all_tasks_blocked()
         self.note(process, kept)
 
@@ -183,13 +190,13 @@
 ) -> None:
     world = World(conf, seed)
     for life in lives:
-        world.disk.dies_at = world.disk.steps + life["dies_at"] if life["dies_at"] >= 0 else -1
+        world.disk.dies_at_step = world.disk.steps + life["dies_at"] if life["dies_at"] >= 0 else -1
         clock = trio.testing.MockClock(autojump_threshold=0)
         try:
             trio.run(world.life, life["steps"], clock=clock)
         except BaseExceptionGroup as group:
-            if group.split(Died)[1] is not None:
+            if group.split(MachineDied)[1] is not None:
                 raise
-            world.disk.after_death()
+            world.disk.restore_after_crash()
         world.now += clock.current_time() + life["pause_s"]
         world.hurt(life["hurt"])
--- a/tests/daemon/test_takeover.py
+++ b/tests/daemon/test_takeover.py
@@ -1,4 +1,4 @@
-"""Take-overs on loopback, with clients arriving all the while."""
+"""Takeovers on loopback while clients arrive."""
 
 import fcntl
 import json
@@ -26,30 +26,30 @@
 
 
 class RestartScenario:
-    """One name, the processes that had it, a push server, and what was seen of clients."""
+    """One instance name, its processes in turn, a push server and the answers that clients received."""
 
     def __init__(self, folder: Path, nursery: trio.Nursery) -> None:
         self.place = TakeoverLocation(folder, "cardiff-1")
         self.answers: list[bytes] = []
-        self.asked = 0
+        self.client_count = 0
         self.nursery = nursery
         self.sock = listeners.listen("127.0.0.1:0")
         self.address = self.sock.getsockname()
-        self.wants = listeners.addresses_of([self.sock])
+        self.wanted = listeners.addresses_of([self.sock])
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         served = await self.nursery.start(partial(trio.serve_tcp, relaying.up, 0, host="127.0.0.1"))
         hosts = relaying.whole(relaying.entry("s-0", written(served[0].socket.getsockname())))
         self.config = relaying.config(self.place.folder, known=hosts)
         self.instance = RunningInstance(self, None)
-        await self.instance.begin()
+        await self.instance.start()
 
-    async def take_over(self, *more: str) -> Takeover:
-        return await ask(self.place, [*self.wants, *more], trio.current_time() + 20.0)
+    async def take_over(self, *extra: str) -> Takeover:
+        return await ask(self.place, [*self.wanted, *extra], trio.current_time() + 20.0)
 
-    async def next(self) -> None:
+    async def restart(self) -> None:
         before, self.instance = self.instance, RunningInstance(self, await self.take_over())
-        await self.instance.begin()
+        await self.instance.start()
         await before.ended.wait()
         assert before.process.life.state is State.STOPPED
 
@@ -57,8 +57,8 @@
         return await takeover._connect(self.place.path, trio.current_time())
 
     async def client(self) -> None:
-        self.asked += 1
-        request = self.asked
+        self.client_count += 1
+        request = self.client_count
         try:
             async with await trio.open_tcp_stream(*self.address) as stream:
                 await stream.send_all(b"OPEN %016x %016x c=watch,t=valleys,d=2000\r\n" % (request, request))
@@ -66,18 +66,18 @@
         except (OSError, trio.BrokenResourceError) as error:
             self.answers.append(repr(error).encode())
 
-    async def answers_all(self, more: int = 20) -> None:
-        """So many clients more, too: nobody was refused or reset."""
-        for _ in range(more):
+    async def check_all_answered(self, extra: int = 20) -> None:
+        """Checks that no client was refused or reset, including `extra` further clients."""
+        for _ in range(extra):
             await self.client()
-        assert self.answers == [b"UP r1\r\n"] * self.asked
+        assert self.answers == [b"UP r1\r\n"] * self.client_count
 
-    def copies(self) -> int:
-        return copies(self.instance.process.listeners[0])
+    def count_descriptors(self) -> int:
+        return count_descriptors(self.instance.process.listeners[0])
 
 
 class RunningInstance:
-    """One process; `die` is what SIGKILL leaves of it: descriptors closed, and no word said."""
+    """One process. `kill` acts like SIGKILL: it closes the descriptors and sends no message."""
 
     def __init__(self, restart_scenario: RestartScenario, taken: Takeover | None) -> None:
         self.takeover_server = TakeoverServer(restart_scenario.place, None, taken)
@@ -92,7 +92,7 @@
         self._scope = trio.CancelScope()
         self._nursery = restart_scenario.nursery
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         self._nursery.start_soon(self._run)
         while not (self.takeover_server.serving or self.ended.is_set()):
             await trio.sleep(0.005)
@@ -104,7 +104,7 @@
             listener.close()
         self.ended.set()
 
-    async def die(self) -> None:
+    async def kill(self) -> None:
         self._scope.cancel()
         await self.ended.wait()
 
@@ -114,13 +114,13 @@
     with trio.fail_after(30.0):
         async with trio.open_nursery() as nursery:
             scenario = RestartScenario(folder, nursery)
-            await scenario.begin()
+            await scenario.start()
             yield scenario
             nursery.cancel_scope.cancel()
 
 
-def copies(file: Any) -> int:
-    """How many descriptors of this process are that file, whether Python knows of them or not."""
+def count_descriptors(file: Any) -> int:
+    """Returns how many descriptors of this process refer to that file, including ones unknown to Python."""
     found = []
     for name in os.listdir("/proc/self/fd"):
         with suppress(OSError):
@@ -129,22 +129,22 @@
 
 
 @relaying.scripted(restart_scenario)
-async def test_three_restarts_under_a_stream_of_clients_refuse_and_reset_nobody(
+async def test_three_restarts_under_a_stream_of_clients_refuse_and_reset_none(
     scenario: RestartScenario,
 ) -> None:
     for _ in range(3):
         before = scenario.instance
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(scenario.next)
+            nursery.start_soon(scenario.restart)
             while not before.ended.is_set():
                 nursery.start_soon(scenario.client)
                 await trio.sleep(0.004)
-    assert scenario.asked > 30
-    await scenario.answers_all()
+    assert scenario.client_count > 30
+    await scenario.check_all_answered()
 
 
 @relaying.scripted(restart_scenario)
-async def test_clients_in_the_kernels_queue_are_taken_though_the_old_one_dies(
+async def test_queued_clients_are_served_when_the_old_process_dies(
     scenario: RestartScenario,
 ) -> None:
     taken = await scenario.take_over()
@@ -155,21 +155,21 @@
             nursery.start_soon(scenario.client)
         await trio.sleep(0.05)
         assert not scenario.instance.process.relay.counters.accepted
-        await scenario.instance.die()
-        await RunningInstance(scenario, taken).begin()
-    await scenario.answers_all()
+        await scenario.instance.kill()
+        await RunningInstance(scenario, taken).start()
+    await scenario.check_all_answered()
 
 
 @pytest.mark.parametrize("how", ["dies", "it is late", "told to stop"])
 @relaying.scripted(restart_scenario)
-async def test_a_new_one_that_does_not_get_ready_leaves_the_old_one_serving(
+async def test_the_old_process_serves_when_the_new_one_does_not_become_ready(
     scenario: RestartScenario, how: str
 ) -> None:
     scenario.instance.takeover_server.place = TakeoverLocation(
         scenario.place.folder, "cardiff-1", 0.05 if how == "it is late" else 30.0
     )
     taken = await scenario.take_over()
-    assert scenario.copies() == 2
+    assert scenario.count_descriptors() == 2
     if how == "dies":
         with pytest.raises(Refused, match="another process is taking over"):
             await scenario.take_over()
@@ -183,63 +183,62 @@
         assert not await taken.complete(process)
         assert taken.refused == how and not process.listeners
     taken.close()
-    await scenario.answers_all()
-    assert not scenario.instance.process.life.ending and scenario.copies() == 1
+    await scenario.check_all_answered()
+    assert not scenario.instance.process.life.ending and scenario.count_descriptors() == 1
     scenario.instance.takeover_server.place = scenario.place
-    await scenario.next()  # and the next one may take over
+    await scenario.restart()  # The next process may take over.
 
 
 @relaying.scripted(restart_scenario)
-async def test_a_new_one_that_dies_when_the_old_one_has_paused_gives_it_back(
+async def test_the_old_process_resumes_when_the_new_one_dies_after_the_pause(
     scenario: RestartScenario,
 ) -> None:
     channel = Channel(await scenario.connect(), 8)
-    hello = handshake.Hello(handshake.FORMAT, "cardiff-1", scenario.wants)
+    hello = handshake.Hello(handshake.FORMAT, "cardiff-1", scenario.wanted)
     for message, expected in ((hello, handshake.Offer), (handshake.Ready(), handshake.Retired)):
         channel.send(message)
-        said, descriptors = await channel.next_input(trio.current_time() + 5.0)
-        assert isinstance(said, expected)
+        reply, descriptors = await channel.next_input(trio.current_time() + 5.0)
+        assert isinstance(reply, expected)
         takeover.close_all(descriptors)
     assert not scenario.instance.process._accepting
     channel.close()
-    await scenario.answers_all()
+    await scenario.check_all_answered()
 
 
 @relaying.scripted(restart_scenario)
-async def test_one_that_dies_before_its_offer_is_as_none(scenario: RestartScenario) -> None:
+async def test_an_old_process_that_dies_before_its_offer_counts_as_none(scenario: RestartScenario) -> None:
     async with trio.open_nursery() as nursery:
+        # The old process then closes new connections at once.
         scenario.instance.takeover_server._connections = takeover.MAX_CONNECTIONS
-        nursery.start_soon(scenario.instance.die)
-        assert await ask(scenario.place, scenario.wants, trio.current_time() + 5.0) is None
+        nursery.start_soon(scenario.instance.kill)
+        assert await ask(scenario.place, scenario.wanted, trio.current_time() + 5.0) is None
     assert (
         scenario.place.path.exists()
-        and await ask(scenario.place, scenario.wants, trio.current_time()) is None
+        and await ask(scenario.place, scenario.wanted, trio.current_time()) is None
     )
 
 
 @relaying.scripted(restart_scenario)
-async def test_addresses_in_common_are_passed_on_others_opened_or_closed(scenario: RestartScenario) -> None:
+async def test_common_addresses_are_passed_on_and_others_opened_or_closed(scenario: RestartScenario) -> None:
     other, new, given = (listeners.listen("127.0.0.1:0") for _ in range(3))
     scenario.instance.process.listeners.append(trio.socket.from_stdlib_socket(other))
     scenario.instance.process.accept()
-    gone, opened = other.getsockname(), new.getsockname()
+    closed_address, opened = other.getsockname(), new.getsockname()
     new.close()
     addresses = [scenario.address, opened, given.getsockname()]
     found, taken = await takeover.obtain_listeners(
         scenario.place, addresses, [given], trio.current_time() + 20.0
     )
     assert [sock.getsockname() for sock in found] == [scenario.address, given.getsockname(), opened]
-    await RunningInstance(scenario, taken).begin()
+    await RunningInstance(scenario, taken).start()
     await (await trio.open_tcp_stream(*opened)).aclose()
-    await scenario.instance.ended.wait()  # the last that arrive at the address that goes are waited for
+    await scenario.instance.ended.wait()  # The old process waits for the last arrivals at the closed address.
     with pytest.raises(OSError):
-        await trio.open_tcp_stream(*gone)
+        await trio.open_tcp_stream(*closed_address)
 
 
 @relaying.scripted(restart_scenario)
-async def test_the_locks_descriptor_is_passed_on_and_stays_locked(
-    scenario: RestartScenario, tmp_path: Path
-) -> None:
+async def test_the_lock_is_passed_on_and_stays_locked(scenario: RestartScenario, tmp_path: Path) -> None:
     scenario.instance.takeover_server.lock = os.open(tmp_path / "lock", os.O_CREAT | os.O_RDWR)
     fcntl.flock(scenario.instance.takeover_server.lock, fcntl.LOCK_EX)
     taken = await scenario.take_over()
@@ -253,24 +252,22 @@
 
 
 @relaying.scripted(restart_scenario)
-async def test_what_can_not_be_had_or_taken_ends_it_with_a_reason_and_no_leak(
+async def test_a_failed_takeover_has_a_reason_and_leaks_no_descriptor(
     scenario: RestartScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     others = [listeners.listen("127.0.0.1:0") for _ in "12"]
     with pytest.raises(Refused, match="in use"):
         await scenario.take_over(*listeners.addresses_of(others))
     scenario.instance.process.listeners += [trio.socket.from_stdlib_socket(sock) for sock in others]
-    monkeypatch.setattr(handshake, "MAX_LISTENERS", 0)  # the kernel cuts off what there is no room for
+    monkeypatch.setattr(handshake, "MAX_LISTENERS", 0)  # The kernel drops descriptors that don't fit.
     with pytest.raises(Refused, match="too few descriptors are left to take what is passed"):
         await scenario.take_over(*listeners.addresses_of(others))
-    assert [scenario.copies(), *map(copies, others)] == [1, 1, 1]
-    await scenario.answers_all()
+    assert [scenario.count_descriptors(), *map(count_descriptors, others)] == [1, 1, 1]
+    await scenario.check_all_answered()
 
 
 @relaying.scripted(restart_scenario)
-async def test_only_its_own_user_is_let_in(
-    scenario: RestartScenario, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_other_users_are_refused(scenario: RestartScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     assert stat.S_IMODE(scenario.place.path.stat().st_mode) == 0o600
     monkeypatch.setattr(takeover.os, "getuid", lambda: 12345)
     with pytest.raises(Refused, match="another user's"):
@@ -278,7 +275,7 @@
     assert (await Channel(await scenario.connect()).next_input(trio.current_time() + 5.0))[
         0
     ] == handshake.Disconnected()
-    await scenario.answers_all(3)
+    await scenario.check_all_answered(3)
 
 
 @pytest.mark.parametrize(
@@ -287,14 +284,14 @@
     ids=["cut", "long", "deep", "incomplete"],
 )
 @relaying.scripted(restart_scenario)
-async def test_what_is_no_message_is_refused_and_costs_nothing(
+async def test_an_invalid_message_is_refused_and_leaks_no_descriptor(
     scenario: RestartScenario, data: bytes
 ) -> None:
     with await scenario.connect() as sock, (scenario.place.folder / "stranger").open("w") as file:
         socket.send_fds(sock, [data], [file.fileno()])
         assert isinstance((await Channel(sock).next_input(trio.current_time() + 5.0))[0], handshake.Abort)
-        assert copies(file) == 1
-    await scenario.answers_all(1)
+        assert count_descriptors(file) == 1
+    await scenario.check_all_answered(1)
 
 
 @pytest.fixture
@@ -304,7 +301,7 @@
         yield Channel(first), Channel(second)
 
 
-def test_what_was_said_before_the_other_side_stopped_listening_or_closed_is_heard(pair: Pair) -> None:
+def test_messages_sent_before_the_peer_closed_are_received(pair: Pair) -> None:
     old, new = pair
     new.send(handshake.Taken())
     old.stop_receiving()
@@ -316,7 +313,7 @@
     assert new.receive() == (handshake.Abort("late"), []) and new.receive() == (handshake.Disconnected(), [])
 
 
-def test_an_abort_is_heard_though_who_says_it_closed_on_something_unread(pair: Pair) -> None:
+def test_an_abort_is_received_when_its_sender_closed_with_unread_data(pair: Pair) -> None:
     pair[1].send(handshake.Ready())
     pair[0].send(handshake.Abort("late"))
     pair[0]._sock.close()
@@ -331,7 +328,7 @@
         (socket.SOCK_DGRAM, False, "is not a TCP socket over IPv4"),
     ],
 )
-def test_a_service_managers_sockets_are_taken_or_refused_by_name(
+def test_sockets_of_the_service_manager_are_adopted_or_refused_by_name(
     monkeypatch: pytest.MonkeyPatch, kind: int, listens: bool, fault: str | None
 ) -> None:
     addresses = []
@@ -358,7 +355,9 @@
 
 
 @pytest.mark.parametrize(("count", "meant_for"), [("1", "1"), ("0", "7"), ("900", "7")])
-def test_sockets_meant_for_another_process_or_of_no_number_are_left_alone(count: str, meant_for: str) -> None:
+def test_sockets_for_another_process_are_ignored_and_a_bad_count_is_refused(
+    count: str, meant_for: str
+) -> None:
     environment = {"LISTEN_FDS": count, "LISTEN_PID": meant_for}
     if meant_for == "7":
         with pytest.raises(listeners.BadListener, match=f"LISTEN_FDS='{count}' is not a number from 1 to 64"):
