--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -17,7 +17,7 @@
 from glenfold.config.terms import Fleet
 from glenfold.daemon.logfiles import LogFiles
 from glenfold.daemon.state_file import write_atomically
-from glenfold.daemon.supervisor import FileRefused, FleetOrder, OrderSource, Supervisor, SupervisorPaths
+from glenfold.daemon.supervisor import FileRefused, FleetSettings, SettingsSource, Supervisor, SupervisorPaths
 from glenfold.located import BadFile, parse, read_text
 from glenfold.rules.fleet.terms import Terms
 
@@ -54,14 +54,14 @@
 
 
 class FleetFile:
-    """One operators' file. `read` and `command` are the functions of the supervisor's OrderSource."""
+    """One operators' file. `read` and `command` are the functions of the supervisor's SettingsSource."""
 
     def __init__(self, file: Path) -> None:
         self.file = file
         self.paths = SupervisorPaths(supervisor_folder(file))
         self._numbers: dict[str, int | None] = {}
 
-    def read(self) -> FleetOrder:
+    def read(self) -> FleetSettings:
         """Returns the checked settings of the file. Raises FileRefused."""
         text, read = _read_stable(self.file)
         places = [read.place(number) for number in read.numbers]
@@ -75,7 +75,7 @@
             raise FileRefused(
                 f"{self.file}: control.on: must be true for a supervisor, which polls the control sockets"
             )
-        return FleetOrder(
+        return FleetSettings(
             _fleet_terms(read, tuple(controls)), controls, lambda: self._accept(text, read, places)
         )
 
@@ -128,6 +128,6 @@
     fleet = FleetFile(file)
     return Supervisor(
         fleet.paths,
-        OrderSource(fleet.read, fleet.command),
+        SettingsSource(fleet.read, fleet.command),
         LogFiles(fleet.paths.folder / "logs", MAX_LOG_BYTES),
     )
--- a/glenfold/daemon/handshake.py
+++ b/glenfold/daemon/handshake.py
@@ -1,5 +1,4 @@
-"""The takeover of listening sockets by a new process from an old one of the same name: state machines without
-I/O.
+"""The takeover of listening sockets between two processes of one name, as state machines without I/O.
 
     new process (Successor)                    old process (Predecessor)
     awaiting offer -- Hello ------------------> awaiting hello
@@ -27,13 +26,12 @@
 FORMAT = 1
 MAX_LISTENERS = 64
 GREETING_TIMEOUT_S = 5.0  # Limits the time from connecting to Hello, and from Hello to Offer.
-# Limits the time from Retired to Taken, between which the new process has nothing else to do.
+# Limits the time from Retired to Taken; the new process has nothing else to do in between.
 CONFIRMATION_TIMEOUT_S = 5.0
 
 Text = Annotated[str, msgspec.Meta(max_length=255)]
-Addresses = Annotated[
-    list[Text], msgspec.Meta(max_length=MAX_LISTENERS)
-]  # Each address has the form HOST:PORT.
+# Each address has the form HOST:PORT.
+Addresses = Annotated[list[Text], msgspec.Meta(max_length=MAX_LISTENERS)]
 
 
 class Hello(msgspec.Struct, frozen=True, tag=True):
@@ -300,10 +298,8 @@
                 return [Send(Taken())]
             case SuccessorState.CONFIRMING, Delivered():
                 return self._end(SuccessorState.OWNER, BecomeOwner())
-            case (
-                _,
-                Delivered() | ProcessReady(),
-            ):  # The process was ready before and has only reloaded its configuration.
+            case _, Delivered() | ProcessReady():
+                # The process was ready before and has only reloaded its configuration.
                 return []
             case _, ChannelFailed(reason):
                 return self._give_up(reason)
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -75,7 +75,7 @@
         return [*self.kept, *self.opened]
 
 
-def reconcile(passed: Sequence[socket.socket], wants: Iterable[str]) -> Reconciled:
+def reconcile(passed: Sequence[socket.socket], wanted: Iterable[str]) -> Reconciled:
     """Closes passed sockets that are not wanted, and opens the missing ones.
 
     If it raises BadListener, all passed and opened sockets are closed.
@@ -83,7 +83,7 @@
     unclaimed = {written(sock.getsockname()): sock for sock in reversed(passed)}
     kept, opened = [], []
     try:
-        for address in dict.fromkeys(wants):
+        for address in dict.fromkeys(wanted):
             if address in unclaimed:
                 kept.append(unclaimed.pop(address))
             else:
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -150,7 +150,7 @@
             for task in self._background_tasks:
                 nursery.start_soon(task, self)
             await self._stop_requested.wait()
-            leaving = Leaving(self._stop_requested_at(), self.relay.config.settings, self._deadline_s)
+            leaving = Leaving(self._stop_requested_time(), self.relay.config.settings, self._deadline_s)
             self.relay.end_by(leaving.answers_end)
             self.life.to(State.DRAINING)
             if self._accepting:
@@ -258,7 +258,7 @@
 
         return record
 
-    def _stop_requested_at(self) -> float:
+    def _stop_requested_time(self) -> float:
         ago_s = 0.0 if self._signalled_at is None else time.monotonic() - self._signalled_at
         return trio.current_time() - ago_s
 
@@ -372,7 +372,10 @@
 
 
 async def _move_all(leaving: Leaving, relay: Relay, nursery: trio.Nursery) -> None:
-    """A connection counts as standing until its client has been told to move, or has disconnected."""
+    """Tells all clients to move.
+
+    A connection counts as standing until its client has been told to move, or has disconnected.
+    """
     awaiting_line_end: set[Passage] = set()  # Connections in the middle of a line.
     queue: deque[Passage] = deque()
     while relay.owes:
@@ -426,9 +429,8 @@
     try:
         with trio.open_signal_receiver(*by_signal) as signals:
             process.record_signal_times(signal.SIGTERM, signal.SIGINT)
-            signal.pthread_sigmask(
-                signal.SIG_UNBLOCK, by_signal
-            )  # Signals that arrived during the start are delivered now.
+            # Signals that arrived during the start are delivered now.
+            signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)
             for number in early:
                 by_signal[number]()
             async with trio.open_nursery() as nursery:
--- a/glenfold/daemon/replica.py
+++ b/glenfold/daemon/replica.py
@@ -146,9 +146,8 @@
         signal.SIGINT: process.stop,
     }
     with trio.open_signal_receiver(*by_signal) as signals:
-        signal.pthread_sigmask(
-            signal.SIG_UNBLOCK, by_signal
-        )  # Signals that arrived during the start are delivered now.
+        # Signals that arrived during the start are delivered now.
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(dispatch_signals, signals, by_signal)
             await process.run(listener)
--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -114,9 +114,8 @@
                 continue
             self._on_loaded(snapshot, name)
             if len(readable) < 2 or not readable[0][0].says_as(readable[1][0]):
-                self._pace.changed(
-                    urgent=False
-                )  # Writes a second copy, so that one damaged file brings back no departed server.
+                # Writes a second copy, so that one damaged file brings back no departed server.
+                self._pace.changed(urgent=False)
             return server_list
         return None
 
--- a/glenfold/daemon/snapshot_files.py
+++ b/glenfold/daemon/snapshot_files.py
@@ -93,9 +93,8 @@
     max_bytes: int
     files: Files = field(default_factory=Files)
     _lock: int | None = None
-    _generations: list[int] = field(
-        default_factory=list
-    )  # The generation in each path; 0 if there is no valid one.
+    # The generation in each path; 0 if there is no valid one.
+    _generations: list[int] = field(default_factory=list)
 
     def _path(self, suffix: str) -> Path:
         return self.folder / f"{quote(self.owner.fleet, '')}.{quote(self.owner.name, '')}.{suffix}"
--- a/glenfold/daemon/supervisor.py
+++ b/glenfold/daemon/supervisor.py
@@ -106,20 +106,20 @@
 
 
 @dataclass(slots=True)
-class OrderSource:
+class SettingsSource:
     """The functions that give the supervisor the operators' settings.
 
-    `read` checks the operators' file and returns its order, or raises FileRefused. Once the order is
+    `read` checks the operators' file and returns its fleet settings, or raises FileRefused. Once they are
     accepted, `command` returns the command that starts an instance with its settings. Later edits of the file
     have no effect until it is read and accepted again. `accept` raises OSError.
     """
 
-    read: Callable[[], "FleetOrder"]
+    read: Callable[[], "FleetSettings"]
     command: Callable[[str], Sequence[str]]
 
 
 @dataclass(frozen=True, slots=True)
-class FleetOrder:
+class FleetSettings:
     """The fleet settings of a checked file. `controls` maps each instance's name to its control socket."""
 
     terms: Terms
@@ -142,12 +142,12 @@
     too.
     """
 
-    def __init__(self, paths: SupervisorPaths, orders: OrderSource, logs: LogFiles) -> None:
-        self.paths, self.orders, self.logs = paths, orders, logs
+    def __init__(self, paths: SupervisorPaths, settings_source: SettingsSource, logs: LogFiles) -> None:
+        self.paths, self.settings_source, self.logs = paths, settings_source, logs
         self._state_file = StateFile(paths.state)
-        self._owned: dict[str, ProcessHandle] = {}
+        self._handles: dict[str, ProcessHandle] = {}
         self._instance_of: dict[str, str] = {}
-        self._started: set[str] = set()  # The processes that this supervisor started.
+        self._started_here: set[str] = set()  # The processes that this supervisor started.
         self._last_statuses: dict[str, LastStatus] = {}
         self._polled: set[str] = set()
         self._save_failed = False
@@ -159,15 +159,15 @@
         Raises FileRefused, AlreadyRuns, OSError.
         """
         with self.paths.locked():
-            order = self.orders.read()
-            order.accept()
-            self._controls = dict(order.controls)
+            settings = self.settings_source.read()
+            settings.accept()
+            self._controls = dict(settings.controls)
             state, same_boot, problem = self._state_file.load()
             if problem:
                 log.state_unread(fault=problem)
-            self._fleet = Fleet(order.terms, state, random.random)
-            self._window = Window(order.terms.window_s)
-            log.supervises(instances=len(order.terms.instances), folder=self.paths.folder)
+            self._fleet = Fleet(settings.terms, state, random.random)
+            self._window = Window(settings.terms.window_s)
+            log.supervises(instances=len(settings.terms.instances), folder=self.paths.folder)
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 listener = open_private(self.paths.socket)
@@ -220,34 +220,34 @@
                 self._nursery.cancel_scope.cancel()
 
     def _signal(self, process: str, number: int) -> None:
-        if owned := self._owned.get(process):
-            owned.signal(number)
+        if handle := self._handles.get(process):
+            handle.signal(number)
 
     def _start(self, name: str) -> None:
         environment = {key: value for key, value in os.environ.items() if key not in NOT_INHERITED_VARIABLES}
         try:
             output = self.logs.open(name)
             try:
-                owned = ProcessHandle.start(self.orders.command(name), output, environment)
+                handle = ProcessHandle.start(self.settings_source.command(name), output, environment)
             finally:
                 os.close(output)
         except OSError as error:
             self.on(Ended(name, None, f"it could not be started: {error}"))
             return
-        self._started.add(owned.process)
-        self._watch(name, owned)
-        self.on(Spawned(name, owned.process))
+        self._started_here.add(handle.process)
+        self._watch(name, handle)
+        self.on(Spawned(name, handle.process))
 
-    def _watch(self, name: str, owned: ProcessHandle) -> None:
-        self._owned[owned.process] = owned
-        self._instance_of[owned.process] = name
-        self._nursery.start_soon(self._await_end, name, owned)
+    def _watch(self, name: str, handle: ProcessHandle) -> None:
+        self._handles[handle.process] = handle
+        self._instance_of[handle.process] = name
+        self._nursery.start_soon(self._await_end, name, handle)
 
-    async def _await_end(self, name: str, owned: ProcessHandle) -> None:
-        how = await owned.wait_for_exit()
-        del self._owned[owned.process], self._instance_of[owned.process]
-        self._started.discard(owned.process)
-        self.on(Ended(name, owned.process, how))
+    async def _await_end(self, name: str, handle: ProcessHandle) -> None:
+        how = await handle.wait_for_exit()
+        del self._handles[handle.process], self._instance_of[handle.process]
+        self._started_here.discard(handle.process)
+        self.on(Ended(name, handle.process, how))
 
     async def _run_timer(self) -> None:
         while True:
@@ -276,8 +276,8 @@
         }
         if same_boot:
             for process, name in recorded.items():
-                if owned := ProcessHandle.find(process):
-                    self._watch(name, owned)
+                if handle := ProcessHandle.find(process):
+                    self._watch(name, handle)
         answering: dict[str, str] = {}
 
         async def find(name: str) -> None:
@@ -288,7 +288,7 @@
         async with trio.open_nursery() as nursery:
             for name in self._fleet.state.instances:
                 nursery.start_soon(find, name)
-        self.on(Resumed(frozenset(self._owned), answering, same_boot))
+        self.on(Resumed(frozenset(self._handles), answering, same_boot))
 
     async def _query_status(self, name: str) -> str | None:
         """Asks for the status of an instance; returns the process that answered if it is already monitored.
@@ -314,11 +314,11 @@
         process = identity_of(pid)
         if process is None or status.get("instance") != name:
             return None
-        if process not in self._owned:
-            if owned := ProcessHandle.find(process):
-                self._watch(name, owned)
+        if process not in self._handles:
+            if handle := ProcessHandle.find(process):
+                self._watch(name, handle)
             return None
-        if self._owned[process].has_exited or self._instance_of[process] != name:
+        if self._handles[process].has_exited or self._instance_of[process] != name:
             return None
         self._last_statuses[name] = LastStatus(trio.current_time(), status)
         return process
@@ -345,7 +345,11 @@
     def _on_status(self, name: str, process: str) -> None:
         status = self._last_statuses[name].status
         self._window.read(
-            time.monotonic(), name, process, status.get("counters", {}), started_here=process in self._started
+            time.monotonic(),
+            name,
+            process,
+            status.get("counters", {}),
+            started_here=process in self._started_here,
         )
         self.on(Seen(name, process, status.get("state") in ("ready", "reloading")))
 
@@ -379,9 +383,8 @@
         return {"refused": "no such question"}
 
     def _run_command(self, command: Command) -> dict[str, Any]:
-        self.on(
-            Served(self._window.shares(time.monotonic()))
-        )  # Updates the service level, as a roll is judged by the current one.
+        # Updates the service level, as a roll is judged by the current one.
+        self.on(Served(self._window.shares(time.monotonic())))
         refused = self.on(command)
         log.commanded(command=type(command).__name__, outcome=refused or "done")
         return {"refused": refused} if refused else {"done": True, "rolls": self._fleet.state.rolls}
@@ -394,14 +397,14 @@
         if self._fleet.why_not(command):
             return self._run_command(command)
         try:
-            order = self.orders.read()
-            order.accept()
+            settings = self.settings_source.read()
+            settings.accept()
         except (FileRefused, OSError) as error:
             log.commanded(command=type(command).__name__, outcome=str(error))
             return {"refused": str(error), "file": True}
-        self._window.length_s = order.terms.window_s
-        self._controls.update(order.controls)  # Keeps removed instances, which are polled until they stop.
-        self.on(NewTerms(order.terms))
+        self._window.length_s = settings.terms.window_s
+        self._controls.update(settings.controls)  # Keeps removed instances, which are polled until they stop.
+        self.on(NewTerms(settings.terms))
         return self._run_command(command)
 
     def reload(self) -> None:
--- a/glenfold/daemon/takeover.py
+++ b/glenfold/daemon/takeover.py
@@ -107,9 +107,8 @@
         flags = socket.MSG_DONTWAIT | socket.MSG_CMSG_CLOEXEC
         try:
             return self._sock.recvmsg(MAX_MESSAGE_BYTES, self._ancillary_bytes, flags)
-        except (
-            ConnectionResetError
-        ):  # Reported once if the peer closed with unread data; its messages follow.
+        except ConnectionResetError:
+            # Reported once if the peer closed with unread data; its messages follow.
             return self._sock.recvmsg(MAX_MESSAGE_BYTES, self._ancillary_bytes, flags)
 
     async def next_input(self, due: float) -> tuple[handshake.Input, list[int]]:
@@ -141,7 +140,10 @@
 
 
 async def obtain_listeners(
-    place: TakeoverLocation | None, addresses: Sequence[Address], passed: Sequence[socket.socket], by: float
+    place: TakeoverLocation | None,
+    addresses: Sequence[Address],
+    passed: Sequence[socket.socket],
+    ready_by: float,
 ) -> "tuple[list[socket.socket], Takeover | None]":
     """Returns the listeners of a process that starts, and its takeover if there was an old process.
 
@@ -149,26 +151,26 @@
     manager. Missing ones are opened. Raises Refused and BadListener.
     """
     wants = await resolve(addresses)
-    taken = None if place is None else await ask(place, wants, by, passed)
+    taken = None if place is None else await ask(place, wants, ready_by, passed)
     return (reconcile(passed, wants).all, None) if taken is None else (taken.listeners, taken)
 
 
 async def ask(
-    place: TakeoverLocation, wants: Sequence[str], by: float, passed: Sequence[socket.socket] = ()
+    place: TakeoverLocation, wants: Sequence[str], ready_by: float, passed: Sequence[socket.socket] = ()
 ) -> "Takeover | None":
     """Asks the old process at `place` for its listeners.
 
     Returns None if there is no old process, or it died before it passed them on. `wants` holds the addresses
-    to listen at as getsockname returns them, `by` the time at which this process has to be ready, and
+    to listen at as getsockname returns them, `ready_by` the time at which this process has to be ready, and
     `passed` the sockets that it has already. Raises Refused.
     """
-    sock = await _connect(place.path, by)
+    sock = await _connect(place.path, ready_by)
     if sock is None:
         return None
     if not private_socket.peer(sock).is_own_user:
         sock.close()
         raise Refused(f"{place.path} is another user's")
-    takeover = Takeover(Channel(sock, handshake.MAX_LISTENERS + 1), place, wants, by, passed)
+    takeover = Takeover(Channel(sock, handshake.MAX_LISTENERS + 1), place, wants, ready_by, passed)
     try:
         return takeover if await takeover.await_offer() else None
     except BaseException:
@@ -176,7 +178,7 @@
         raise
 
 
-async def _connect(path: Path, by: float) -> socket.socket | None:
+async def _connect(path: Path, ready_by: float) -> socket.socket | None:
     while True:
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -191,7 +193,7 @@
             return None
         except BlockingIOError:  # The queue of the old process's socket is full.
             sock.close()
-            if trio.current_time() >= by:
+            if trio.current_time() >= ready_by:
                 raise Refused("no answer") from None
             await trio.sleep(RETRY_DELAY_S)
         except OSError as error:
@@ -212,7 +214,7 @@
         channel: Channel,
         place: TakeoverLocation,
         wants: Sequence[str],
-        by: float,
+        ready_by: float,
         inherited: Sequence[socket.socket] = (),
     ) -> None:
         self.listeners: list[socket.socket] = []
@@ -221,12 +223,11 @@
         self._channel = channel
         self._wants = list(wants)
         self._inherited = inherited
-        self._passed: set[int] = (
-            set()
-        )  # The descriptors of listeners that the old process or the service manager also has.
+        # The descriptors of listeners that the old process or the service manager also has.
+        self._passed: set[int] = set()
         hello = handshake.Hello(handshake.FORMAT, place.instance, self._wants)
         self._successor = handshake.Successor(
-            hello, by, min(by, trio.current_time() + handshake.GREETING_TIMEOUT_S)
+            hello, ready_by, min(ready_by, trio.current_time() + handshake.GREETING_TIMEOUT_S)
         )
         self._process: Process | None = None
 
@@ -274,9 +275,8 @@
         """
         self._process = process
         process.life.watches.append(self._on_life_change)
-        self._on_life_change(
-            process.life.state, process.life.state
-        )  # The process may already be ready or stopping.
+        # The process may already be ready or stopping.
+        self._on_life_change(process.life.state, process.life.state)
         while not self._successor.finished:
             received_input, descriptors = await self._channel.next_input(self._successor.due)
             close_all(descriptors)
@@ -435,11 +435,11 @@
 
     def on_hello(self, hello: handshake.Hello, taken: bool) -> None:
         """Answers a Hello; `taken` is true if another process is taking over already."""
-        places = {listener: written(listener.getsockname()) for listener in self._process.listeners}
-        passed = [listener for listener, where in places.items() if where in hello.wants]
+        addresses = {listener: written(listener.getsockname()) for listener in self._process.listeners}
+        passed = [listener for listener, address in addresses.items() if address in hello.wants]
         offer = handshake.Offer(
-            [places[listener] for listener in passed],
-            [where for listener, where in places.items() if listener not in passed],
+            [addresses[listener] for listener in passed],
+            [address for listener, address in addresses.items() if listener not in passed],
             self._lock is not None,
         )
         self._passed = passed
--- a/tests/daemon/supervising.py
+++ b/tests/daemon/supervising.py
@@ -15,7 +15,7 @@
 import glenfold.daemon.supervisor as supervisor_module
 from glenfold.daemon.ask import NoAnswer, ask
 from glenfold.daemon.logfiles import LogFiles
-from glenfold.daemon.supervisor import FleetOrder, OrderSource, Supervisor, SupervisorPaths
+from glenfold.daemon.supervisor import FleetSettings, SettingsSource, Supervisor, SupervisorPaths
 from glenfold.rules.fleet.terms import Terms
 
 supervisor_module.POLL_INTERVAL_S = 0.05
@@ -31,8 +31,8 @@
 )
 
 
-def read_order(folder: Path, names: tuple[str, ...], terms: dict[str, Any]) -> FleetOrder:
-    return FleetOrder(
+def read_settings(folder: Path, names: tuple[str, ...], terms: dict[str, Any]) -> FleetSettings:
+    return FleetSettings(
         Terms(names, **(FAST_SETTINGS | terms)),
         {name: folder / f"{name}.control" for name in names},
         lambda: None,
@@ -40,11 +40,11 @@
 
 
 def supervisor(folder: Path, names: tuple[str, ...], **terms: Any) -> Supervisor:
-    orders = OrderSource(
-        lambda: read_order(folder, names, terms),
+    settings_source = SettingsSource(
+        lambda: read_settings(folder, names, terms),
         lambda name: [sys.executable, "-SE", FAKE_INSTANCE, str(folder), name],
     )
-    return Supervisor(SupervisorPaths(folder), orders, LogFiles(folder, 2000))
+    return Supervisor(SupervisorPaths(folder), settings_source, LogFiles(folder, 2000))
 
 
 def set_behavior(folder: Path, name: str, *words: str) -> None:
--- a/tests/daemon/test_handshake.py
+++ b/tests/daemon/test_handshake.py
@@ -158,9 +158,8 @@
     if not old.is_alive and new.has_sockets:
         assert new.is_accepting and successor.state is SuccessorState.OWNER
     if old.is_alive and new.is_alive and not new.is_open:
-        assert (
-            old.has_sockets != new.has_sockets and old.is_accepting != new.is_accepting
-        )  # There are never two owners, and no socket is left open.
+        # There are never two owners, and no socket is left open.
+        assert old.has_sockets != new.has_sockets and old.is_accepting != new.is_accepting
     assert not (new.gave_up and (new.has_sockets or not set(LATE) & set(steps)))
     if predecessor.state is PredecessorState.RETIRED:
         assert not old.has_sockets and (not new.is_alive or successor.state is SuccessorState.OWNER)
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -62,9 +62,8 @@
             process.relay.destinations.read(whole(entry("s-1")))
             await process.relay.ready.wait()
 
-    monkeypatch.setattr(
-        time, "clock_gettime", lambda clock: -1.0
-    )  # By this clock the process starts in the future.
+    # By this clock the process starts in the future.
+    monkeypatch.setattr(time, "clock_gettime", lambda clock: -1.0)
     monkeypatch.setattr("glenfold.daemon.process.Readiness", Seen)
     trio.run(main)
     assert ages[0] >= 0
--- a/tests/daemon/test_snapshot_model.py
+++ b/tests/daemon/test_snapshot_model.py
@@ -33,7 +33,7 @@
         {
             "steps": STEPS,
             "dies_at": st.integers(-1, 14),
-            "hurt": st.integers(0, 3),
+            "damaged_file": st.integers(0, 3),
             "pause_s": st.sampled_from([0.0, 20.0, 70.0, 130.0]),
         }
     ),
@@ -52,7 +52,7 @@
     }
 
 
-class World:
+class SnapshotHistory:
     """Simulates discovery, and records what must hold.
 
     `departed` maps each server that departed, and whose departure was on disk, to its start time.
@@ -92,7 +92,7 @@
             return self.whole()
         return {"seq": self.seq, "whole": False, "hosts": [self.entry(n)]}
 
-    def note(self, process: Process, kept: Snapshots) -> None:
+    def record_state(self, process: Process, kept: Snapshots) -> None:
         """Records which servers may be ready after a restart: no others, once their departure is on disk."""
         left, serving = process.relay.destinations.state().left, ready(process)
         for n in SERVERS:
@@ -104,7 +104,7 @@
                 if server_number(f"s-{n}") in left:
                     self.departed_by_name[n] = left[server_number(f"s-{n}")][1] // 1000
 
-    async def life(self, steps: list[tuple[str, int]]) -> None:
+    async def run_process(self, steps: list[tuple[str, int]]) -> None:
         process = Process(self.conf, lambda current: (current, []))
         kept = Snapshots(
             SnapshotOptions(Path("/snapshots"), "valleys", max_age_s=MAX_AGE_S), self.disk, self.wall
@@ -112,9 +112,8 @@
         await kept.load_newest(process)
         if kept.loaded is not None:
             assert self.wall() - kept.loaded.heard_at <= MAX_AGE_S
-            assert (
-                min(abs(kept.loaded.heard_at - at) for at in self.received_at) < 1e-3
-            )  # The snapshot's age was not reduced.
+            # The snapshot's age was not reduced.
+            assert min(abs(kept.loaded.heard_at - at) for at in self.received_at) < 1e-3
         for n, started in ready(process).items():
             assert started > self.departed.get(n, -1), f"s-{n} came back"
         if kept.loaded is None:  # Without a snapshot, no departure is known.
@@ -124,7 +123,7 @@
             for word, n in [("hear", 0), *steps] if steps else []:
                 await self.step(process, kept, word, n)
             nursery.cancel_scope.cancel()
-        self.note(process, kept)
+        self.record_state(process, kept)
 
     async def step(self, process: Process, kept: Snapshots, word: str, n: int) -> None:
         if word == "wait":
@@ -142,13 +141,14 @@
                     for n in self.departed_by_name
                     if server_number(f"s-{n}") in late and self.started[n] <= self.departed_by_name[n]
                 ], "a late list brought one back"
-                self.note(process, kept)
+                self.record_state(process, kept)
                 read(self.whole())
-            self.note(process, kept)  # A server reported ready may be so on disk before the next note.
+            # A server reported ready may be so on disk before the next record.
+            self.record_state(process, kept)
         await trio.testing.wait_all_tasks_blocked()
-        self.note(process, kept)
+        self.record_state(process, kept)
 
-    def hurt(self, which: int) -> None:
+    def damage_file(self, which: int) -> None:
         path = Path(f"/snapshots/valleys.relay.{'?ab?'[which]}.snapshot")
         if path in self.disk.files:
             data = bytearray(self.disk.files[path].data)
@@ -178,25 +178,26 @@
 )
 @example(
     lives=[
-        {"steps": [("leave out", 0)], "dies_at": 10, "hurt": 0, "pause_s": 0.0},  # before the second copy
-        {"steps": [], "dies_at": -1, "hurt": 2, "pause_s": 0.0},  # which a start makes up for
-        {"steps": [], "dies_at": -1, "hurt": 0, "pause_s": 0.0},
+        # The machine dies before the second copy is written.
+        {"steps": [("leave out", 0)], "dies_at": 10, "damaged_file": 0, "pause_s": 0.0},
+        {"steps": [], "dies_at": -1, "damaged_file": 2, "pause_s": 0.0},  # A start writes the second copy.
+        {"steps": [], "dies_at": -1, "damaged_file": 0, "pause_s": 0.0},
     ],
     seed=0,
 )
 @given(lives=LIVES, seed=st.integers(0, 1 << 16))
-def test_no_server_known_to_have_left_comes_back(
+def test_no_server_known_to_have_departed_comes_back(
     inline: None, conf: Any, lives: list[Any], seed: int
 ) -> None:
-    world = World(conf, seed)
+    history = SnapshotHistory(conf, seed)
     for life in lives:
-        world.disk.dies_at_step = world.disk.steps + life["dies_at"] if life["dies_at"] >= 0 else -1
+        history.disk.dies_at_step = history.disk.steps + life["dies_at"] if life["dies_at"] >= 0 else -1
         clock = trio.testing.MockClock(autojump_threshold=0)
         try:
-            trio.run(world.life, life["steps"], clock=clock)
+            trio.run(history.run_process, life["steps"], clock=clock)
         except BaseExceptionGroup as group:
             if group.split(MachineDied)[1] is not None:
                 raise
-            world.disk.restore_after_crash()
-        world.now += clock.current_time() + life["pause_s"]
-        world.hurt(life["hurt"])
+            history.disk.restore_after_crash()
+        history.now += clock.current_time() + life["pause_s"]
+        history.damage_file(life["damaged_file"])
--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -134,9 +134,8 @@
     ]
     newest.write_bytes(damaged)
     run_instance(tmp_path, check)
-    assert all(
-        isinstance(found, Snapshot) for found in store.read()
-    )  # The damaged file was replaced at once.
+    # The damaged file was replaced at once.
+    assert all(isinstance(found, Snapshot) for found in store.read())
     store.paths[0].unlink()
     store.paths[0].mkdir()
     assert isinstance(found := store.read()[0], Refused) and found.reason == "unreadable"
--- a/tests/daemon/test_supervisor.py
+++ b/tests/daemon/test_supervisor.py
@@ -123,20 +123,20 @@
 @run_in_trio
 async def test_a_reused_pid_is_never_signalled(folder: Path) -> None:
     """The state file names the pid of a process with another start time."""
-    with subprocess.Popen(["sleep", "60"]) as unrelated:
+    with subprocess.Popen(["sleep", "60"]) as unrelated_process:
         try:
-            there = process_handle.identity_of(unrelated.pid)
+            there = process_handle.identity_of(unrelated_process.pid)
             assert there is not None
-            stale = f"{unrelated.pid}:{int(there.partition(':')[2]) - 7}"
+            stale = f"{unrelated_process.pid}:{int(there.partition(':')[2]) - 7}"
             assert process_handle.ProcessHandle.find(stale) is None
             instance = Instance(phase=Phase.STOPPING, since=0.0, process=stale, kill_at=0.0)
             kept = state_file.Kept(state_file.FORMAT, process_handle.boot_id(), State({"s-1": instance}))
             (folder / "state.json").write_bytes(msgspec.json.encode(kept))
             async with running_supervisor(folder, ("s-1",)):
                 await wait_for_status(folder, all_ready)
-            assert unrelated.poll() is None
+            assert unrelated_process.poll() is None
         finally:
-            unrelated.kill()
+            unrelated_process.kill()
 
 
 @run_in_trio
--- a/tests/daemon/test_takeover.py
+++ b/tests/daemon/test_takeover.py
@@ -243,12 +243,12 @@
     fcntl.flock(scenario.instance.takeover_server.lock, fcntl.LOCK_EX)
     taken = await scenario.take_over()
     os.close(scenario.instance.takeover_server.lock)
-    with (tmp_path / "lock").open() as stranger:
+    with (tmp_path / "lock").open() as other_file:
         with pytest.raises(BlockingIOError):
-            fcntl.flock(stranger, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(other_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         scenario.instance.takeover_server.lock = None
         taken.close()
-        fcntl.flock(stranger, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(other_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
 
 @relaying.scripted(restart_scenario)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -135,7 +135,7 @@
         sent = trio.current_time()
         time.sleep(0.2)  # a long turn
         await anext(signals)
-        assert told._stop_requested_at() - sent < 0.1
+        assert told._stop_requested_time() - sent < 0.1
 
 
 # ---- on sockets ----
