--- a/glenfold/daemon/handshake.py
+++ b/glenfold/daemon/handshake.py
@@ -200,10 +200,10 @@
         """Whether the handshake has ended on this side."""
         return self.state in (PredecessorState.RETIRED, PredecessorState.FINISHED)
 
-    def on_hello(self, hello: Hello, offer: Offer, taken: bool) -> list[Effect]:
+    def on_hello(self, hello: Hello, offer: Offer, other_is_chosen: bool) -> list[Effect]:
         """Handles a Hello and returns the effects.
 
-        `offer` is sent if the Hello is valid; `taken` is true if another process is taking over already.
+        `offer` is sent if the Hello is valid; `other_is_chosen` says that another process takes over already.
         """
         if self.state is not PredecessorState.AWAITING_HELLO:
             return self._end("it says hello twice")
@@ -211,7 +211,7 @@
             return self._end(f"format {hello.format} is not {FORMAT}")
         if hello.instance != self.instance:
             return self._end(f"this is {self.instance}, not {hello.instance}")
-        if taken:
+        if other_is_chosen:
             return self._end("another process is taking over")
         self.state, self.due = PredecessorState.OFFER_SENT, self.ready_by
         return [Send(offer)]
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -123,17 +123,17 @@
 
 
 def _checked(descriptor: int, name: str) -> socket.socket:
-    addresses_of = f"descriptor {descriptor} ({name})"
+    description = f"descriptor {descriptor} ({name})"
     try:
         os.set_inheritable(descriptor, False)
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
-        raise BadListener(f"{addresses_of}: {error.strerror or error}") from error
+        raise BadListener(f"{description}: {error.strerror or error}") from error
     try:
         check(sock)
     except BadListener as error:
         sock.close()
-        raise BadListener(f"{addresses_of} {error}") from None
+        raise BadListener(f"{description} {error}") from None
     return sock
 
 
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -33,12 +33,12 @@
 class NameOwnership:
     """The ownership of an instance's name.
 
-    `lock` is the descriptor of the name's lock. `taken` is the takeover through which the name was obtained,
-    if it was. Both are None if no folder is configured.
+    `lock` is the descriptor of the name's lock. `ongoing_takeover` is the takeover that obtains the name,
+    if there is one. Both are None if no folder is configured.
     """
 
     lock: int | None = None
-    taken: takeover.Takeover | None = None
+    ongoing_takeover: takeover.Takeover | None = None
 
 
 class Run:
@@ -75,25 +75,29 @@
         passed = listeners.from_environment(os.environ, os.getpid())
         config, restart = self._operators.config(self._number), self._operators.terms.restart
         name = await self._acquire_name(passed, trio.current_time() + restart.ready_s)
-        if name.taken is None:
+        if name.ongoing_takeover is None:
             found, _ = await takeover.obtain_listeners(
                 None, self._place.listeners, passed, trio.current_time()
             )
         else:
-            found = name.taken.listeners
+            found = name.ongoing_takeover.listeners
         background_tasks: list[BackgroundTask] = [] if notifier is None else [notifier]
         process = Process(
             config,
             self._read_again,
             listeners=found,
-            start_paused=name.taken is not None,
+            start_paused=name.ongoing_takeover is not None,
             background_tasks=background_tasks,
             deadline_s=restart.deadline_s,
             make_list_source=self._make_list_source(config),
         )
         background_tasks += await self._background_tasks(process, name)
         await run_by_signals(process)
-        return Exit.FINISHED if name.taken is None or name.taken.refused is None else Exit.RUNS
+        return (
+            Exit.FINISHED
+            if name.ongoing_takeover is None or name.ongoing_takeover.refused is None
+            else Exit.RUNS
+        )
 
     @staticmethod
     def _make_list_source(config: Config) -> MakeListSource | None:
@@ -113,15 +117,15 @@
         try:
             return NameOwnership(lock.acquire(self._place.folder, self._place.name))
         except lock.NameHeld:
-            if (place := self._takeover_place()) is None:
+            if (location := self._takeover_location()) is None:
                 raise
             wants = await listeners.resolve(self._place.listeners)
-            taken = await takeover.ask(place, wants, by, passed)
-        if taken is None:  # The holder offers no takeover, or has just exited.
+            new_takeover = await takeover.ask(location, wants, by, passed)
+        if new_takeover is None:  # The holder offers no takeover, or has just exited.
             return NameOwnership(lock.acquire(self._place.folder, self._place.name))
-        return NameOwnership(taken.lock, taken)
+        return NameOwnership(new_takeover.lock, new_takeover)
 
-    def _takeover_place(self) -> takeover.TakeoverLocation | None:
+    def _takeover_location(self) -> takeover.TakeoverLocation | None:
         restart = self._operators.terms.restart
         if self._place.folder is None or not restart.take_over:
             return None
@@ -145,8 +149,8 @@
             )
             await snapshots.load_newest(process)
             found.append(snapshots.run_writer)
-        if (place := self._takeover_place()) is not None:
-            found.append(takeover.TakeoverServer(place, name.lock, name.taken))
+        if (location := self._takeover_location()) is not None:
+            found.append(takeover.TakeoverServer(location, name.lock, name.ongoing_takeover))
         if self._place.socket is not None:
             from glenfold.daemon.control import Control
 
@@ -154,9 +158,9 @@
         return found
 
     def _read_again(self, current: Config) -> tuple[Config, list[str]]:
-        settings = self._again(current)
+        result = self._again(current)
         logs.take_terms(self._log_terms())
-        return settings
+        return result
 
     def _log_terms(self) -> logs.Terms:
         settings = self._again.operators.terms.logging
--- a/glenfold/daemon/takeover.py
+++ b/glenfold/daemon/takeover.py
@@ -140,37 +140,37 @@
 
 
 async def obtain_listeners(
-    place: TakeoverLocation | None,
+    location: TakeoverLocation | None,
     addresses: Sequence[Address],
     passed: Sequence[socket.socket],
     ready_by: float,
 ) -> "tuple[list[socket.socket], Takeover | None]":
     """Returns the listeners of a process that starts, and its takeover if there was an old process.
 
-    The listeners come from the old process at `place`, or else from `passed`, the sockets of the service
+    The listeners come from the old process at `location`, or else from `passed`, the sockets of the service
     manager. Missing ones are opened. Raises Refused and BadListener.
     """
     wants = await resolve(addresses)
-    taken = None if place is None else await ask(place, wants, ready_by, passed)
-    return (reconcile(passed, wants).all, None) if taken is None else (taken.listeners, taken)
+    takeover = None if location is None else await ask(location, wants, ready_by, passed)
+    return (reconcile(passed, wants).all, None) if takeover is None else (takeover.listeners, takeover)
 
 
 async def ask(
-    place: TakeoverLocation, wants: Sequence[str], ready_by: float, passed: Sequence[socket.socket] = ()
+    location: TakeoverLocation, wants: Sequence[str], ready_by: float, passed: Sequence[socket.socket] = ()
 ) -> "Takeover | None":
-    """Asks the old process at `place` for its listeners.
+    """Asks the old process at `location` for its listeners.
 
     Returns None if there is no old process, or it died before it passed them on. `wants` holds the addresses
     to listen at as getsockname returns them, `ready_by` the time at which this process has to be ready, and
     `passed` the sockets that it has already. Raises Refused.
     """
-    sock = await _connect(place.path, ready_by)
+    sock = await _connect(location.path, ready_by)
     if sock is None:
         return None
     if not private_socket.peer(sock).is_own_user:
         sock.close()
-        raise Refused(f"{place.path} is another user's")
-    takeover = Takeover(Channel(sock, handshake.MAX_LISTENERS + 1), place, wants, ready_by, passed)
+        raise Refused(f"{location.path} is another user's")
+    takeover = Takeover(Channel(sock, handshake.MAX_LISTENERS + 1), location, wants, ready_by, passed)
     try:
         return takeover if await takeover.await_offer() else None
     except BaseException:
@@ -212,7 +212,7 @@
     def __init__(
         self,
         channel: Channel,
-        place: TakeoverLocation,
+        location: TakeoverLocation,
         wants: Sequence[str],
         ready_by: float,
         inherited: Sequence[socket.socket] = (),
@@ -225,7 +225,7 @@
         self._inherited = inherited
         # The descriptors of listeners that the old process or the service manager also has.
         self._passed: set[int] = set()
-        hello = handshake.Hello(handshake.FORMAT, place.instance, self._wants)
+        hello = handshake.Hello(handshake.FORMAT, location.instance, self._wants)
         self._successor = handshake.Successor(
             hello, ready_by, min(ready_by, trio.current_time() + handshake.GREETING_TIMEOUT_S)
         )
@@ -349,20 +349,20 @@
     """
 
     def __init__(
-        self, place: TakeoverLocation, lock: int | None = None, taken: Takeover | None = None
+        self, location: TakeoverLocation, lock: int | None = None, takeover: Takeover | None = None
     ) -> None:
-        self.place = place
-        self.lock = lock if taken is None else taken.lock
-        self._taken = taken
+        self.location = location
+        self.lock = lock if takeover is None else takeover.lock
+        self._takeover = takeover
         self.serving = False  # Whether this process owns the name and accepts takeover requests.
         self._chosen_predecessor: handshake.Predecessor | None = None
         self._connections = 0
 
     async def __call__(self, process: Process) -> None:
-        if self._taken is not None and not await self._taken.complete(process):
+        if self._takeover is not None and not await self._takeover.complete(process):
             return
         try:
-            listener = private_socket.listen(self.place.path, socket.SOCK_SEQPACKET, MAX_CONNECTIONS)
+            listener = private_socket.listen(self.location.path, socket.SOCK_SEQPACKET, MAX_CONNECTIONS)
         except OSError as error:
             events.takeover_unheard(error=error)
             return
@@ -390,7 +390,7 @@
     async def _serve_successor(self, channel: Channel, process: Process) -> None:
         now = trio.current_time()
         predecessor = handshake.Predecessor(
-            self.place.instance, now + self.place.ready_s, now + handshake.GREETING_TIMEOUT_S
+            self.location.instance, now + self.location.ready_s, now + handshake.GREETING_TIMEOUT_S
         )
         connection = _PredecessorConnection(channel, predecessor, process, self.lock)
         try:
@@ -433,8 +433,8 @@
             received_input, _ = self._channel.receive() or (received_input, [])
         return received_input
 
-    def on_hello(self, hello: handshake.Hello, taken: bool) -> None:
-        """Answers a Hello; `taken` is true if another process is taking over already."""
+    def on_hello(self, hello: handshake.Hello, other_is_chosen: bool) -> None:
+        """Answers a Hello; `other_is_chosen` is true if another process is taking over already."""
         addresses = {listener: written(listener.getsockname()) for listener in self._process.listeners}
         passed = [listener for listener, address in addresses.items() if address in hello.wants]
         offer = handshake.Offer(
@@ -443,7 +443,7 @@
             self._lock is not None,
         )
         self._passed = passed
-        self.perform(self._predecessor.on_hello(hello, offer, taken))
+        self.perform(self._predecessor.on_hello(hello, offer, other_is_chosen))
 
     def perform(self, effects: Sequence[handshake.Effect]) -> None:
         """Performs the effects of the handshake."""
--- a/tests/daemon/test_handshake.py
+++ b/tests/daemon/test_handshake.py
@@ -111,7 +111,9 @@
         if end is self.new:
             self.perform(end, self.successor.on(received_input))
         elif isinstance(received_input, Hello):
-            self.perform(end, self.predecessor.on_hello(received_input, Offer(WANTS, [], True), taken=False))
+            self.perform(
+                end, self.predecessor.on_hello(received_input, Offer(WANTS, [], True), other_is_chosen=False)
+            )
         else:
             self.perform(end, self.predecessor.on(received_input, 0.0))
 
@@ -166,16 +168,16 @@
 
 
 @pytest.mark.parametrize(
-    ("hello", "taken", "reason"),
+    ("hello", "other_is_chosen", "reason"),
     [
         (Hello(FORMAT + 1, "cardiff-1", []), False, "format 2 is not 1"),
         (Hello(FORMAT, "wrexham-1", []), False, "this is cardiff-1, not wrexham-1"),
         (Hello(FORMAT, "cardiff-1", []), True, "another process is taking over"),
     ],
 )
-def test_a_refused_successor_receives_the_reason(hello: Hello, taken: bool, reason: str) -> None:
+def test_a_refused_successor_receives_the_reason(hello: Hello, other_is_chosen: bool, reason: str) -> None:
     predecessor = Predecessor("cardiff-1", 30.0, 5.0)
-    assert predecessor.on_hello(hello, Offer([], [], False), taken) == [
+    assert predecessor.on_hello(hello, Offer([], [], False), other_is_chosen) == [
         Send(Abort(reason)),
         Close(reason),
     ]
--- a/tests/daemon/test_takeover.py
+++ b/tests/daemon/test_takeover.py
@@ -29,7 +29,7 @@
     """One instance name, its processes in turn, a push server and the answers that clients received."""
 
     def __init__(self, folder: Path, nursery: trio.Nursery) -> None:
-        self.place = TakeoverLocation(folder, "cardiff-1")
+        self.location = TakeoverLocation(folder, "cardiff-1")
         self.answers: list[bytes] = []
         self.client_count = 0
         self.nursery = nursery
@@ -40,12 +40,12 @@
     async def start(self) -> None:
         served = await self.nursery.start(partial(trio.serve_tcp, relaying.up, 0, host="127.0.0.1"))
         hosts = relaying.whole(relaying.entry("s-0", written(served[0].socket.getsockname())))
-        self.config = relaying.config(self.place.folder, known=hosts)
+        self.config = relaying.config(self.location.folder, known=hosts)
         self.instance = RunningInstance(self, None)
         await self.instance.start()
 
     async def take_over(self, *extra: str) -> Takeover:
-        return await ask(self.place, [*self.wanted, *extra], trio.current_time() + 20.0)
+        return await ask(self.location, [*self.wanted, *extra], trio.current_time() + 20.0)
 
     async def restart(self) -> None:
         before, self.instance = self.instance, RunningInstance(self, await self.take_over())
@@ -54,7 +54,7 @@
         assert before.process.life.state is State.STOPPED
 
     async def connect(self) -> socket.socket:
-        return await takeover._connect(self.place.path, trio.current_time())
+        return await takeover._connect(self.location.path, trio.current_time())
 
     async def client(self) -> None:
         self.client_count += 1
@@ -80,7 +80,7 @@
     """One process. `kill` acts like SIGKILL: it closes the descriptors and sends no message."""
 
     def __init__(self, restart_scenario: RestartScenario, taken: Takeover | None) -> None:
-        self.takeover_server = TakeoverServer(restart_scenario.place, None, taken)
+        self.takeover_server = TakeoverServer(restart_scenario.location, None, taken)
         self.process = Process(
             restart_scenario.config,
             lambda config: (config, []),
@@ -165,8 +165,8 @@
 async def test_the_old_process_serves_when_the_new_one_does_not_become_ready(
     scenario: RestartScenario, how: str
 ) -> None:
-    scenario.instance.takeover_server.place = TakeoverLocation(
-        scenario.place.folder, "cardiff-1", 0.05 if how == "it is late" else 30.0
+    scenario.instance.takeover_server.location = TakeoverLocation(
+        scenario.location.folder, "cardiff-1", 0.05 if how == "it is late" else 30.0
     )
     taken = await scenario.take_over()
     assert scenario.count_descriptors() == 2
@@ -185,7 +185,7 @@
     taken.close()
     await scenario.check_all_answered()
     assert not scenario.instance.process.life.ending and scenario.count_descriptors() == 1
-    scenario.instance.takeover_server.place = scenario.place
+    scenario.instance.takeover_server.location = scenario.location
     await scenario.restart()  # The next process may take over.
 
 
@@ -211,10 +211,10 @@
         # The old process then closes new connections at once.
         scenario.instance.takeover_server._connections = takeover.MAX_CONNECTIONS
         nursery.start_soon(scenario.instance.kill)
-        assert await ask(scenario.place, scenario.wanted, trio.current_time() + 5.0) is None
+        assert await ask(scenario.location, scenario.wanted, trio.current_time() + 5.0) is None
     assert (
-        scenario.place.path.exists()
-        and await ask(scenario.place, scenario.wanted, trio.current_time()) is None
+        scenario.location.path.exists()
+        and await ask(scenario.location, scenario.wanted, trio.current_time()) is None
     )
 
 
@@ -227,7 +227,7 @@
     new.close()
     addresses = [scenario.address, opened, given.getsockname()]
     found, taken = await takeover.obtain_listeners(
-        scenario.place, addresses, [given], trio.current_time() + 20.0
+        scenario.location, addresses, [given], trio.current_time() + 20.0
     )
     assert [sock.getsockname() for sock in found] == [scenario.address, given.getsockname(), opened]
     await RunningInstance(scenario, taken).start()
@@ -268,7 +268,7 @@
 
 @relaying.scripted(restart_scenario)
 async def test_other_users_are_refused(scenario: RestartScenario, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert stat.S_IMODE(scenario.place.path.stat().st_mode) == 0o600
+    assert stat.S_IMODE(scenario.location.path.stat().st_mode) == 0o600
     monkeypatch.setattr(takeover.os, "getuid", lambda: 12345)
     with pytest.raises(Refused, match="another user's"):
         await scenario.take_over()
@@ -287,7 +287,7 @@
 async def test_an_invalid_message_is_refused_and_leaks_no_descriptor(
     scenario: RestartScenario, data: bytes
 ) -> None:
-    with await scenario.connect() as sock, (scenario.place.folder / "stranger").open("w") as file:
+    with await scenario.connect() as sock, (scenario.location.folder / "stranger").open("w") as file:
         socket.send_fds(sock, [data], [file.fileno()])
         assert isinstance((await Channel(sock).next_input(trio.current_time() + 5.0))[0], handshake.Abort)
         assert count_descriptors(file) == 1
@@ -332,12 +332,12 @@
     monkeypatch: pytest.MonkeyPatch, kind: int, listens: bool, fault: str | None
 ) -> None:
     addresses = []
-    for place in (200, 201):
+    for descriptor in (200, 201):
         with socket.socket(type=kind) as sock:
             sock.bind(("127.0.0.1", 0))
             if listens:
                 sock.listen()
-            os.dup2(sock.fileno(), place)
+            os.dup2(sock.fileno(), descriptor)
             addresses.append(sock.getsockname())
     monkeypatch.setattr(listeners, "FIRST_PASSED_DESCRIPTOR", 200)
     environment = {"LISTEN_FDS": "2", "LISTEN_PID": "7", "LISTEN_FDNAMES": "clients:more"}
