--- a/glenfold/daemon/platform.py
+++ b/glenfold/daemon/platform.py
@@ -25,7 +25,7 @@
         raise ConfigError("LB_LOG_LEVELS", str(error)) from error
     for name in levels:
         if not any(f"{event}.".startswith(f"{name}.") for event in logs.EVENTS):
-            raise ConfigError("LB_LOG_LEVELS", f"{name} is neither an event nor a group of events")
+            raise ConfigError("LB_LOG_LEVELS", f"{name} is no event and no group of events")
     return levels
 
 
