--- a/glenfold/daemon/control.py
+++ b/glenfold/daemon/control.py
@@ -1,7 +1,7 @@
-"""The control socket of one instance, a companion: who asks is told how it stands, or has it drain or reload.
+"""The control socket of one instance: reports its status and counters, and starts a drain or a reload.
 
-One question and one answer a connection, as `ask` has them. What is asked for can't be had: `refused` says
-why, and `file` that the operators' file is at fault.
+A connection carries one question and one answer, in the format of the module `ask`. When a question is
+refused, `refused` in the answer holds the reason, and `file` is true if the operators' file is faulty.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 import trio
 
 from glenfold import events, logs
-from glenfold.daemon.ask import answer_all, open_private
+from glenfold.daemon.ask import open_private, serve_answers
 from glenfold.daemon.life import State
 from glenfold.daemon.process import Process
 
@@ -19,16 +19,19 @@
 
 
 class Control:
-    """`snapshots` tells how those stand; None: there are none."""
+    """The background task that serves the control socket.
+
+    `snapshots` returns the status of the snapshots; it is None for an instance without snapshots.
+    """
 
     def __init__(self, path: Path, snapshots: Callable[[], Answer] | None = None) -> None:
         self._path = path
         self._snapshots = snapshots
-        self._began_at = self._since = trio.current_time()
+        self._started_at = self._state_since = trio.current_time()
 
     async def __call__(self, process: Process) -> None:
-        process.life.watches.append(self._changed)
-        await process.accepts.wait()  # until then another process of its name answers there
+        process.life.watches.append(self._on_life_change)
+        await process.accepts.wait()  # Until then, another process of the same name answers there.
         try:
             listener = open_private(self._path)
         except OSError as error:
@@ -39,12 +42,13 @@
             return self.answer(process, question)
 
         async with listener:
-            await answer_all(listener, answer)
+            await serve_answers(listener, answer)
 
-    def _changed(self, before: State, now: State) -> None:
-        self._since = trio.current_time()
+    def _on_life_change(self, before: State, now: State) -> None:
+        self._state_since = trio.current_time()
 
     def answer(self, process: Process, question: Answer) -> Answer:
+        """Returns the answer to one question; a drain or a reload that it asks for is carried out."""
         name, asked = process.relay.config.name, question.get("ask")
         match asked:
             case "status":
@@ -56,22 +60,25 @@
                 events.control_told(ask="drain", outcome="done")
                 return {"instance": name}
             case "reload":
-                done = process.reload()
-                events.control_told(ask="reload", outcome=done.refused or "done")
-                if done.refused is not None:
-                    return {"instance": name, "refused": done.refused, "file": done.file}
-                return {"instance": name, "waits": list(done.waits)}
+                result = process.reload()
+                events.control_told(ask="reload", outcome=result.refused or "done")
+                if result.refused is not None:
+                    return {"instance": name, "refused": result.refused, "file": result.file}
+                return {"instance": name, "waits": list(result.waits)}
         return {"refused": f"{asked!r} is none of status, counters, drain, reload"}
 
     def status(self, process: Process) -> Answer:
-        """Times in seconds. `list.age_s`: since discovery last said that the list holds; null: it has not."""
+        """Returns the answer to the question `status`, with times in seconds.
+
+        `list.age_s` is the time since discovery last confirmed the list; it is null before the first time.
+        """
         now, relay = trio.current_time(), process.relay
         heard_at, servers = process.discovery.heard_at, relay.destinations.servers()
         return {
             "instance": relay.config.name,
             "state": process.life.state.value,
-            "since_s": now - self._since,
-            "up_s": now - self._began_at,
+            "since_s": now - self._state_since,
+            "up_s": now - self._started_at,
             "list": {
                 "version": relay.destinations.version if relay.destinations.has_list else None,
                 "servers": len(servers),
--- a/glenfold/daemon/handshake.py
+++ b/glenfold/daemon/handshake.py
@@ -1,16 +1,19 @@
-"""How one process takes the listening sockets of another of the same name over, as states without I/O.
-
-    new (Taker)                              old (Giver)
-    asking      -- Hello ------------------> greeting
-    preparing   <- Offer, with the sockets - offered      goes on accepting
-    accepting   -- Ready ------------------> handing      has paused
-    confirming  <- Retired ----------------
-    owner       -- Taken ------------------> retired      finishes what it has taken
-
-A side that lives says Abort before it closes; an end without it means that the other has died. Up to Taken
-the old one can go on as if nothing had been, and does so if the new one dies, gives up or is late. Once
-Ready is said the old one alone decides, so the new one serves on meanwhile, however long that takes.
-Moments are in seconds, on one clock for each side; `due` is the moment at which `Due` is to come.
+"""The takeover of listening sockets between two processes of one name, as state machines without I/O.
+
+    new process (Successor)                    old process (Predecessor)
+    awaiting offer -- Hello ------------------> awaiting hello
+    preparing      <- Offer, with the sockets - offer sent       still accepts clients
+    accepting      -- Ready ------------------> paused           no longer accepts clients
+    confirming     <- Retired ----------------
+    owner          -- Taken ------------------> retired          finishes the requests that it has accepted
+
+A process sends Abort before it closes the connection; a connection that ends without Abort means that the
+other process died. Until Taken arrives, the old process can return to normal service, and does so if the new
+process dies, gives up or misses its deadline. After Ready is sent, only the old process decides, so the new
+one serves clients until the outcome is known, however long that takes.
+
+Times are in seconds on the clock of the process itself; `due` is the time at which `DeadlineReached` is the
+next input.
 """
 
 from dataclasses import dataclass
@@ -21,16 +24,18 @@
 import msgspec
 
 FORMAT = 1
-MOST_LISTENERS = 64
-GREET_S = 5.0  # from the connection to a whole Hello, and from Hello to the Offer
-CONFIRM_S = 5.0  # from Retired to Taken; the new one has nothing else to do
+MAX_LISTENERS = 64
+GREETING_TIMEOUT_S = 5.0  # Limits the time from connecting to Hello, and from Hello to Offer.
+# Limits the time from Retired to Taken; the new process has nothing else to do in between.
+CONFIRMATION_TIMEOUT_S = 5.0
 
 Text = Annotated[str, msgspec.Meta(max_length=255)]
-Addresses = Annotated[list[Text], msgspec.Meta(max_length=MOST_LISTENERS)]  # HOST:PORT
+# Each address has the form HOST:PORT.
+Addresses = Annotated[list[Text], msgspec.Meta(max_length=MAX_LISTENERS)]
 
 
 class Hello(msgspec.Struct, frozen=True, tag=True):
-    """`wants`: the addresses at which the new one is to listen."""
+    """Asks for a takeover. `wants` holds the addresses at which the new process is to listen."""
 
     format: int
     instance: Text
@@ -38,8 +43,12 @@
 
 
 class Offer(msgspec.Struct, frozen=True, tag=True):
-    """`listeners`: those of its addresses that are wanted, in the order of the sockets that come with it; the
-    lock of the name is behind them, if it has one. `others`: those that it will close."""
+    """Passes the listening sockets to the new process.
+
+    `listeners` holds the wanted addresses of the old process, in the order of the descriptors that come with
+    the message. If `lock` is true, the descriptor of the name's lock follows them. `others` holds the
+    addresses that the old process will close.
+    """
 
     listeners: Addresses
     others: Addresses
@@ -47,19 +56,19 @@
 
 
 class Ready(msgspec.Struct, frozen=True, tag=True):
-    """It accepts at all its addresses."""
+    """The new process accepts clients at all its addresses."""
 
 
 class Retired(msgspec.Struct, frozen=True, tag=True):
-    """It accepts no more at the addresses that it has passed on."""
+    """The old process no longer accepts clients at the addresses that it has passed on."""
 
 
 class Taken(msgspec.Struct, frozen=True, tag=True):
-    """From here on the old one does not come back."""
+    """The new process owns the name; the old process does not resume service after this message."""
 
 
 class Abort(msgspec.Struct, frozen=True, tag=True):
-    """Whoever says it closes."""
+    """The sender ends the takeover and closes the connection."""
 
     reason: Annotated[str, msgspec.Meta(max_length=1000)]
 
@@ -67,231 +76,246 @@
 Message = Hello | Offer | Ready | Retired | Taken | Abort
 
 
-# ---- what comes in, besides messages ----
+# ---- inputs other than messages ----
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
-    """The other side has closed or died."""
+class Disconnected:
+    """The other process closed the connection or died."""
 
 
 @dataclass(frozen=True, slots=True)
-class Unsaid:
-    """A message could not be written, or what came could not be read."""
+class ChannelFailed:
+    """A message could not be sent, or received data is not a valid message."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """The moment has come, and all that was said before it has been heard."""
+class DeadlineReached:
+    """The deadline `due` has passed, and all messages sent before it have been received."""
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
-    """This process is ready to serve."""
+class ProcessReady:
+    """This process is ready to serve clients."""
 
 
 @dataclass(frozen=True, slots=True)
-class Stopping:
-    """This process has been told to stop."""
+class ProcessStopping:
+    """This process was told to stop."""
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """The last message lies with the other side, which still listened."""
+class Delivered:
+    """The last message was delivered to the other side's socket while that still received."""
 
 
-Incident = Message | Gone | Unsaid | Due | Prepared | Stopping | Said
+Input = Message | Disconnected | ChannelFailed | DeadlineReached | ProcessReady | ProcessStopping | Delivered
 
 
-# ---- what is to be done ----
+# ---- effects ----
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """An Offer goes with its sockets."""
+class Send:
+    """Send this message; an Offer carries the descriptors of its sockets."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Accept no more; the sockets stay open."""
+    """Stop accepting clients; the sockets stay open."""
 
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Accept again."""
+    """Accept clients again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Retire:
-    """What was passed on is the other's now: close it here, finish what was taken, and end."""
+    """The new process owns the sockets: close them here, finish the accepted requests and exit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """This handshake is over; `reason`: why it came to nothing, or None."""
+    """Close the connection. `reason` says why the takeover failed, or is None."""
 
     reason: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """At all addresses."""
+    """Accept clients at all addresses."""
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
-    """The name is this process's, alone."""
+class BecomeOwner:
+    """This process is now the only one of its name."""
 
 
 @dataclass(frozen=True, slots=True)
-class Alone:
-    """The old one died before it passed anything on: start as if there had been none."""
+class StartAlone:
+    """The old process died before it passed anything on: start as if it had not existed."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The old one serves on: close what was passed on, finish what was taken, and end."""
+    """The old process continues to serve: close the passed sockets, finish accepted requests and exit."""
 
     reason: str
 
 
-Effect = Say | Pause | Resume | Retire | Close | Accept | Own | Alone | GiveUp
+Effect = Send | Pause | Resume | Retire | Close | Accept | BecomeOwner | StartAlone | GiveUp
+
 
+class PredecessorState(Enum):
+    """The state of the old process; the diagram of the module shows the order."""
 
-class Giving(Enum):
-    GREETING = auto()
-    OFFERED = auto()
-    HANDING = auto()
+    AWAITING_HELLO = auto()
+    OFFER_SENT = auto()
+    PAUSED = auto()
     RETIRED = auto()
-    OVER = auto()
+    FINISHED = auto()
 
 
 @dataclass(slots=True)
-class Giver:
-    """The old one's side of one connection. `until`: by when the new one has to be ready."""
+class Predecessor:
+    """The old process's side of one connection. `ready_by` is the new process's deadline to be ready."""
 
     instance: str
-    until: float
+    ready_by: float
     due: float
-    state: Giving = Giving.GREETING
+    state: PredecessorState = PredecessorState.AWAITING_HELLO
 
     @property
-    def chosen(self) -> bool:
-        """It is this connection's new one that takes over: no other may."""
-        return self.state in (Giving.OFFERED, Giving.HANDING, Giving.RETIRED)
+    def is_chosen(self) -> bool:
+        """Whether the new process of this connection takes over; no other process may then."""
+        return self.state in (PredecessorState.OFFER_SENT, PredecessorState.PAUSED, PredecessorState.RETIRED)
 
     @property
-    def over(self) -> bool:
-        return self.state in (Giving.RETIRED, Giving.OVER)
+    def finished(self) -> bool:
+        """Whether the handshake has ended on this side."""
+        return self.state in (PredecessorState.RETIRED, PredecessorState.FINISHED)
 
-    def greet(self, hello: Hello, offer: Offer, taken: bool) -> list[Effect]:
-        """`offer`: what there is for it; `taken`: another connection is chosen already."""
-        if self.state is not Giving.GREETING:
+    def on_hello(self, hello: Hello, offer: Offer, other_is_chosen: bool) -> list[Effect]:
+        """Handles a Hello and returns the effects.
+
+        `offer` is sent if the Hello is valid; `other_is_chosen` says that another process takes over already.
+        """
+        if self.state is not PredecessorState.AWAITING_HELLO:
             return self._end("it says hello twice")
         if hello.format != FORMAT:
             return self._end(f"format {hello.format} is not {FORMAT}")
         if hello.instance != self.instance:
             return self._end(f"this is {self.instance}, not {hello.instance}")
-        if taken:
+        if other_is_chosen:
             return self._end("another process is taking over")
-        self.state, self.due = Giving.OFFERED, self.until
-        return [Say(offer)]
+        self.state, self.due = PredecessorState.OFFER_SENT, self.ready_by
+        return [Send(offer)]
 
-    def on(self, incident: Incident, now: float) -> list[Effect]:
-        if self.over:
+    def on(self, received_input: Input, now: float) -> list[Effect]:
+        """Handles an input other than Hello and returns the effects."""
+        if self.finished:
             return []
-        match self.state, incident:
+        match self.state, received_input:
             case _, Abort(reason):
-                return self._end(reason, say=False)
-            case _, Unsaid(reason):
+                return self._end(reason, send_abort=False)
+            case _, ChannelFailed(reason):
                 return self._end(reason)
-            case _, Gone():
-                return self._end("it has gone", say=False)
-            case _, Due():
+            case _, Disconnected():
+                return self._end("it has gone", send_abort=False)
+            case _, DeadlineReached():
                 return self._end("it is late")
-            case Giving.OFFERED, Ready():
-                self.state, self.due = Giving.HANDING, now + CONFIRM_S
-                return [Pause(), Say(Retired())]
-            case Giving.HANDING, Taken():
-                self.state, self.due = Giving.RETIRED, inf
+            case PredecessorState.OFFER_SENT, Ready():
+                self.state, self.due = PredecessorState.PAUSED, now + CONFIRMATION_TIMEOUT_S
+                return [Pause(), Send(Retired())]
+            case PredecessorState.PAUSED, Taken():
+                self.state, self.due = PredecessorState.RETIRED, inf
                 return [Retire(), Close()]
-        return self._end(f"{type(incident).__name__} is out of turn")
+        return self._end(f"{type(received_input).__name__} is out of turn")
+
+    def _end(self, reason: str, send_abort: bool = True) -> list[Effect]:
+        """Ends the takeover; the old process continues to serve."""
+        paused = self.state is PredecessorState.PAUSED
+        self.state, self.due = PredecessorState.FINISHED, inf
+        messages: list[Effect] = [Send(Abort(reason))] if send_abort else []
+        return [*([Resume()] if paused else []), *messages, Close(reason)]
 
-    def _end(self, reason: str, say: bool = True) -> list[Effect]:
-        """It serves on."""
-        paused = self.state is Giving.HANDING
-        self.state, self.due = Giving.OVER, inf
-        said: list[Effect] = [Say(Abort(reason))] if say else []
-        return [*([Resume()] if paused else []), *said, Close(reason)]
 
+class SuccessorState(Enum):
+    """The state of the new process; the diagram of the module shows the order."""
 
-class Taking(Enum):
-    ASKING = auto()
+    AWAITING_OFFER = auto()
     PREPARING = auto()
     ACCEPTING = auto()
     CONFIRMING = auto()
     OWNER = auto()
-    OVER = auto()
+    FINISHED = auto()
 
 
 @dataclass(slots=True)
-class Taker:
-    """The new one's side. `until`: by when it has to be ready."""
+class Successor:
+    """The new process's side. `ready_by` is the deadline for this process to be ready."""
 
     hello: Hello
-    until: float
+    ready_by: float
     due: float
-    state: Taking = Taking.ASKING
+    state: SuccessorState = SuccessorState.AWAITING_OFFER
 
     @property
-    def over(self) -> bool:
-        return self.state in (Taking.OWNER, Taking.OVER)
+    def finished(self) -> bool:
+        """Whether the handshake has ended on this side."""
+        return self.state in (SuccessorState.OWNER, SuccessorState.FINISHED)
 
-    def begin(self) -> list[Effect]:
-        return [Say(self.hello)]
+    def start(self) -> list[Effect]:
+        """Returns the effects that open the takeover."""
+        return [Send(self.hello)]
 
-    def on(self, incident: Incident) -> list[Effect]:
-        if self.over:
+    def on(self, received_input: Input) -> list[Effect]:
+        """Handles an input and returns the effects."""
+        if self.finished:
             return []
-        match self.state, incident:
+        match self.state, received_input:
             case _, Abort(reason):
-                return self._give_up(reason, say=False)
-            case Taking.ASKING, Gone():
-                return self._end(Taking.OVER, Alone())
-            case _, Gone():
-                return self._end(Taking.OWNER, Accept(), Own())
-            case Taking.ACCEPTING | Taking.CONFIRMING, Unsaid() | Due():
-                return []  # the end of the old one, or its Abort, is still to be read
-            case Taking.ASKING, Offer():
-                self.state, self.due = Taking.PREPARING, self.until
+                return self._give_up(reason, send_abort=False)
+            case SuccessorState.AWAITING_OFFER, Disconnected():
+                return self._end(SuccessorState.FINISHED, StartAlone())
+            case _, Disconnected():
+                return self._end(SuccessorState.OWNER, Accept(), BecomeOwner())
+            case SuccessorState.ACCEPTING | SuccessorState.CONFIRMING, ChannelFailed() | DeadlineReached():
+                return []  # The old process's Abort, or the end of the connection, is still to be received.
+            case SuccessorState.AWAITING_OFFER, Offer():
+                self.state, self.due = SuccessorState.PREPARING, self.ready_by
                 return []
-            case Taking.PREPARING, Prepared():
-                self.state, self.due = Taking.ACCEPTING, inf
-                return [Accept(), Say(Ready())]
-            case Taking.ACCEPTING, Retired():
-                self.state = Taking.CONFIRMING
-                return [Say(Taken())]
-            case Taking.CONFIRMING, Said():
-                return self._end(Taking.OWNER, Own())
-            case _, Said() | Prepared():  # it was ready before, and has read its configuration again
+            case SuccessorState.PREPARING, ProcessReady():
+                self.state, self.due = SuccessorState.ACCEPTING, inf
+                return [Accept(), Send(Ready())]
+            case SuccessorState.ACCEPTING, Retired():
+                self.state = SuccessorState.CONFIRMING
+                return [Send(Taken())]
+            case SuccessorState.CONFIRMING, Delivered():
+                return self._end(SuccessorState.OWNER, BecomeOwner())
+            case _, Delivered() | ProcessReady():
+                # The process was ready before and has only reloaded its configuration.
                 return []
-            case _, Unsaid(reason):
+            case _, ChannelFailed(reason):
                 return self._give_up(reason)
-            case _, Due():
-                return self._give_up("not ready in time" if self.state is Taking.PREPARING else "no answer")
-            case _, Stopping():
+            case _, DeadlineReached():
+                return self._give_up(
+                    "not ready in time" if self.state is SuccessorState.PREPARING else "no answer"
+                )
+            case _, ProcessStopping():
                 return self._give_up("told to stop")
-        return self._give_up(f"{type(incident).__name__} is out of turn")
+        return self._give_up(f"{type(received_input).__name__} is out of turn")
 
-    def _end(self, state: Taking, *effects: Effect) -> list[Effect]:
+    def _end(self, state: SuccessorState, *effects: Effect) -> list[Effect]:
         self.state, self.due = state, inf
         return [*effects, Close()]
 
-    def _give_up(self, reason: str, say: bool = True) -> list[Effect]:
-        self.state, self.due = Taking.OVER, inf
-        said: list[Effect] = [Say(Abort(reason))] if say else []
-        return [*said, GiveUp(reason), Close(reason)]
+    def _give_up(self, reason: str, send_abort: bool = True) -> list[Effect]:
+        self.state, self.due = SuccessorState.FINISHED, inf
+        messages: list[Effect] = [Send(Abort(reason))] if send_abort else []
+        return [*messages, GiveUp(reason), Close(reason)]
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -1,5 +1,4 @@
-"""Where listening sockets come from, other than from the configuration alone: from the environment of
-whoever started this process (LISTEN_FDS), and sorted by what the configuration asks for."""
+"""Listening sockets from the service manager (LISTEN_FDS) or an old process, matched to the configuration."""
 
 import os
 import socket
@@ -11,21 +10,25 @@
 from glenfold.config.platform import Address, written
 from glenfold.net.inbound import LISTEN_BACKLOG
 
-FIRST_PASSED = 3  # behind the three standard streams
-MOST_PASSED = 64
-NAMES = ("LISTEN_FDS", "LISTEN_PID", "LISTEN_FDNAMES")
+FIRST_PASSED_DESCRIPTOR = 3  # The descriptors 0 to 2 are the standard streams.
+MAX_PASSED_SOCKETS = 64
+VARIABLES = ("LISTEN_FDS", "LISTEN_PID", "LISTEN_FDNAMES")
 
 
 class BadListener(Exception):
-    """What was passed on is not what it should be; or an address can't be had. Names the one at fault."""
+    """Raised when a passed descriptor is not a usable listener, or an address can't be listened at.
 
+    The text names the descriptor or the address.
+    """
 
-def where(listeners: Iterable[socket.socket]) -> list[str]:
+
+def addresses_of(listeners: Iterable[socket.socket]) -> list[str]:
+    """Returns the addresses of the sockets as HOST:PORT."""
     return [written(sock.getsockname()) for sock in listeners]
 
 
-async def resolved(addresses: Iterable[Address]) -> list[str]:
-    """As getsockname would tell them. Raises BadListener."""
+async def resolve(addresses: Iterable[Address]) -> list[str]:
+    """Returns the addresses as HOST:PORT with resolved hosts, as in getsockname. Raises BadListener."""
     found = []
     for host, port in addresses:
         try:
@@ -37,8 +40,11 @@
 
 
 def listen(address: str) -> socket.socket:
-    """It listens at once: only so is an address that another process listens at refused.
-    Raises BadListener."""
+    """Returns a socket that listens at the address.
+
+    Calls listen at once: with SO_REUSEADDR, only that fails if another process listens at the address.
+    Raises BadListener.
+    """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -52,8 +58,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sorted:
-    """kept: passed on and wanted; opened: wanted only, and listening now; closed: passed on only."""
+class Reconciled:
+    """Listeners matched to the wanted addresses.
+
+    `kept` were passed and are wanted, `opened` are wanted and were not passed, `closed` holds the addresses
+    that were passed and are not wanted.
+    """
 
     kept: list[socket.socket]
     opened: list[socket.socket]
@@ -61,17 +71,21 @@
 
     @property
     def all(self) -> list[socket.socket]:
+        """All sockets that listen now."""
         return [*self.kept, *self.opened]
 
 
-def sort_out(passed: Sequence[socket.socket], wants: Iterable[str]) -> Sorted:
-    """Closes what is not wanted, and listens where one is missing. After BadListener all are closed."""
-    left = {written(sock.getsockname()): sock for sock in reversed(passed)}
+def reconcile(passed: Sequence[socket.socket], wanted: Iterable[str]) -> Reconciled:
+    """Closes passed sockets that are not wanted, and opens the missing ones.
+
+    If it raises BadListener, all passed and opened sockets are closed.
+    """
+    unclaimed = {written(sock.getsockname()): sock for sock in reversed(passed)}
     kept, opened = [], []
     try:
-        for address in dict.fromkeys(wants):
-            if address in left:
-                kept.append(left.pop(address))
+        for address in dict.fromkeys(wanted):
+            if address in unclaimed:
+                kept.append(unclaimed.pop(address))
             else:
                 opened.append(listen(address))
     except BadListener:
@@ -81,24 +95,26 @@
     for sock in passed:
         if sock not in kept:
             sock.close()
-    return Sorted(kept, opened, sorted(left))
+    return Reconciled(kept, opened, sorted(unclaimed))
 
 
 def from_environment(environment: MutableMapping[str, str], own_id: int) -> list[socket.socket]:
-    """The sockets that the service manager has opened for this very process, none if it has not: what is
-    meant for a parent is left to it. The variables are taken away, as no child is to heed them. Raises
-    BadListener."""
-    count_text, pid_text, names_text = (environment.pop(name, "") for name in NAMES)
+    """Returns the sockets that the service manager opened for this process, whose id is `own_id`.
+
+    Returns none if LISTEN_PID names another process, such as the parent. Removes the variables, so that no
+    child process uses them. Raises BadListener.
+    """
+    count_text, pid_text, names_text = (environment.pop(name, "") for name in VARIABLES)
     if not count_text or pid_text != str(own_id):
         return []
-    if not count_text.isdecimal() or not 0 < int(count_text) <= MOST_PASSED:
-        raise BadListener(f"LISTEN_FDS={count_text!r} is not a number from 1 to {MOST_PASSED}")
+    if not count_text.isdecimal() or not 0 < int(count_text) <= MAX_PASSED_SOCKETS:
+        raise BadListener(f"LISTEN_FDS={count_text!r} is not a number from 1 to {MAX_PASSED_SOCKETS}")
     names = names_text.split(":") if names_text else []
     found: list[socket.socket] = []
     try:
-        for place in range(int(count_text)):
-            name = names[place] if place < len(names) else "unknown"
-            found.append(_checked(FIRST_PASSED + place, name))
+        for index in range(int(count_text)):
+            name = names[index] if index < len(names) else "unknown"
+            found.append(_checked(FIRST_PASSED_DESCRIPTOR + index, name))
     except BadListener:
         for sock in found:
             sock.close()
@@ -107,17 +123,17 @@
 
 
 def _checked(descriptor: int, name: str) -> socket.socket:
-    where = f"descriptor {descriptor} ({name})"
+    description = f"descriptor {descriptor} ({name})"
     try:
         os.set_inheritable(descriptor, False)
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
-        raise BadListener(f"{where}: {error.strerror or error}") from error
+        raise BadListener(f"{description}: {error.strerror or error}") from error
     try:
         check(sock)
     except BadListener as error:
         sock.close()
-        raise BadListener(f"{where} {error}") from None
+        raise BadListener(f"{description} {error}") from None
     return sock
 
 
--- a/glenfold/daemon/notify.py
+++ b/glenfold/daemon/notify.py
@@ -1,7 +1,7 @@
-"""What a service manager is told over NOTIFY_SOCKET, as sd_notify(3) has it.
+"""Notifications to the service manager over NOTIFY_SOCKET, in the protocol of sd_notify(3).
 
-A companion of the instance. Whatever becomes of the manager's socket costs the relay nothing: datagrams that
-can't be sent at once are dropped, which is logged once.
+The notifier is a background task of the instance. Failures of the manager's socket never delay the relay: a
+datagram that can't be sent at once is dropped, and the first failure is logged.
 """
 
 import os
@@ -15,18 +15,19 @@
 from glenfold.daemon.life import State
 from glenfold.daemon.process import Process
 
-NAMES = ("NOTIFY_SOCKET", "WATCHDOG_USEC", "WATCHDOG_PID")
+VARIABLES = ("NOTIFY_SOCKET", "WATCHDOG_USEC", "WATCHDOG_PID")
 SECOND_US = 1_000_000
 
 
 class Channel:
-    """Datagrams to the manager. `name`: a path, or `@` and an abstract name."""
+    """Sends datagrams to the manager. `name` is a path, or `@` followed by an abstract socket name."""
 
     def __init__(self, name: str) -> None:
         self._address = "\0" + name[1:] if name.startswith("@") else name
         self._failed = False
 
-    def say(self, *lines: str) -> None:
+    def send(self, *lines: str) -> None:
+        """Sends one datagram; a failure is logged once until a datagram is sent again."""
         try:
             if not self._address.startswith(("/", "\0")):
                 raise ValueError(f"{self._address!r} is neither a path nor an abstract name")
@@ -40,7 +41,10 @@
 
 
 class Notifier:
-    """Beside one Process. watchdog_s: how often the manager wants to hear that the event loop turns."""
+    """Notifies the manager of one Process's state.
+
+    `watchdog_s` is the interval within which the manager expects a sign that the event loop runs, or None.
+    """
 
     def __init__(
         self,
@@ -51,43 +55,46 @@
         self._channel = channel
         self._watchdog_s = watchdog_s
         self._now_us = now_us
-        self._said_ready = False
+        self._sent_ready = False
 
     async def __call__(self, process: Process) -> None:
-        process.life.watches.append(lambda before, now: self._changed(process, now))
+        process.life.watches.append(lambda before, now: self._on_life_change(process, now))
         async with trio.open_nursery() as nursery:
             if self._watchdog_s is not None:
-                nursery.start_soon(self._watch, self._watchdog_s / 2)
-            # Until then another process of its name serves, and goes on if this one fails.
+                nursery.start_soon(self._feed_watchdog, self._watchdog_s / 2)
+            # Until then another process of the same name serves, and continues to if this one fails.
             await process.accepts.wait()
-            self._changed(process, process.life.state)
+            self._on_life_change(process, process.life.state)
 
-    async def _watch(self, every_s: float) -> None:
-        """From the loop itself: one that hangs says nothing. A turn that comes late is not made up for."""
+    async def _feed_watchdog(self, every_s: float) -> None:
+        """Sends from the event loop, so a loop that hangs sends nothing; missed signs are not made up for."""
         while True:
-            self._channel.say("WATCHDOG=1")
+            self._channel.send("WATCHDOG=1")
             await trio.sleep_until(trio.current_time() + every_s)
 
-    def _changed(self, process: Process, now: State) -> None:
-        if not process.accepts.is_set() or process.handed_on:  # the manager follows another process
+    def _on_life_change(self, process: Process, now: State) -> None:
+        if not process.accepts.is_set() or process.handed_over:  # The manager follows another process.
             return
         relay = process.relay
         status = f"STATUS={now.value}: {len(relay.standing)} standing, {relay.unanswered} unanswered"
         match now:
             case State.READY:
-                self._said_ready = True
-                self._channel.say("READY=1", f"MAINPID={os.getpid()}", status)
-            case State.RELOADING if self._said_ready:
-                self._channel.say("RELOADING=1", f"MONOTONIC_USEC={self._now_us()}", status)
+                self._sent_ready = True
+                self._channel.send("READY=1", f"MAINPID={os.getpid()}", status)
+            case State.RELOADING if self._sent_ready:
+                self._channel.send("RELOADING=1", f"MONOTONIC_USEC={self._now_us()}", status)
             case State.DRAINING:
-                self._channel.say("STOPPING=1", status)
+                self._channel.send("STOPPING=1", status)
             case _:
-                self._channel.say(status)
+                self._channel.send(status)
 
 
 def from_environment(environment: MutableMapping[str, str], own_id: int) -> Notifier | None:
-    """None if nobody wants to be told. The variables are taken away, as no child is to heed them."""
-    name, watchdog, watched = (environment.pop(key, "") for key in NAMES)
+    """Returns the notifier for the process `own_id`, or None if NOTIFY_SOCKET is not set.
+
+    Removes the variables, so that no child process uses them.
+    """
+    name, watchdog, watched = (environment.pop(key, "") for key in VARIABLES)
     if not name:
         return None
     meant = not watched or watched == str(own_id)
--- a/glenfold/daemon/private_socket.py
+++ b/glenfold/daemon/private_socket.py
@@ -8,7 +8,7 @@
 
 import trio
 
-CREDENTIALS = struct.Struct("3i")  # of SO_PEERCRED: process id, user, group
+CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED returns the process id, user id and group id.
 OWNER_ONLY = 0o600
 
 
@@ -21,6 +21,7 @@
 
     @property
     def is_own_user(self) -> bool:
+        """Whether the peer runs as the same user as this process."""
         return self.user == os.getuid()
 
 
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -1,7 +1,7 @@
-"""One instance: its parts wired together, from its start to its end.
+"""One instance: wires its parts together and runs them from its start to its end.
 
-What other installations add to the platform's relay (a control socket, readiness, snapshots, a listener that
-was passed on) comes in as companions and as listeners that are open already; nothing here imports them.
+Features that other installations add to the platform's relay (a control socket, notifications, snapshots,
+passed listeners) are given as background tasks and open listeners; this module imports none of them.
 """
 
 import gc
@@ -20,7 +20,7 @@
 from glenfold.config.platform import Config, ConfigError, written
 from glenfold.counters import Counters
 from glenfold.daemon.life import Life, State
-from glenfold.daemon.readiness import STEP_S, Readiness
+from glenfold.daemon.readiness import CHECK_INTERVAL_S, Readiness
 from glenfold.daemon.warming import warm_up
 from glenfold.decisions import Decisions
 from glenfold.destinations import BadList, DestinationSet
@@ -29,38 +29,43 @@
 from glenfold.net.passing import StandingConnection
 from glenfold.net.sockets import SocketType, has_queued_client
 from glenfold.shutdown import ANSWER_POLL_S, MIN_ANSWER_TURNS, ShutdownSchedule, move_order
-from linnetspread import interface as i
+from linnetspread import interface
 
 if TYPE_CHECKING:
     from glenfold.rules.group_parts import GroupParts
 
-CALLS_PER_S = 10.0  # that all relays together may ask of one discovery, where each call costs it time
-LOOK_S = 0.1  # between two looks at how many connections stand, before their clients move
+# All relays together make at most this many calls to one discovery service, as each call costs it time.
+CALLS_PER_S = 10.0
+# Before clients are told to move, the standing connections are counted at this interval.
+STANDING_CHECK_INTERVAL_S = 0.1
 
 
 class ListSource(Protocol):
-    """Where the list comes from in place of discovery's agent."""
+    """A source of the server list other than discovery's agent."""
 
     @property
     def heard_at(self) -> float:
-        """When the source last said that what is known holds, on trio's clock."""
+        """The time on trio's clock at which the source last confirmed the list known."""
 
     async def follow(self) -> None:
-        """Until it is cancelled."""
+        """Follows the list until it is cancelled."""
 
     def reload(self, config: Config) -> None:
-        """The configuration from now on."""
+        """Uses this configuration from now on."""
 
 
 MakeListSource = Callable[[Config, Decisions, DestinationSet, Counters], ListSource]
-ReadAgain = Callable[[Config], tuple[Config, list[str]]]
-Companion = Callable[["Process"], Awaitable[None]]
+RereadConfig = Callable[[Config], tuple[Config, list[str]]]
+BackgroundTask = Callable[["Process"], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
-class Reloaded:
-    """`refused`: why nothing was taken over; `file`: because the file is at fault. `waits`: keys that have
-    changed and need a restart."""
+class ReloadResult:
+    """The result of a reload.
+
+    `refused` is the reason if nothing was applied; `file` is true if the reason is a faulty file. `waits`
+    holds changed keys that need a restart.
+    """
 
     refused: str | None = None
     file: bool = False
@@ -68,23 +73,27 @@
 
 
 class Process:
-    """`read_again`: what the configuration says now, and the keys that wait for a restart; raises
-    ConfigError. `listeners`: sockets that listen already; without them it listens at `config.listen`.
-    `held`: it accepts nobody until `accept` is called, as another process still does.
-    `companions` run beside it until it has finished, and are cancelled then. `deadline_s`: from being told
-    to stop until it may be killed, where that is not what the platform promises. `make_list_source`: of
-    where the list comes from, if not from the agent at `config.discovery`.
+    """One instance of the relay.
+
+    `read_again` returns the current configuration and the changed keys that need a restart, or raises
+    ConfigError. `listeners` are sockets that listen already; if there are none, the instance listens at
+    `config.listen`. With `start_paused`, it accepts no clients until `accept` is called, as another process
+    still does. `background_tasks` run until the instance has finished, and are cancelled then. `deadline_s`
+    is the time from the request to stop until the process may be killed, if it differs from the platform's.
+    `make_list_source` creates the source of the server list, if that is not the agent at `config.discovery`.
 
-    `accepts` is set once it takes clients. `handed_on`: another process serves under its name by now."""
+    `accepts` is set once the instance accepts clients. `handed_over` is true once another process serves
+    under its name.
+    """
 
     def __init__(
         self,
         config: Config,
-        read_again: ReadAgain,
+        read_again: RereadConfig,
         *,
         listeners: Sequence[socket.socket] = (),
-        held: bool = False,
-        companions: Sequence[Companion] = (),
+        start_paused: bool = False,
+        background_tasks: Sequence[BackgroundTask] = (),
         deadline_s: float | None = None,
         make_list_source: MakeListSource | None = None,
     ) -> None:
@@ -112,51 +121,53 @@
         self.listeners: list[SocketType] = [trio.socket.from_stdlib_socket(s) for s in listeners]
         self._accepting: dict[SocketType, trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
-        self._held = held
+        self._start_paused = start_paused
         self.accepts = trio.Event()
-        self.handed_on = False
+        self.handed_over = False
         self._deadline_s = deadline_s
         self._read_again = read_again
-        self._companions = companions
-        self._told_to_stop = trio.Event()
-        self._signalled_at: float | None = None  # by the monotonic clock
+        self._background_tasks = background_tasks
+        self._stop_requested = trio.Event()
+        self._signalled_at: float | None = None  # The time of the first stop signal on the monotonic clock.
         self.life.watches.append(
             lambda before, now: events.life_changed(before=before.value, state=now.value)
         )
 
     async def run(self) -> None:
-        """Until it was told to stop and has finished all that it has taken."""
+        """Runs until the instance is told to stop and has finished all accepted requests."""
         config = self.relay.config
-        await self._take_known()
+        await self._load_known_list()
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self.relay.decisions.run)
             nursery.start_soon(self.discovery.follow)
             if not self.listeners:
                 self.listeners.append(await _listen(config.listen))
-            if not self._held:
+            if not self._start_paused:
                 self.accept()
             self.life.to(State.WAITING)
             nursery.start_soon(self._become_ready)
-            for companion in self._companions:
-                nursery.start_soon(companion, self)
-            await self._told_to_stop.wait()
-            leaving = ShutdownSchedule(self._told_at(), self.relay.config.settings, self._deadline_s)
+            for task in self._background_tasks:
+                nursery.start_soon(task, self)
+            await self._stop_requested.wait()
+            leaving = ShutdownSchedule(
+                self._stop_requested_time(), self.relay.config.settings, self._deadline_s
+            )
             self.relay.limit_answers(leaving.answers_end)
             self.life.to(State.DRAINING)
             if self._accepting:
-                await last_arrivals(leaving, self.inbound)
+                await wait_for_last_arrivals(leaving, self.inbound)
                 await self._empty_queues(leaving.moves_end)
             self.release(self.listeners)
             self.life.to(State.FINISHING)
-            gc.freeze()  # looking through all that stands would hold up the moves time and again
-            await finish_taken(leaving, self.relay)
+            gc.freeze()  # Collections that scan all connections would delay the moves.
+            await finish_requests(leaving, self.relay)
             self.life.to(State.STOPPED)
             nursery.cancel_scope.cancel()
         events.relay_exit(counters=self.relay.counters.plain())
 
-    async def _take_known(self) -> None:
-        """Before the first client: a relay that died starts again from the list it last had."""
+    async def _load_known_list(self) -> None:
+        """Loads the last known list before the first client, so that a relay that died restarts with it."""
         relay = self.relay
         if relay.config.known:
             try:
@@ -165,9 +176,9 @@
                 events.list_known_refused(error=error)
 
     def accept(self) -> None:
-        """At all its listeners, from now on; where it does already, nothing changes."""
+        """Accepts clients at all listeners; does nothing at those where it already does."""
         assert self._nursery is not None
-        self._held = False
+        self._start_paused = False
         self.accepts.set()
         for listener in self.listeners:
             if listener not in self._accepting:
@@ -176,83 +187,96 @@
                 events.relay_listens(name=self.relay.config.name, address=written(listener.getsockname()))
 
     def pause(self, listeners: Iterable[SocketType]) -> None:
-        """Accepts no more there. The sockets stay open, and with them the kernel's queue of clients."""
+        """Stops accepting at these listeners. The sockets and the kernel's queue of clients stay open."""
         for listener in listeners:
             if (scope := self._accepting.pop(listener, None)) is not None:
                 scope.cancel()
 
     def release(self, listeners: Iterable[SocketType]) -> None:
-        """Closes its own descriptors, and no more: where another process has one of the same socket, that
-        goes on listening, with all who are queued there."""
+        """Closes this process's descriptors of the listeners.
+
+        A socket that another process also has open continues to listen, with all clients in its queue.
+        """
         for listener in list(listeners):
             self.pause([listener])
             self.listeners.remove(listener)
             listener.close()
 
     async def _empty_queues(self, until: float) -> None:
-        """Closing resets who is queued, as some are when a loop that lags sees that arrivals are over. Not
-        where it accepts no more, as another process does now; in a flood, no more than a queue holds."""
-        most = self.relay.counters.accepted + LISTEN_BACKLOG
+        """Accepts the clients in the kernel's queues, until `until` at the latest.
+
+        Closing a socket resets its queued clients, and an event loop that lags may leave some in the queue
+        when it sees the end of arrivals. Paused listeners are skipped, as another process accepts there. In a
+        flood of clients, it accepts no more than one queue holds.
+        """
+        max_accepted = self.relay.counters.accepted + LISTEN_BACKLOG
         while (
             any(map(has_queued_client, self._accepting))
-            and self.relay.counters.accepted < most
+            and self.relay.counters.accepted < max_accepted
             and trio.current_time() < until
         ):
             await trio.lowlevel.checkpoint()
 
     async def _become_ready(self) -> None:
-        """Clients that come before are served as well as it goes; only PING waits."""
+        """Waits for a list and for readiness. Clients are served meanwhile if possible; only PING waits."""
         relay = self.relay
-        gc.freeze()  # what stands now stays to the end: no collection looks at it again
+        gc.freeze()  # Objects of the start live until the end, so no collection needs to scan them.
         gc.enable()
         while not relay.destinations.has_list:
-            await trio.sleep_until(trio.current_time() + STEP_S)
+            await trio.sleep_until(trio.current_time() + CHECK_INTERVAL_S)
         warm_up(relay.config, relay.destinations.servers(), relay.clock.now_us())
         readiness = Readiness(trio.current_time(), time.process_time(), relay.config.cores)
-        while not readiness.look(trio.current_time(), time.process_time()):
-            await trio.sleep_until(readiness.next_look)
+        while not readiness.check(trio.current_time(), time.process_time()):
+            await trio.sleep_until(readiness.next_check)
         if not self.life.ending:
             relay.ready.set()
             self.life.to(State.READY)
 
     async def _accept(self, scope: trio.CancelScope, listener: SocketType, nursery: trio.Nursery) -> None:
-        # one that it has just accepted, when it is paused, is known a turn later
+        # A client accepted just before a pause is counted one turn later.
         self.relay.awaiting_first_line += 1
         with scope:
             try:
                 await self.inbound.serve(listener, nursery)
             except (OSError, trio.ClosedResourceError):
-                if not scope.cancel_called:  # closed just as a client arrived
+                if not scope.cancel_called:  # The listener was closed while a client arrived.
                     raise
             finally:
                 self.relay.awaiting_first_line -= 1
 
-    def note_moment(self, *numbers: int) -> None:
-        """Of these signals, which trio receives already: a loop with many lines to pass comes to heed one
-        up to a second later, but the kill comes by the signal's own moment."""
+    def record_signal_times(self, *numbers: int) -> None:
+        """Records the arrival time of these signals, which trio receives already.
+
+        An event loop with many lines to pass may handle a signal up to a second late, but the deadline for
+        the kill counts from the signal's arrival.
+        """
         for number in numbers:
-            signal.signal(number, self._noting(signal.getsignal(number)))
+            signal.signal(number, self._recording_handler(signal.getsignal(number)))
 
-    def _noting(self, before: Any) -> Callable[[int, Any], None]:
-        def note(number: int, frame: Any) -> None:
+    def _recording_handler(self, before: Any) -> Callable[[int, Any], None]:
+        def record(number: int, frame: Any) -> None:
             if self._signalled_at is None:
                 self._signalled_at = time.monotonic()
             before(number, frame)
 
-        return note
+        return record
 
-    def _told_at(self) -> float:
+    def _stop_requested_time(self) -> float:
         ago_s = 0.0 if self._signalled_at is None else time.monotonic() - self._signalled_at
         return trio.current_time() - ago_s
 
     def stop(self) -> None:
-        self._told_to_stop.set()
+        """Tells the instance to stop; `run` drains it and returns."""
+        self._stop_requested.set()
+
+    def reload(self) -> ReloadResult:
+        """Reads the configuration again and applies it.
 
-    def reload(self) -> Reloaded:
-        """A faulty file changes nothing: the relay goes on as it was told before."""
+        A faulty file changes nothing: the relay keeps its previous configuration.
+        """
         relay, before = self.relay, self.life.state
         if self.life.ending:
-            return Reloaded("it is ending")
+            return ReloadResult("it is ending")
         if before is not State.STARTING:
             self.life.to(State.RELOADING)
         try:
@@ -260,7 +284,7 @@
         except ConfigError as error:
             relay.counters.reloads_refused += 1
             events.config_refused(error=error)
-            return Reloaded(str(error), file=True)
+            return ReloadResult(str(error), file=True)
         finally:
             self.life.to(before)
         relay.counters.reloads += 1
@@ -272,19 +296,23 @@
         events.config_reloaded(discovery=written(config.discovery))
         if waiting:
             events.config_waits(keys=waiting)
-        return Reloaded(waits=tuple(waiting))
+        return ReloadResult(waits=tuple(waiting))
 
 
 def group_parts() -> "GroupParts":
-    """Loaded here, as most relays place every group as one."""
+    """Returns new GroupParts; imported only here, as most relays place each group as one."""
     from glenfold.rules.group_parts import GroupParts
 
     return GroupParts()
 
 
-def calls_spread_s(settings: i.Settings) -> float:
-    """Where the list must be asked for, one service answers all relays in turn: those who wait too long there
-    have asked in vain, yet cost it as much, so a fleet that asks at once may be told nothing for good."""
+def calls_spread_s(settings: interface.Settings) -> float:
+    """Returns the time in seconds over which the relays spread their calls for the list, or 0.
+
+    Where relays have to ask for the list, one service answers all of them in turn. A call that times out
+    there costs the service as much as an answered one, so a fleet whose relays all ask at once may never get
+    a list.
+    """
     return settings.gateways / CALLS_PER_S if settings.ask_for_list else 0.0
 
 
@@ -296,111 +324,122 @@
     return listener
 
 
-async def last_arrivals(leaving: ShutdownSchedule, inbound: Inbound) -> None:
+async def wait_for_last_arrivals(leaving: ShutdownSchedule, inbound: Inbound) -> None:
+    """Waits until no more clients are expected to arrive."""
     while trio.current_time() < (until := leaving.arrivals_end_at(inbound.last_arrival)):
         await trio.sleep_until(until)
         leaving.record_lateness(trio.current_time(), until)
 
 
-async def finish_taken(leaving: ShutdownSchedule, relay: Relay) -> None:
-    """Every request taken gets its answer, and every standing connection's client is told to move in time."""
+async def finish_requests(leaving: ShutdownSchedule, relay: Relay) -> None:
+    """Answers every accepted request, and tells each standing connection's client to move in time."""
     with trio.move_on_at(leaving.exit_at):
-        await _until_moves(leaving, relay)
+        await _wait_until_moves(leaving, relay)
         async with trio.open_nursery() as nursery:
             await _move_all(leaving, relay, nursery)
-    _end_all(relay)
+    _end_standing(relay)
     turns = 0
-    # Their time is up, and a turn or two of the loop shows it. One may have come up just now.
+    # The remaining requests have expired, which they handle within a loop turn or two. A connection may also
+    # have come up just now.
     while relay.unanswered and (turns < MIN_ANSWER_TURNS or trio.current_time() < leaving.last_answers_at):
         await trio.sleep_until(min(trio.current_time() + ANSWER_POLL_S, leaving.last_answers_at))
         turns += 1
-        _end_all(relay)
+        _end_standing(relay)
 
 
-def _end_all(relay: Relay) -> None:
-    cut = [passage for passage in list(relay.standing) if not _tell(passage, relay, late=True)]
-    for passage in cut:
+def _end_standing(relay: Relay) -> None:
+    unsent = [passage for passage in list(relay.standing) if not _send_move(passage, relay, late=True)]
+    for passage in unsent:
         passage.cut()
         del relay.standing[passage]
-    if cut:
-        events.leave_cut(connections=len(cut))
+    if unsent:
+        events.leave_cut(connections=len(unsent))
 
 
-def _tell(passage: StandingConnection, relay: Relay, late: bool) -> bool:
-    told = passage.move_now()
-    if told:
+def _send_move(passage: StandingConnection, relay: Relay, late: bool) -> bool:
+    is_sent = passage.move_now()
+    if is_sent:
         del relay.standing[passage]
-    if told and late:
+    if is_sent and late:
         relay.counters.moved_late += passage.moved
         passage.send_fin_to_both()
-    return told
+    return is_sent
 
 
-async def _until_moves(leaving: ShutdownSchedule, relay: Relay) -> None:
-    began, worked_s = trio.current_time(), time.process_time()
+async def _wait_until_moves(leaving: ShutdownSchedule, relay: Relay) -> None:
+    started_at, cpu_before_s = trio.current_time(), time.process_time()
     while relay.has_pending_clients and (
         (now := trio.current_time()) < (begin := leaving.moves_start_at(len(relay.standing)))
     ):
-        await trio.sleep_until(look := min(begin, now + LOOK_S))
-        leaving.record_lateness(trio.current_time(), look)
-        leaving.set_passing_share((time.process_time() - worked_s) / (trio.current_time() - began))
+        await trio.sleep_until(check_at := min(begin, now + STANDING_CHECK_INTERVAL_S))
+        leaving.record_lateness(trio.current_time(), check_at)
+        leaving.set_passing_share((time.process_time() - cpu_before_s) / (trio.current_time() - started_at))
 
 
 async def _move_all(leaving: ShutdownSchedule, relay: Relay, nursery: trio.Nursery) -> None:
-    """A connection counts as standing until its client has been told to move, or is gone."""
-    asked: set[StandingConnection] = set()  # they have only part of a line
+    """Tells all clients to move.
+
+    A connection counts as standing until its client has been told to move, or has disconnected.
+    """
+    awaiting_line_end: set[StandingConnection] = set()  # Connections in the middle of a line.
     queue: deque[StandingConnection] = deque()
     while relay.has_pending_clients:
         while queue and queue[0] not in relay.standing:
             queue.popleft()
-        left = len(relay.standing) - len(asked & relay.standing.keys())
+        remaining = len(relay.standing) - len(awaiting_line_end & relay.standing.keys())
         short_before = leaving.is_short_of_time
-        step = leaving.step(trio.current_time(), time.process_time(), left)
+        step = leaving.step(trio.current_time(), time.process_time(), remaining)
         if leaving.is_short_of_time and not short_before:
-            events.leave_short(late=step.late, connections=left, per_s=round(leaving.moves_per_s))
-            queue.clear()  # to be put in another order
+            events.leave_short(late=step.late, connections=remaining, per_s=round(leaving.moves_per_s))
+            queue.clear()  # The queue is rebuilt in another order.
         if len(queue) < step.moves:
             queue = deque(
-                one for one in move_order(relay.standing, leaving.is_short_of_time) if one not in asked
+                passage
+                for passage in move_order(relay.standing, leaving.is_short_of_time)
+                if passage not in awaiting_line_end
             )
         for _ in range(min(step.moves, len(queue))):
             passage = queue.popleft()
             if passage not in relay.standing:
                 continue
-            if not _tell(passage, relay, step.sweep):
-                asked.add(passage)
+            if not _send_move(passage, relay, step.sweep):
+                awaiting_line_end.add(passage)
                 nursery.start_soon(_move, passage, relay, leaving.exit_at)
         await trio.sleep_until(step.next_at)
 
 
 async def _move(passage: StandingConnection, relay: Relay, until: float) -> None:
-    """Not given up sooner: a turn of the loop may take as long as a move usually may."""
+    """Moves one client until `until`, without the usual time limit, as a loop turn may take that long."""
     await passage.move(until)
     if passage.moved:
         relay.standing.pop(passage, None)
 
 
 async def run_by_signals(process: Process) -> None:
-    """Until it has finished; SIGTERM and SIGINT tell it to stop, SIGHUP to read its configuration again."""
+    """Runs the process until it has finished.
+
+    SIGTERM and SIGINT stop it, SIGHUP reloads its configuration, SIGUSR1 logs its counters.
+    """
     by_signal: dict[int, Callable[[], object]] = {
         signal.SIGHUP: process.reload,
         signal.SIGUSR1: lambda: events.relay_counters(counters=process.relay.counters.plain()),
         signal.SIGTERM: process.stop,
         signal.SIGINT: process.stop,
     }
-    # What trio goes back to: by their default any of them would end a relay that has stopped listening to it.
-    # Blocking does not keep them off: another thread would take them.
+    # Trio restores these handlers when it stops receiving the signals: the default action of each would kill
+    # the relay. Blocking the signals is not enough, as another thread would receive them.
     early: list[int] = []
     for number in by_signal:
         signal.signal(number, lambda number, frame: early.append(number))
     try:
         with trio.open_signal_receiver(*by_signal) as signals:
-            process.note_moment(signal.SIGTERM, signal.SIGINT)
-            signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)  # those that came during the start come now
+            process.record_signal_times(signal.SIGTERM, signal.SIGINT)
+            # Signals that arrived during the start are delivered now.
+            signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)
             for number in early:
                 by_signal[number]()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(heed, signals, by_signal)
+                nursery.start_soon(dispatch_signals, signals, by_signal)
                 await process.run()
                 nursery.cancel_scope.cancel()
     finally:
@@ -408,7 +447,9 @@
             signal.signal(number, signal.SIG_IGN)
 
 
-async def heed(signals: AsyncIterator[int], by_signal: Mapping[int, Callable[[], object]]) -> None:
-    """Calls what belongs to each signal, for as long as it is not cancelled."""
+async def dispatch_signals(
+    signals: AsyncIterator[int], by_signal: Mapping[int, Callable[[], object]]
+) -> None:
+    """Calls the handler of each received signal until it is cancelled."""
     async for number in signals:
         by_signal[number]()
--- a/glenfold/daemon/replica.py
+++ b/glenfold/daemon/replica.py
@@ -1,4 +1,4 @@
-"""One control replica, from `glenfold replica` to its end: server, follower of its parents, signals."""
+"""One control replica, as `glenfold replica` runs it: a server, a follower of its parents, and signals."""
 
 import random
 import resource
@@ -16,7 +16,7 @@
 from glenfold.config.tables import Faults
 from glenfold.config.terms import Logging
 from glenfold.daemon.listeners import BadListener, listen
-from glenfold.daemon.process import heed
+from glenfold.daemon.process import dispatch_signals
 from glenfold.events import config_refused, config_waits, run_refused
 from glenfold.replica import events
 from glenfold.replica.counters import ReplicaCounters
@@ -27,7 +27,7 @@
 from glenfold.rules.replication import ListDocument, Position
 from glenfold.rules.succession import Succession
 
-LOOK_S = 0.01  # between two looks at whether a parent is followed
+PARENT_CHECK_INTERVAL_S = 0.01  # The wait between two checks whether a parent is followed.
 
 
 class Exit(IntEnum):
@@ -35,57 +35,60 @@
 
     FINISHED = 0
     FAILED = 1
-    FILE = 2  # the file is at fault
-    NO_LISTENER = 4  # it can't listen where the file says
+    FILE = 2  # The file is faulty.
+    NO_LISTENER = 4  # The replica can't listen at the configured address.
 
 
 class ReplicaProcess:
-    """`terms`: of the file at `path`, which is read again on `reload`."""
+    """A replica with the settings `terms` of the file at `path`, which `reload` reads again."""
 
     def __init__(self, path: Path, terms: Terms) -> None:
         self._path = path
-        self._begun = self._terms = terms
+        self._initial_terms = self._terms = terms
         self._counters = ReplicaCounters()
         self._server = Server(terms.replica.name, terms.limits, self._counters, earlier=self._earlier_changes)
-        place = terms.replica
-        choice = ParentChoice(terms.followed, place.zone, place.region, random.Random())
-        self._follower = Follower(choice, Succession(), self._server, place.name)
-        self._told_to_stop = trio.Event()
+        replica_terms = terms.replica
+        choice = ParentChoice(terms.followed, replica_terms.zone, replica_terms.region, random.Random())
+        self._follower = Follower(choice, Succession(), self._server, replica_terms.name)
+        self._stop_requested = trio.Event()
 
     @property
     def counters(self) -> dict[str, int]:
+        """All counters of the server and the follower."""
         return self._counters.plain() | self._follower.counters()
 
     @property
     def children(self) -> int:
-        """That watch."""
+        """The number of children that watch this replica."""
         return self._server.children
 
     async def run(self, listener: socket.socket) -> None:
-        """Until it was told to stop and has ended its watches."""
+        """Runs until it is told to stop and has ended its children's watches."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._server.serve, trio.socket.from_stdlib_socket(listener))
             nursery.start_soon(self._follower.follow)
-            events.listens(name=self._begun.replica.name, address=written(listener.getsockname()))
-            await self._told_to_stop.wait()
-            await self._server.end_watches(self._begun.shutdown.spread_s)
+            events.listens(name=self._initial_terms.replica.name, address=written(listener.getsockname()))
+            await self._stop_requested.wait()
+            await self._server.end_watches(self._initial_terms.shutdown.spread_s)
             nursery.cancel_scope.cancel()
         events.exit_counters(counters=self.counters)
 
     async def _earlier_changes(self, since: int, upto: Position) -> Sequence[ListDocument]:
-        """Of the parent that the first list came from, once that is followed."""
+        """Asks the followed parent for earlier changes, once a parent is followed."""
         while (watch := self._follower.watch) is None:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(PARENT_CHECK_INTERVAL_S)
         return await earlier_changes(watch.parent, since, upto)
 
     def stop(self) -> None:
-        self._told_to_stop.set()
+        """Requests the end of `run`."""
+        self._stop_requested.set()
 
-    def tell_counters(self) -> None:
+    def log_counters(self) -> None:
+        """Logs the current counters."""
         events.counters(counters=self.counters)
 
     def reload(self) -> None:
-        """A faulty file changes nothing."""
+        """Reads the file again and applies it; a faulty file changes nothing."""
         try:
             terms = read(self._path)
         except Faults as error:
@@ -99,19 +102,20 @@
         self._terms = terms
         logs.set_options(log_terms(terms.logging))
         events.reloaded(parents=[parent.address for parent in terms.parents])
-        if keys := waiting(self._begun, terms):
+        if keys := waiting(self._initial_terms, terms):
             config_waits(keys=keys)
 
 
-def log_terms(told: Logging) -> logs.Options:
-    return logs.Options(told.form, told.level, told.levels, told.events_per_s, told.burst)
+def log_terms(logging: Logging) -> logs.Options:
+    """Returns the log settings of the table `logging`."""
+    return logs.Options(logging.form, logging.level, logging.levels, logging.events_per_s, logging.burst)
 
 
 def main(path: Path, terms: Terms) -> Exit:
-    """Runs the replica of a sound file to its end."""
+    """Runs the replica of a checked file until it stops, and returns the exit status."""
     logs.begin(log_terms(terms.logging), terms.replica.name)
     try:
-        _allow_descriptors(descriptors(terms.limits))
+        _raise_descriptor_limit(descriptors(terms.limits))
         listener = listen(written(terms.listen))
         listener.listen(terms.limits.idle_connections)
         trio.run(_run_by_signals, ReplicaProcess(path, terms), listener)
@@ -126,24 +130,25 @@
         logs.finish()
 
 
-def _allow_descriptors(count: int) -> None:
-    """Within what the user may have, which the check of the file has looked at."""
+def _raise_descriptor_limit(count: int) -> None:
+    """Raises the soft limit of descriptors; checking the file has compared `count` with the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if resource.RLIM_INFINITY != soft < count:
         resource.setrlimit(resource.RLIMIT_NOFILE, (count, hard))
 
 
 async def _run_by_signals(process: ReplicaProcess, listener: socket.socket) -> None:
-    """SIGTERM and SIGINT tell it to stop, SIGHUP to read its file again, SIGUSR1 to log its counters."""
+    """Runs the replica: SIGTERM and SIGINT stop it, SIGHUP reloads its file, SIGUSR1 logs its counters."""
     by_signal: dict[int, Callable[[], object]] = {
         signal.SIGHUP: process.reload,
-        signal.SIGUSR1: process.tell_counters,
+        signal.SIGUSR1: process.log_counters,
         signal.SIGTERM: process.stop,
         signal.SIGINT: process.stop,
     }
     with trio.open_signal_receiver(*by_signal) as signals:
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)  # those that came during the start come now
+        # Signals that arrived during the start are delivered now.
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, by_signal)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(heed, signals, by_signal)
+            nursery.start_soon(dispatch_signals, signals, by_signal)
             await process.run(listener)
             nursery.cancel_scope.cancel()
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -1,6 +1,6 @@
-"""One instance of an operators' file, from `glenfold run` to its end, with what its file switches on.
+"""One instance of an operators' file, as `glenfold run` runs it, with the features that the file enables.
 
-Each part is imported only where it is on.
+The modules of optional features are imported only where the feature is enabled.
 """
 
 import os
@@ -16,30 +16,33 @@
 from glenfold.config.operators import Again, Operators
 from glenfold.config.places import Place
 from glenfold.daemon import listeners, lock, notify, takeover
-from glenfold.daemon.process import Companion, MakeListSource, Process, run_by_signals
+from glenfold.daemon.process import BackgroundTask, MakeListSource, Process, run_by_signals
 
 
 class Exit(IntEnum):
     """The exit status of `glenfold run`."""
 
-    FINISHED = 0  # it was told to stop, and has finished all that it had taken
+    FINISHED = 0  # The instance was told to stop and has finished all accepted requests.
     FAILED = 1
-    FILE = 2  # the file is at fault
-    RUNS = 3  # another instance of that name runs, and goes on
-    NO_LISTENER = 4  # it can't listen where the file says
+    FILE = 2  # The file is faulty.
+    RUNS = 3  # Another instance of that name runs and continues to.
+    NO_LISTENER = 4  # The instance can't listen at a configured address.
 
 
 @dataclass(frozen=True, slots=True)
-class Name:
-    """What makes an instance the only one of its name: the lock's descriptor, and the take-over by which it
-    came by it, if it did. None of both where there is no folder."""
+class NameOwnership:
+    """The ownership of an instance's name.
+
+    `lock` is the descriptor of the name's lock. `ongoing_takeover` is the takeover that obtains the name,
+    if there is one. Both are None if no folder is configured.
+    """
 
     lock: int | None = None
-    taken: takeover.TakeOver | None = None
+    ongoing_takeover: takeover.Takeover | None = None
 
 
 class Run:
-    """`number`: of an instance of a fleet; None without one."""
+    """One run of `glenfold run`. `number` is the instance's number in its fleet, or None without one."""
 
     def __init__(self, operators: Operators, number: int | None) -> None:
         self._operators = operators
@@ -48,13 +51,14 @@
         self._again = Again(operators, number)
 
     def main(self) -> Exit:
+        """Runs the instance until it stops and returns the exit status."""
         logs.begin(self._log_terms(), self._place.name)
         try:
             return trio.run(self._main)
         except ConfigError as error:
             events.config_refused(error=error)
             return Exit.FILE
-        except (lock.Held, takeover.Refused) as error:
+        except (lock.NameHeld, takeover.Refused) as error:
             events.run_refused(error=error)
             return Exit.RUNS
         except listeners.BadListener as error:
@@ -70,24 +74,30 @@
         notifier = notify.from_environment(os.environ, os.getpid())
         passed = listeners.from_environment(os.environ, os.getpid())
         config, restart = self._operators.config(self._number), self._operators.terms.restart
-        name = await self._name(passed, trio.current_time() + restart.ready_s)
-        if name.taken is None:
-            found, _ = await takeover.begin(None, self._place.listeners, passed, trio.current_time())
+        name = await self._acquire_name(passed, trio.current_time() + restart.ready_s)
+        if name.ongoing_takeover is None:
+            found, _ = await takeover.obtain_listeners(
+                None, self._place.listeners, passed, trio.current_time()
+            )
         else:
-            found = name.taken.listeners
-        companions: list[Companion] = [] if notifier is None else [notifier]
+            found = name.ongoing_takeover.listeners
+        background_tasks: list[BackgroundTask] = [] if notifier is None else [notifier]
         process = Process(
             config,
             self._read_again,
             listeners=found,
-            held=name.taken is not None,
-            companions=companions,
+            start_paused=name.ongoing_takeover is not None,
+            background_tasks=background_tasks,
             deadline_s=restart.deadline_s,
             make_list_source=self._make_list_source(config),
         )
-        companions += await self._companions(process, name)
+        background_tasks += await self._background_tasks(process, name)
         await run_by_signals(process)
-        return Exit.FINISHED if name.taken is None or name.taken.refused is None else Exit.RUNS
+        return (
+            Exit.FINISHED
+            if name.ongoing_takeover is None or name.ongoing_takeover.refused is None
+            else Exit.RUNS
+        )
 
     @staticmethod
     def _make_list_source(config: Config) -> MakeListSource | None:
@@ -97,47 +107,50 @@
 
         return RelayLists
 
-    async def _name(self, passed: Sequence[socket.socket], by: float) -> Name:
-        """Whoever has it is asked to hand it on. Raises Held and Refused."""
+    async def _acquire_name(self, passed: Sequence[socket.socket], by: float) -> NameOwnership:
+        """Acquires the name, if necessary by a takeover from the process that holds it.
+
+        Raises NameHeld and Refused.
+        """
         if self._place.folder is None:
-            return Name()
+            return NameOwnership()
         try:
-            return Name(lock.take(self._place.folder, self._place.name))
-        except lock.Held:
-            if (place := self._takeover_place()) is None:
+            return NameOwnership(lock.acquire(self._place.folder, self._place.name))
+        except lock.NameHeld:
+            if (location := self._takeover_location()) is None:
                 raise
-            wants = await listeners.resolved(self._place.listeners)
-            taken = await takeover.ask(place, wants, by, passed)
-        if taken is None:  # it hands nothing on, or has just gone
-            return Name(lock.take(self._place.folder, self._place.name))
-        return Name(taken.lock, taken)
+            wants = await listeners.resolve(self._place.listeners)
+            new_takeover = await takeover.ask(location, wants, by, passed)
+        if new_takeover is None:  # The holder offers no takeover, or has just exited.
+            return NameOwnership(lock.acquire(self._place.folder, self._place.name))
+        return NameOwnership(new_takeover.lock, new_takeover)
 
-    def _takeover_place(self) -> takeover.Place | None:
+    def _takeover_location(self) -> takeover.TakeoverLocation | None:
         restart = self._operators.terms.restart
         if self._place.folder is None or not restart.take_over:
             return None
-        return takeover.Place(self._place.folder, self._place.name, restart.ready_s)
+        return takeover.TakeoverLocation(self._place.folder, self._place.name, restart.ready_s)
 
-    async def _companions(self, process: Process, name: Name) -> list[Companion]:
-        found: list[Companion] = []
+    async def _background_tasks(self, process: Process, name: NameOwnership) -> list[BackgroundTask]:
+        found: list[BackgroundTask] = []
         snapshots = None
         if self._place.snapshots is not None:
-            from glenfold.daemon.snapshot import Snapshots, Terms
+            from glenfold.daemon.snapshot import SnapshotOptions, Snapshots
 
-            told = self._operators.terms.snapshot
+            settings = self._operators.terms.snapshot
             snapshots = Snapshots(
-                Terms(
+                SnapshotOptions(
                     self._place.snapshots,
                     self._operators.terms.instance.name,
-                    told.every_s,
-                    told.most_age_s,
-                    told.most_mb << 20,
+                    settings.every_s,
+                    settings.most_age_s,
+                    settings.most_mb << 20,
                 )
             )
-            await snapshots.take_up(process)
-            found.append(snapshots.keep)
-        if (place := self._takeover_place()) is not None:
-            found.append(takeover.Keeper(place, name.lock, name.taken))
+            await snapshots.load_newest(process)
+            found.append(snapshots.run_writer)
+        if (location := self._takeover_location()) is not None:
+            found.append(takeover.TakeoverServer(location, name.lock, name.ongoing_takeover))
         if self._place.socket is not None:
             from glenfold.daemon.control import Control
 
@@ -145,10 +158,12 @@
         return found
 
     def _read_again(self, current: Config) -> tuple[Config, list[str]]:
-        told = self._again(current)
+        result = self._again(current)
         logs.set_options(self._log_terms())
-        return told
+        return result
 
     def _log_terms(self) -> logs.Options:
-        told = self._again.operators.terms.logging
-        return logs.Options(told.form, told.level, told.levels, told.events_per_s, told.burst)
+        settings = self._again.operators.terms.logging
+        return logs.Options(
+            settings.form, settings.level, settings.levels, settings.events_per_s, settings.burst
+        )
--- a/tests/daemon/test_snapshot_model.py
+++ b/tests/daemon/test_snapshot_model.py
@@ -1,8 +1,8 @@
-"""Whatever lists, drains, restarts and deaths come, no server known to have left comes back by a snapshot.
+"""No server known to have departed comes back through a snapshot, whatever lists, restarts and crashes occur.
 
-A history is a list of lives on one disk. Each hears some lists, waits or not, and ends in good order or with
-its machine at any step of a write; then one file may be hurt, and time passes. What a life knew for sure to
-be on the disk, the next ones must know.
+A history is a list of process lives on one disk. Each process receives some lists, may wait, and exits
+normally or with its machine at any step of a write. Then one file may be damaged, and time passes. What a
+process knew to be on disk, the next ones must know.
 """
 
 import random
@@ -17,15 +17,15 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 from relaying import entry, whole
-from snapshot_disk import Died, Disk
+from snapshot_disk import Disk, MachineDied
 
 from glenfold.daemon.process import Process
-from glenfold.daemon.snapshot import Snapshots, Terms
+from glenfold.daemon.snapshot import SnapshotOptions, Snapshots
 from glenfold.destinations import server_number
-from linnetspread import interface as i
+from linnetspread import interface
 
 SERVERS = range(4)
-MOST_S = 100.0
+MAX_AGE_S = 100.0
 WORDS = st.sampled_from(["drain", "remove", "leave out", "add", "start anew", "late list", "wait"])
 STEPS = st.lists(st.tuples(WORDS, st.sampled_from(SERVERS)), max_size=7)
 LIVES = st.lists(
@@ -33,7 +33,7 @@
         {
             "steps": STEPS,
             "dies_at": st.integers(-1, 14),
-            "hurt": st.integers(0, 3),
+            "damaged_file": st.integers(0, 3),
             "pause_s": st.sampled_from([0.0, 20.0, 70.0, 130.0]),
         }
     ),
@@ -43,18 +43,21 @@
 
 
 def ready(process: Process) -> dict[int, int]:
-    """Who is, with the start of each in milliseconds."""
+    """Returns the start time in milliseconds of each ready server."""
     numbers = {server_number(f"s-{n}"): n for n in SERVERS}
     return {
         numbers[server]: known.listed.started_us // 1000
         for server, known in process.relay.destinations.state().destinations.items()
-        if known.listed.state is i.ServerState.READY
+        if known.listed.state is interface.ServerState.READY
     }
 
 
-class World:
-    """Discovery and what must hold. `gone`: who left and was on the disk, with the start that it left after;
-    `said`: of these, who was named when it left, whom no late list may bring back either."""
+class SnapshotHistory:
+    """Simulates discovery, and records what must hold.
+
+    `departed` maps each server that departed, and whose departure was on disk, to its start time.
+    `departed_by_name` holds those that a change named, which a late list must not bring back either.
+    """
 
     def __init__(self, conf: Any, seed: int) -> None:
         self.conf, self.random = conf, random.Random(seed)
@@ -63,9 +66,9 @@
         self.seq = 10
         self.health = dict.fromkeys(SERVERS, "in_service")
         self.started = dict.fromkeys(SERVERS, 0)
-        self.gone: dict[int, int] = {}
-        self.said: dict[int, int] = {}
-        self.told_at: list[float] = []
+        self.departed: dict[int, int] = {}
+        self.departed_by_name: dict[int, int] = {}
+        self.received_at: list[float] = []
 
     def wall(self) -> float:
         return self.now + trio.current_time()
@@ -89,57 +92,63 @@
             return self.whole()
         return {"seq": self.seq, "whole": False, "hosts": [self.entry(n)]}
 
-    def note(self, process: Process, kept: Snapshots) -> None:
-        """Who is ready now may be so after a restart; who isn't must not, once that is on the disk."""
+    def record_state(self, process: Process, kept: Snapshots) -> None:
+        """Records which servers may be ready after a restart: no others, once their departure is on disk."""
         left, serving = process.relay.destinations.state().departed, ready(process)
         for n in SERVERS:
             if n in serving:
-                self.gone.pop(n, None)
-                self.said.pop(n, None)
+                self.departed.pop(n, None)
+                self.departed_by_name.pop(n, None)
             elif not kept.status()["waits"]:
-                self.gone[n] = self.started[n]
+                self.departed[n] = self.started[n]
                 if server_number(f"s-{n}") in left:
-                    self.said[n] = left[server_number(f"s-{n}")][1] // 1000
+                    self.departed_by_name[n] = left[server_number(f"s-{n}")][1] // 1000
 
-    async def life(self, steps: list[tuple[str, int]]) -> None:
+    async def run_process(self, steps: list[tuple[str, int]]) -> None:
         process = Process(self.conf, lambda current: (current, []))
-        kept = Snapshots(Terms(Path("/snapshots"), "valleys", max_age_s=MOST_S), self.disk, self.wall)
-        await kept.take_up(process)
-        if kept.taken is not None:
-            assert self.wall() - kept.taken.heard_at <= MOST_S
-            assert min(abs(kept.taken.heard_at - at) for at in self.told_at) < 1e-3  # not made younger
+        kept = Snapshots(
+            SnapshotOptions(Path("/snapshots"), "valleys", max_age_s=MAX_AGE_S), self.disk, self.wall
+        )
+        await kept.load_newest(process)
+        if kept.loaded is not None:
+            assert self.wall() - kept.loaded.heard_at <= MAX_AGE_S
+            # The snapshot's age was not reduced.
+            assert min(abs(kept.loaded.heard_at - at) for at in self.received_at) < 1e-3
         for n, started in ready(process).items():
-            assert started > self.gone.get(n, -1), f"s-{n} came back"
-        if kept.taken is None:  # it knows nothing, so of nobody that it left
-            self.gone, self.said = {}, {}
+            assert started > self.departed.get(n, -1), f"s-{n} came back"
+        if kept.loaded is None:  # Without a snapshot, no departure is known.
+            self.departed, self.departed_by_name = {}, {}
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(kept.keep, process)
+            nursery.start_soon(kept.run_writer, process)
             for word, n in [("hear", 0), *steps] if steps else []:
                 await self.step(process, kept, word, n)
             nursery.cancel_scope.cancel()
-        self.note(process, kept)
+        self.record_state(process, kept)
 
     async def step(self, process: Process, kept: Snapshots, word: str, n: int) -> None:
         if word == "wait":
             await trio.sleep(12.0)
         else:
-            self.told_at.append(self.wall())
+            self.received_at.append(self.wall())
             read = process.relay.destinations.read
-            told = read(self.whole() if word == "hear" else self.change(word, n))
+            server_list = read(self.whole() if word == "hear" else self.change(word, n))
             if word == "late list":
-                late = {line.server for line in told.servers if line.state is i.ServerState.READY}
+                late = {
+                    line.server for line in server_list.servers if line.state is interface.ServerState.READY
+                }
                 assert not [
                     n
-                    for n in self.said
-                    if server_number(f"s-{n}") in late and self.started[n] <= self.said[n]
+                    for n in self.departed_by_name
+                    if server_number(f"s-{n}") in late and self.started[n] <= self.departed_by_name[n]
                 ], "a late list brought one back"
-                self.note(process, kept)
+                self.record_state(process, kept)
                 read(self.whole())
-            self.note(process, kept)  # who is told to be ready may be so on the disk before the next note
+            # A server reported ready may be so on disk before the next record.
+            self.record_state(process, kept)
         await trio.testing.wait_all_tasks_blocked()
-        self.note(process, kept)
+        self.record_state(process, kept)
 
-    def hurt(self, which: int) -> None:
+    def damage_file(self, which: int) -> None:
         path = Path(f"/snapshots/valleys.relay.{'?ab?'[which]}.snapshot")
         if path in self.disk.files:
             data = bytearray(self.disk.files[path].data)
@@ -169,25 +178,26 @@
 )
 @example(
     lives=[
-        {"steps": [("leave out", 0)], "dies_at": 10, "hurt": 0, "pause_s": 0.0},  # before the second copy
-        {"steps": [], "dies_at": -1, "hurt": 2, "pause_s": 0.0},  # which a start makes up for
-        {"steps": [], "dies_at": -1, "hurt": 0, "pause_s": 0.0},
+        # The machine dies before the second copy is written.
+        {"steps": [("leave out", 0)], "dies_at": 10, "damaged_file": 0, "pause_s": 0.0},
+        {"steps": [], "dies_at": -1, "damaged_file": 2, "pause_s": 0.0},  # A start writes the second copy.
+        {"steps": [], "dies_at": -1, "damaged_file": 0, "pause_s": 0.0},
     ],
     seed=0,
 )
 @given(lives=LIVES, seed=st.integers(0, 1 << 16))
-def test_no_server_known_to_have_left_comes_back(
+def test_no_server_known_to_have_departed_comes_back(
     inline: None, conf: Any, lives: list[Any], seed: int
 ) -> None:
-    world = World(conf, seed)
+    history = SnapshotHistory(conf, seed)
     for life in lives:
-        world.disk.dies_at = world.disk.steps + life["dies_at"] if life["dies_at"] >= 0 else -1
+        history.disk.dies_at_step = history.disk.steps + life["dies_at"] if life["dies_at"] >= 0 else -1
         clock = trio.testing.MockClock(autojump_threshold=0)
         try:
-            trio.run(world.life, life["steps"], clock=clock)
+            trio.run(history.run_process, life["steps"], clock=clock)
         except BaseExceptionGroup as group:
-            if group.split(Died)[1] is not None:
+            if group.split(MachineDied)[1] is not None:
                 raise
-            world.disk.after_death()
-        world.now += clock.current_time() + life["pause_s"]
-        world.hurt(life["hurt"])
+            history.disk.restore_after_crash()
+        history.now += clock.current_time() + life["pause_s"]
+        history.damage_file(life["damaged_file"])
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -121,13 +121,13 @@
 
 def after_arrivals_end(monkeypatch: pytest.MonkeyPatch, action: Callable[[], Awaitable[None]]) -> None:
     """Runs `action` in the same turn of the event loop in which the relay sees that arrivals have ended."""
-    real = process.last_arrivals
+    real = process.wait_for_last_arrivals
 
     async def last_arrivals(*arguments: object) -> None:
         await real(*arguments)  # type: ignore[arg-type]
         await action()
 
-    monkeypatch.setattr(process, "last_arrivals", last_arrivals)
+    monkeypatch.setattr(process, "wait_for_last_arrivals", last_arrivals)
 
 
 async def expect_up_then_move(stream: trio.SocketStream) -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -20,7 +20,7 @@
 from hypothesis import strategies as st
 from relaying import OPEN, accept_and_echo, read_line, relay
 
-from glenfold.daemon.process import Process, finish_taken
+from glenfold.daemon.process import Process, finish_requests
 from glenfold.lines import MOVE
 from glenfold.net import passing
 from glenfold.net.inbound import Relay
@@ -138,12 +138,12 @@
 @relaying.async_test(relaying.instance)
 async def test_the_end_counts_from_the_signal_and_not_from_its_handling(process: Process) -> None:
     with trio.open_signal_receiver(signal.SIGTERM) as signals:
-        process.note_moment(signal.SIGTERM)
+        process.record_signal_times(signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGTERM)
         sent = trio.current_time()
         time.sleep(0.2)  # a long turn of the event loop
         await anext(signals)
-        assert process._told_at() - sent < 0.1
+        assert process._stop_requested_time() - sent < 0.1
 
 
 # ---- With real sockets ----
@@ -186,7 +186,7 @@
         if (step := real(now, worked_s, remaining))
         else step,
     )
-    await finish_taken(leaving, context[0])
+    await finish_requests(leaving, context[0])
     for stream in context[1]:
         assert await read_line(stream) == MOVE and not await stream.receive_some()
     assert counters.moved == 300 and 0 < counters.moved_late < 300 and not counters.not_moved
@@ -194,7 +194,7 @@
 
 @relaying.async_test(standing(2, partial(accept_and_echo, following_data=b"half a li")))
 async def test_a_client_with_part_of_a_line_gets_a_reset_and_is_counted(context: Standing) -> None:
-    await finish_taken(leaving_in(0.1), context[0])
+    await finish_requests(leaving_in(0.1), context[0])
     for stream in context[1]:
         assert await stream.receive_some() == b"half a li"
         with pytest.raises(trio.BrokenResourceError):
@@ -211,6 +211,6 @@
     assert not next(iter(shared.standing)).move_now()
     await stream.send_all(b"hello\r\n")
     await trio.testing.wait_all_tasks_blocked(0.05)
-    await finish_taken(leaving_in(1.0), shared)
+    await finish_requests(leaving_in(1.0), shared)
     assert await read_line(stream) == MOVE and not await stream.receive_some()
     assert shared.counters.moved == 1
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -18,7 +18,7 @@
 from glenfold import lines
 from glenfold.config import Config, ConfigError, read_again
 from glenfold.counters import Counters
-from glenfold.daemon.process import Process, finish_taken, heed
+from glenfold.daemon.process import Process, dispatch_signals, finish_requests
 from glenfold.destinations import BadList, DestinationSet, server_number
 from glenfold.net import sockets
 from glenfold.net.discovery import Discovery
@@ -377,7 +377,7 @@
             await stream.send_all(OPEN.replace(b"9b1f03aa", b"%08x" % n))
             await read_line(stream)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(finish_taken, ShutdownSchedule(trio.current_time(), conf.settings), shared)
+            nursery.start_soon(finish_requests, ShutdownSchedule(trio.current_time(), conf.settings), shared)
             for passed, standing in ((1.5, 4), (0.2, 3), (0.4, 2), (1.2, 0)):
                 clock.jump(passed)
                 for _ in range(3):  # the end of a loopback socket may take several turns to arrive
@@ -397,7 +397,7 @@
 def test_a_relay_without_clients_ends_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         started_at = trio.current_time()
-        await finish_taken(ShutdownSchedule(started_at, conf.settings, 30.0), shared)
+        await finish_requests(ShutdownSchedule(started_at, conf.settings, 30.0), shared)
         assert trio.current_time() - started_at < 1.0
 
     run_relay(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
@@ -556,7 +556,7 @@
             relaying.write_config(tmp_path, discovery=new, limits={"sockets": 300}, name="other")
             with trio.open_signal_receiver(signal.SIGHUP) as signals:
                 os.kill(os.getpid(), signal.SIGHUP)  # without a handler it would end the process
-                nursery.start_soon(heed, signals, {signal.SIGHUP: process.reload})
+                nursery.start_soon(dispatch_signals, signals, {signal.SIGHUP: process.reload})
                 await watched[1].wait()
             # On reload the address in the file applies, although the environment overrides it at the start.
             assert (shared.config.room.waiting, shared.config.name) == (35, "relay")
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -27,7 +27,7 @@
 )
 
 from glenfold.daemon.process import Process
-from glenfold.daemon.readiness import LATEST_S
+from glenfold.daemon.readiness import MAX_WAIT_S
 from glenfold.net.discovery import MAX_ASKING_ANSWER_S, MAX_LIST_DELAY_S
 
 READY_S = 10.0  # Nine in ten restarted relays have to be ready within this time.
@@ -68,7 +68,7 @@
         agent = Agent(tmp_path, fault)
         await agent.listen(nursery)
         after_s = await seconds_until_ready(tmp_path, agent, known=known, limits={"cores": 0.01})
-        assert LATEST_S <= after_s <= READY_S
+        assert MAX_WAIT_S <= after_s <= READY_S
 
     run_script(script, threshold_s=0.001)
 
