--- a/glenfold/daemon/ask.py
+++ b/glenfold/daemon/ask.py
@@ -54,9 +54,7 @@
         chunk = await stream.receive_some(1 << 16)
         if not chunk or len(data) + len(chunk) > max_bytes:
             raise msgspec.DecodeError(
-                f"a line is longer than {max_bytes} bytes"
-                if chunk
-                else "the connection closed before a complete line"
+                f"a line is longer than {max_bytes} bytes" if chunk else "no whole line"
             )
         data += chunk
     return bytes(data)
--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -43,7 +43,7 @@
         raise FileRefused(error.message) from error
     folder = instance.get("folder") if isinstance(instance, dict) else None
     if not isinstance(folder, str) or not folder:
-        raise FileRefused(f"{file}: instance.folder: is missing; the supervisor keeps its files in it")
+        raise FileRefused(f"{file}: instance.folder: is missing; a supervisor keeps its files there")
     return file.parent.absolute() / folder / "supervisor"
 
 
@@ -67,14 +67,12 @@
         places = [read.place(number) for number in read.numbers]
         if supervisor_folder(self.file) != self.paths.folder:
             raise FileRefused(
-                f"{self.file}: instance.folder: differs from this supervisor's folder; "
-                "to change it, run `glenfold fleet down` and then `up`"
+                f"{self.file}: instance.folder: is another one than this supervisor's; "
+                "`glenfold fleet down` and `up` change it"
             )
         controls = {place.name: place.socket for place in places if place.socket is not None}
         if len(controls) < len(places):
-            raise FileRefused(
-                f"{self.file}: control.on: must be true for a supervisor, which polls the control sockets"
-            )
+            raise FileRefused(f"{self.file}: control.on: must be true for a supervisor, which looks there")
         return FleetSettings(
             _fleet_terms(read, tuple(controls)), controls, lambda: self._accept(text, read, places)
         )
--- a/glenfold/daemon/process_handle.py
+++ b/glenfold/daemon/process_handle.py
@@ -96,7 +96,7 @@
         trio.lowlevel.notify_closing(self._descriptor)
         os.close(self._descriptor)
         if self.child is None:
-            return "its exit status is unknown, as another process started it"
+            return "its status is unknown, as another process has started it"
         status = self.child.wait()
         return f"exit status {status}" if status >= 0 else f"signal {-status} ({_signal_name(-status)})"
 
--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -237,7 +237,7 @@
     async def _report_if_slow(self, at: float) -> None:
         await trio.sleep_until(at)
         self._process.relay.counters.snapshots_slow += 1
-        self._report("the disk has not finished the write yet")
+        self._report("the disk lets it wait")
 
     def _report(self, fault: str) -> None:
         """Logs a problem once, until another problem occurs or a snapshot is written."""
--- a/glenfold/daemon/supervisor.py
+++ b/glenfold/daemon/supervisor.py
@@ -368,7 +368,7 @@
             case {"ask": "roll", **more}:
                 most_out = more.get("most_out")
                 if most_out is not None and type(most_out) is not int:
-                    return {"refused": "most_out is not a whole number"}
+                    return {"refused": "most_out is not a number"}
                 return self._run_command_with_file(BeginRoll(most_out))
             case {"ask": "continue"}:
                 return self._run_command_with_file(ContinueRoll())
