--- a/glenfold/daemon/fleet_orders.py
+++ b/glenfold/daemon/fleet_orders.py
@@ -19,7 +19,7 @@
 from glenfold.daemon.logfiles import LogFiles
 from glenfold.daemon.supervisor import FileRefused, Order, Orders, Place, Supervisor
 from glenfold.located import BadFile, parse, read_text
-from glenfold.rules.fleet.terms import Terms
+from glenfold.rules.fleet.options import Options
 
 LOG_BYTES = 16 << 20  # of one instance, twice: the file and the one before
 
@@ -44,10 +44,10 @@
     return file.parent.absolute() / folder / "supervisor"
 
 
-def _terms(read: operators.Operators, names: tuple[str, ...]) -> Terms:
+def _terms(read: operators.Operators, names: tuple[str, ...]) -> Options:
     fleet = msgspec.structs.asdict(read.terms.fleet or Fleet(instances=1))
-    told = {name: value for name, value in fleet.items() if name in Terms.__struct_fields__}
-    return Terms(**(told | {"instances": names, "take_over": read.terms.restart.take_over}))
+    told = {name: value for name, value in fleet.items() if name in Options.__struct_fields__}
+    return Options(**(told | {"instances": names, "take_over": read.terms.restart.take_over}))
 
 
 class FleetFile:
--- a/glenfold/daemon/supervisor.py
+++ b/glenfold/daemon/supervisor.py
@@ -26,25 +26,25 @@
 from glenfold.logs import EVENTS
 from glenfold.rules.fleet.effects import AllDown, Effect, Kill, Refuse, Reload, Replace, Start, Stop, Tell
 from glenfold.rules.fleet.fleet import Fleet
-from glenfold.rules.fleet.incidents import (
+from glenfold.rules.fleet.inputs import (
     BeginRoll,
     CallOffRoll,
     Command,
     ContinueRoll,
     Down,
-    Ended,
-    Incident,
-    NewTerms,
+    Exited,
+    Input,
+    NewOptions,
+    ProcessAnswered,
+    ProcessStarted,
     Release,
     ReloadAll,
-    Resumed,
-    Seen,
-    Served,
-    Spawned,
-    StateLost,
+    SaveFailed,
+    ServiceMeasured,
+    SupervisorStarted,
 )
+from glenfold.rules.fleet.options import Options
 from glenfold.rules.fleet.state import Phase
-from glenfold.rules.fleet.terms import Terms
 from glenfold.rules.service import Window
 
 LOOK_S = 0.2  # from one look at an instance to the next
@@ -112,7 +112,7 @@
 class Order:
     """`controls`: the control socket of each instance."""
 
-    terms: Terms
+    terms: Options
     controls: Mapping[str, Path]
     accept: Callable[[], None]
 
@@ -162,11 +162,11 @@
 
     # ---- incidents and effects ----
 
-    def on(self, incident: Incident) -> str | None:
+    def on(self, incident: Input) -> str | None:
         """Why it was refused, if it was."""
         effects = self._fleet.on(incident, time.monotonic())
         if fault := self._save():
-            effects += self._fleet.on(StateLost(fault), time.monotonic())
+            effects += self._fleet.on(SaveFailed(fault), time.monotonic())
         refused = None
         for effect in effects:
             if isinstance(effect, Refuse):
@@ -216,11 +216,11 @@
             finally:
                 os.close(output)
         except OSError as error:
-            self.on(Ended(name, None, f"it could not be started: {error}"))
+            self.on(Exited(name, None, f"it could not be started: {error}"))
             return
         self._started.add(owned.process)
         self._watch(name, owned)
-        self.on(Spawned(name, owned.process))
+        self.on(ProcessStarted(name, owned.process))
 
     def _watch(self, name: str, owned: Owned) -> None:
         self._owned[owned.process] = owned
@@ -231,12 +231,12 @@
         how = await owned.end()
         del self._owned[owned.process], self._instance_of[owned.process]
         self._started.discard(owned.process)
-        self.on(Ended(name, owned.process, how))
+        self.on(Exited(name, owned.process, how))
 
     async def _pass_time(self) -> None:
         while True:
             now = time.monotonic()
-            self.on(Served(self._window.shares(now)))
+            self.on(ServiceMeasured(self._window.shares(now)))
             self._woken = trio.Event()
             with trio.move_on_after(min(LOOK_S, max(0.0, self._fleet.next_at() - now))):
                 await self._woken.wait()
@@ -272,7 +272,7 @@
         async with trio.open_nursery() as nursery:
             for name in self._fleet.state.instances:
                 nursery.start_soon(find, name)
-        self.on(Resumed(frozenset(self._owned), answering, again))
+        self.on(SupervisorStarted(frozenset(self._owned), answering, again))
 
     async def _heard(self, name: str) -> str | None:
         """The process that answers for that name, if it is watched: one that is met for the first time is
@@ -323,13 +323,13 @@
         self._window.read(
             time.monotonic(), name, process, status.get("counters", {}), started_here=process in self._started
         )
-        self.on(Seen(name, process, status.get("state") in ("ready", "reloading")))
+        self.on(ProcessAnswered(name, process, status.get("state") in ("ready", "reloading")))
 
     def _silent(self, name: str) -> None:
         one = self._fleet.state.instances.get(name)
         if one is not None and one.process is not None and one.phase is Phase.READY:
             log.silent(name=name)
-            self.on(Seen(name, one.process, False))
+            self.on(ProcessAnswered(name, one.process, False))
 
     # ---- commands ----
 
@@ -355,14 +355,16 @@
         return {"refused": "no such question"}
 
     def _done(self, command: Command) -> dict[str, Any]:
-        self.on(Served(self._window.shares(time.monotonic())))  # a roll is judged by what is true now
+        self.on(
+            ServiceMeasured(self._window.shares(time.monotonic()))
+        )  # a roll is judged by what is true now
         refused = self.on(command)
         log.commanded(command=type(command).__name__, outcome=refused or "done")
         return {"refused": refused} if refused else {"done": True, "rolls": self._fleet.state.rolls}
 
     def _with_file(self, command: Command) -> dict[str, Any]:
         """The file is read anew where the command brings it to instances; a faulty one changes nothing."""
-        if self._fleet.why_not(command):
+        if self._fleet.rejection_reason(command):
             return self._done(command)
         try:
             order = self.orders.read()
@@ -372,7 +374,7 @@
             return {"refused": str(error), "file": True}
         self._window.length_s = order.terms.window_s
         self._controls.update(order.controls)  # those that are gone still have to be seen to stop
-        self.on(NewTerms(order.terms))
+        self.on(NewOptions(order.terms))
         return self._done(command)
 
     def reload(self) -> None:
--- a/glenfold/rules/fleet/context.py
+++ b/glenfold/rules/fleet/context.py
@@ -3,16 +3,16 @@
 from collections.abc import Callable
 
 from glenfold.rules.fleet.effects import Effect, Tell
+from glenfold.rules.fleet.options import Options
 from glenfold.rules.fleet.state import State
-from glenfold.rules.fleet.terms import Terms
 from glenfold.rules.service import Shares
 
 
 class Context:
     """`draw` returns random numbers in [0, 1)."""
 
-    def __init__(self, terms: Terms, state: State, draw: Callable[[], float]) -> None:
-        self.terms = terms
+    def __init__(self, options: Options, state: State, draw: Callable[[], float]) -> None:
+        self.options = options
         self.state = state
         self.draw = draw
         self.service: Shares | None = None
@@ -21,7 +21,7 @@
     def emit(self, effect: Effect) -> None:
         self._effects.append(effect)
 
-    def tell(self, event: str, **fields: object) -> None:
+    def log(self, event: str, **fields: object) -> None:
         """Emits a log event."""
         self.emit(Tell(event, fields))
 
@@ -32,4 +32,4 @@
 
     def is_wanted(self, name: str) -> bool:
         """Whether the instance is to run: it is in the settings and the fleet is not going down."""
-        return name in self.terms.instances and not self.state.down
+        return name in self.options.instances and not self.state.down
--- a/glenfold/rules/fleet/fleet.py
+++ b/glenfold/rules/fleet/fleet.py
@@ -4,30 +4,30 @@
 
 from glenfold.rules.fleet.context import Context
 from glenfold.rules.fleet.effects import AllDown, Effect, Refuse, Reload
-from glenfold.rules.fleet.incidents import (
+from glenfold.rules.fleet.inputs import (
     BeginRoll,
     CallOffRoll,
     Command,
     ContinueRoll,
     Down,
-    Ended,
-    Incident,
-    NewTerms,
-    Passed,
+    Exited,
+    Input,
+    NewOptions,
+    ProcessAnswered,
+    ProcessStarted,
     Release,
     ReloadAll,
-    Resumed,
-    Seen,
-    Served,
-    Spawned,
-    StateLost,
+    SaveFailed,
+    ServiceMeasured,
+    SupervisorStarted,
+    TimePassed,
 )
 from glenfold.rules.fleet.lifecycle import Lifecycle
+from glenfold.rules.fleet.options import Options
 from glenfold.rules.fleet.recovery import Recovery
 from glenfold.rules.fleet.roll import RollControl
 from glenfold.rules.fleet.roll_progress import RollProgress
 from glenfold.rules.fleet.state import Instance, Phase, State
-from glenfold.rules.fleet.terms import Terms
 
 RELOAD_DURING_ROLL = (
     "a roll is running, and each instance that it starts goes by the file as it was when"
@@ -38,19 +38,19 @@
 class Fleet:
     """`state` is changed in place. `draw` returns random numbers in [0, 1)."""
 
-    def __init__(self, terms: Terms, state: State, draw: Callable[[], float]) -> None:
+    def __init__(self, options: Options, state: State, draw: Callable[[], float]) -> None:
         self.state = state
-        self._context = Context(terms, state, draw)
+        self._context = Context(options, state, draw)
         self._roll = RollControl(self._context)
         self._lifecycle = Lifecycle(self._context, self._roll)
         self._recovery = Recovery(self._context, self._roll, self._lifecycle)
         self._roll_progress = RollProgress(self._context, self._roll, self._lifecycle)
-        for name in terms.instances:
+        for name in options.instances:
             state.instances.setdefault(name, Instance())
 
-    def on(self, incident: Incident, now: float) -> list[Effect]:
+    def on(self, event_input: Input, now: float) -> list[Effect]:
         """Applies the incident, and whatever else is due at `now`; returns the effects in their order."""
-        self._apply(incident, now)
+        self._apply(event_input, now)
         self._advance(now)
         return self._context.take_effects()
 
@@ -59,50 +59,50 @@
         due = [one.due_at for one in self.state.instances.values() if one.phase is Phase.DUE]
         return max(min(due), self._earliest_start()) if due else float("inf")
 
-    def why_not(self, command: Command) -> str | None:
+    def rejection_reason(self, command: Command) -> str | None:
         """Why the command would be refused now; None if it would be accepted."""
         roll = self.state.roll
         match command:
             case BeginRoll():
-                return self._roll.refusal(self._most_out(command))
+                return self._roll.rejection_reason(self._max_out(command))
             case ContinueRoll() if roll is None or roll.running:
                 return "no roll is stopped"
             case CallOffRoll() if roll is None:
                 return "there is no roll"
-            case Release(name) if not self._held(name):
+            case Release(name) if not self._held_instances(name):
                 return f"{name} is not held" if name else "no instance is held"
             case ReloadAll() if roll and roll.running:
                 return RELOAD_DURING_ROLL
         return None
 
-    def _apply(self, incident: Incident, now: float) -> None:
-        match incident:
-            case Resumed():
-                self._recovery.resume(incident, now)
-            case NewTerms(terms):
-                self._apply_terms(terms, now)
-            case Spawned():
-                self._lifecycle.spawned(incident)
-            case Seen():
-                self._lifecycle.seen(incident, now)
-            case Ended():
-                self._lifecycle.ended(incident, now)
-            case Served(shares):
+    def _apply(self, event_input: Input, now: float) -> None:
+        match event_input:
+            case SupervisorStarted():
+                self._recovery.resume(event_input, now)
+            case NewOptions(options):
+                self._apply_options(options, now)
+            case ProcessStarted():
+                self._lifecycle.on_started(event_input)
+            case ProcessAnswered():
+                self._lifecycle.on_answered(event_input, now)
+            case Exited():
+                self._lifecycle.on_exited(event_input, now)
+            case ServiceMeasured(shares):
                 self._context.service = shares
-            case StateLost(reason):
+            case SaveFailed(reason):
                 self._roll.stop(f"the state can't be saved: {reason}")
-            case Passed():
+            case TimePassed():
                 pass
             case _:
-                self._execute(incident, now)
+                self._execute(event_input, now)
 
     def _execute(self, command: Command, now: float) -> None:
-        if reason := self.why_not(command):
+        if reason := self.rejection_reason(command):
             self._context.emit(Refuse(reason))
             return
         match command:
             case BeginRoll():
-                self._roll.begin(self._most_out(command), now)
+                self._roll.begin(self._max_out(command), now)
             case ContinueRoll():
                 self._roll.continue_stopped()
             case CallOffRoll():
@@ -114,10 +114,10 @@
             case Down():
                 self._take_down(now)
 
-    def _most_out(self, command: BeginRoll) -> int:
-        return self._context.terms.most_out if command.most_out is None else command.most_out
+    def _max_out(self, command: BeginRoll) -> int:
+        return self._context.options.most_out if command.most_out is None else command.most_out
 
-    def _held(self, name: str | None) -> list[Instance]:
+    def _held_instances(self, name: str | None) -> list[Instance]:
         return [
             instance
             for of, instance in self.state.instances.items()
@@ -125,7 +125,7 @@
         ]
 
     def _release(self, name: str | None, now: float) -> None:
-        for instance in self._held(name):
+        for instance in self._held_instances(name):
             instance.forget_exits()
             instance.schedule(now, now)
 
@@ -141,14 +141,14 @@
         for name, instance in self.state.instances.items():
             self._lifecycle.retire(name, instance, now)
 
-    def _apply_terms(self, terms: Terms, now: float) -> None:
+    def _apply_options(self, options: Options, now: float) -> None:
         """Schedules new instances, and stops those that are no longer in the settings."""
-        self._context.terms = terms
-        for name in terms.instances:
+        self._context.options = options
+        for name in options.instances:
             if name not in self.state.instances:
                 self.state.instances[name] = Instance(since=now, due_at=now)
         for name, instance in list(self.state.instances.items()):
-            if name not in terms.instances and instance.phase is not Phase.STOPPING:
+            if name not in options.instances and instance.phase is not Phase.STOPPING:
                 self._lifecycle.retire(name, instance, now)
                 self._lifecycle.remove_unwanted(name, instance)
 
@@ -174,7 +174,7 @@
             self._lifecycle.start(name, self.state.instances[name], now)
 
     def _earliest_start(self) -> float:
-        return self.state.last_start + self._context.terms.stagger_s
+        return self.state.last_start + self._context.options.stagger_s
 
     def _all_down(self) -> bool:
         instances = self.state.instances.values()
--- a/glenfold/rules/fleet/incidents.py
+++ b/glenfold/rules/fleet/inputs.py
@@ -3,29 +3,29 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from glenfold.rules.fleet.terms import Terms
+from glenfold.rules.fleet.options import Options
 from glenfold.rules.service import Shares
 
 
 @dataclass(frozen=True, slots=True)
-class Resumed:
+class SupervisorStarted:
     """A supervisor begins. `alive`: those processes named by the state that still run. `answering`: the
     process that answers on the control socket, by instance. `again`: False if the machine was rebooted."""
 
-    alive: frozenset[str]
+    live_processes: frozenset[str]
     answering: Mapping[str, str]
-    again: bool = True
+    same_boot: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class NewTerms:
+class NewOptions:
     """The operators' file was read again and accepted."""
 
-    terms: Terms
+    options: Options
 
 
 @dataclass(frozen=True, slots=True)
-class Spawned:
+class ProcessStarted:
     """`Start` or `Replace` was carried out."""
 
     name: str
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ProcessAnswered:
     """A process answered on the control socket of the instance."""
 
     name: str
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class Exited:
     """A process exited. `process` is None if it could not be started."""
 
     name: str
@@ -51,19 +51,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
+class ServiceMeasured:
     """The current measurement of service."""
 
     shares: Shares
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class TimePassed:
     """Only time has passed."""
 
 
 @dataclass(frozen=True, slots=True)
-class StateLost:
+class SaveFailed:
     """The state could not be saved."""
 
     reason: str
@@ -104,4 +104,14 @@
 
 
 Command = BeginRoll | ContinueRoll | CallOffRoll | Release | ReloadAll | Down
-Incident = Resumed | NewTerms | Spawned | Seen | Ended | Served | Passed | StateLost | Command
+Input = (
+    SupervisorStarted
+    | NewOptions
+    | ProcessStarted
+    | ProcessAnswered
+    | Exited
+    | ServiceMeasured
+    | TimePassed
+    | SaveFailed
+    | Command
+)
--- a/glenfold/rules/fleet/lifecycle.py
+++ b/glenfold/rules/fleet/lifecycle.py
@@ -2,12 +2,12 @@
 
 from glenfold.rules.fleet.context import Context
 from glenfold.rules.fleet.effects import Kill, Start, Stop
-from glenfold.rules.fleet.incidents import Ended, Seen, Spawned
+from glenfold.rules.fleet.inputs import Exited, ProcessAnswered, ProcessStarted
 from glenfold.rules.fleet.roll import RollControl
 from glenfold.rules.fleet.state import Instance, Phase
 
-MOST_DOUBLINGS = 60  # keeps the exponential back-off within the range of a float
-RUNNING = (Phase.UNREADY, Phase.READY, Phase.STOPPING)
+MAX_DOUBLINGS = 60  # keeps the exponential back-off within the range of a float
+RUNNING_PHASES = (Phase.UNREADY, Phase.READY, Phase.STOPPING)
 
 
 class Lifecycle:
@@ -26,37 +26,37 @@
         instance.enter(Phase.UNREADY, now)
         self._context.emit(Start(name))
 
-    def spawned(self, spawned: Spawned) -> None:
-        instance = self._context.state.instances[spawned.name]
+    def on_started(self, started: ProcessStarted) -> None:
+        instance = self._context.state.instances[started.name]
         if instance.replacing:
-            instance.successor = spawned.process
+            instance.successor = started.process
         else:
-            instance.process = spawned.process
+            instance.process = started.process
 
-    def seen(self, seen: Seen, now: float) -> None:
-        instance = self._context.state.instances.get(seen.name)
-        if instance is None or seen.process in instance.leaving:
+    def on_answered(self, answer: ProcessAnswered, now: float) -> None:
+        instance = self._context.state.instances.get(answer.name)
+        if instance is None or answer.process in instance.leaving:
             return
-        if seen.process == instance.successor:
-            if seen.ready:
-                self._complete_replacement(seen.name, instance, now)
+        if answer.process == instance.successor:
+            if answer.ready:
+                self._complete_replacement(answer.name, instance, now)
             return
-        if seen.process != instance.process:
-            self.adopt(seen.name, instance, seen.process, now)
+        if answer.process != instance.process:
+            self.adopt(answer.name, instance, answer.process, now)
         if instance.phase is not Phase.STOPPING:
-            self._set_readiness(seen, instance, now)
+            self._set_readiness(answer, instance, now)
 
-    def _set_readiness(self, seen: Seen, instance: Instance, now: float) -> None:
-        if seen.ready and instance.phase is not Phase.READY:
+    def _set_readiness(self, answer: ProcessAnswered, instance: Instance, now: float) -> None:
+        if answer.ready and instance.phase is not Phase.READY:
             after_s = round(now - instance.since, 3)
-            self._context.tell("fleet.ready", name=seen.name, process=seen.process, after_s=after_s)
-        instance.enter(Phase.READY if seen.ready else Phase.UNREADY, now)
+            self._context.log("fleet.ready", name=answer.name, process=answer.process, after_s=after_s)
+        instance.enter(Phase.READY if answer.ready else Phase.UNREADY, now)
 
     def adopt(self, name: str, instance: Instance, process: str, now: float) -> None:
         """Takes in a process that this supervisor did not start."""
         self._retire_process(instance, now)
         instance.process = process
-        self._context.tell("fleet.found", name=name, process=process)
+        self._context.log("fleet.found", name=name, process=process)
         if self._context.is_wanted(name):
             instance.restart_phase(Phase.UNREADY, now)
         else:
@@ -67,7 +67,7 @@
     def _complete_replacement(self, name: str, instance: Instance, now: float) -> None:
         before = instance.process
         self._retire_process(instance, now)
-        self._context.tell("fleet.replaced", name=name, process=instance.successor, before=before)
+        self._context.log("fleet.replaced", name=name, process=instance.successor, before=before)
         instance.promote_successor()
         instance.restart_phase(Phase.READY, now)
 
@@ -75,7 +75,7 @@
         if instance.process is not None:
             instance.leaving[instance.process] = self._kill_at(now)
 
-    def succeed(self, instance: Instance, now: float) -> None:
+    def continue_with_successor(self, instance: Instance, now: float) -> None:
         """The old process has exited, as it may, before its successor was seen to be ready."""
         instance.promote_successor()
         instance.restart_phase(Phase.UNREADY, now)
@@ -88,49 +88,49 @@
 
     def check_successor(self, name: str, instance: Instance, now: float) -> None:
         """Gives up a successor that takes too long to become ready."""
-        ready_within_s = self._context.terms.ready_within_s
+        ready_within_s = self._context.options.ready_within_s
         if instance.replacing and now - instance.since > ready_within_s:
             self.abandon_successor(name, instance, now)
             self._roll.stop(f"the successor of {name} was not ready within {ready_within_s:g} s")
 
     # ---- exits ----
 
-    def ended(self, ended: Ended, now: float) -> None:
-        instance = self._context.state.instances.get(ended.name)
+    def on_exited(self, exited: Exited, now: float) -> None:
+        instance = self._context.state.instances.get(exited.name)
         if instance is None:
             return
-        process = ended.process
+        process = exited.process
         if process is not None and instance.leaving.pop(process, None) is not None:
-            self.remove_unwanted(ended.name, instance)
+            self.remove_unwanted(exited.name, instance)
         elif instance.replacing and process == instance.successor:
-            self._successor_ended(ended, instance)
-        elif process == instance.process and instance.phase in RUNNING:
-            instance.how = ended.how
-            self._process_ended(ended.name, instance, now)
+            self._on_successor_exited(exited, instance)
+        elif process == instance.process and instance.phase in RUNNING_PHASES:
+            instance.how = exited.how
+            self._on_process_exited(exited.name, instance, now)
 
-    def _successor_ended(self, ended: Ended, instance: Instance) -> None:
+    def _on_successor_exited(self, exited: Exited, instance: Instance) -> None:
         instance.clear_successor()
-        self._context.tell("fleet.successor_ended", name=ended.name, how=ended.how)
-        self._roll.stop(f"the successor of {ended.name} ended before it was ready: {ended.how}")
+        self._context.log("fleet.successor_ended", name=exited.name, how=exited.how)
+        self._roll.stop(f"the successor of {exited.name} ended before it was ready: {exited.how}")
 
-    def _process_ended(self, name: str, instance: Instance, now: float) -> None:
+    def _on_process_exited(self, name: str, instance: Instance, now: float) -> None:
         if instance.replacing and instance.successor is not None:
-            self.succeed(instance, now)
+            self.continue_with_successor(instance, now)
         elif instance.phase is Phase.STOPPING:
-            self._ended_as_requested(name, instance, now)
+            self._on_requested_exit(name, instance, now)
         else:
-            self._ended_unrequested(name, instance, now)
+            self._on_unrequested_exit(name, instance, now)
 
-    def _ended_as_requested(self, name: str, instance: Instance, now: float) -> None:
+    def _on_requested_exit(self, name: str, instance: Instance, now: float) -> None:
         instance.process = None
-        self._context.tell("fleet.stopped", name=name, how=instance.how)
+        self._context.log("fleet.stopped", name=name, how=instance.how)
         if self._context.is_wanted(name):
             instance.schedule(now, now)
         else:
             instance.enter(Phase.DOWN, now)
             self.remove_unwanted(name, instance)
 
-    def _ended_unrequested(self, name: str, instance: Instance, now: float) -> None:
+    def _on_unrequested_exit(self, name: str, instance: Instance, now: float) -> None:
         self._count_exit(instance, now)
         instance.replacing = False
         instance.process = None
@@ -139,34 +139,34 @@
         if not self._context.is_wanted(name):
             instance.enter(Phase.DOWN, now)
             self.remove_unwanted(name, instance)
-        elif len(instance.ends) >= self._context.terms.loop_ends:
+        elif len(instance.ends) >= self._context.options.loop_ends:
             self._hold(name, instance, now)
         else:
             self._back_off(name, instance, now)
 
     def _count_exit(self, instance: Instance, now: float) -> None:
-        terms = self._context.terms
-        was_steady = instance.phase is Phase.READY and now - instance.since >= terms.steady_s
+        options = self._context.options
+        was_steady = instance.phase is Phase.READY and now - instance.since >= options.steady_s
         instance.in_a_row = 1 if was_steady else instance.in_a_row + 1
-        instance.ends = [at for at in instance.ends if at > now - terms.loop_window_s] + [now]
+        instance.ends = [at for at in instance.ends if at > now - options.loop_window_s] + [now]
 
     def _hold(self, name: str, instance: Instance, now: float) -> None:
         instance.enter(Phase.HELD, now)
-        self._context.tell(
+        self._context.log(
             "fleet.held",
             name=name,
             how=instance.how,
             ends=len(instance.ends),
-            within_s=self._context.terms.loop_window_s,
+            within_s=self._context.options.loop_window_s,
         )
 
     def _back_off(self, name: str, instance: Instance, now: float) -> None:
-        terms = self._context.terms
-        doublings = min(instance.in_a_row - 1, MOST_DOUBLINGS)
-        delay_s = min(terms.most_backoff_s, terms.backoff_s * 2.0**doublings)
-        delay_s *= 1 + terms.jitter * self._context.draw()
+        options = self._context.options
+        doublings = min(instance.in_a_row - 1, MAX_DOUBLINGS)
+        delay_s = min(options.most_backoff_s, options.backoff_s * 2.0**doublings)
+        delay_s *= 1 + options.jitter * self._context.draw()
         instance.schedule(now + delay_s, now)
-        self._context.tell("fleet.ended", name=name, how=instance.how, again_in_s=round(delay_s, 3))
+        self._context.log("fleet.ended", name=name, how=instance.how, again_in_s=round(delay_s, 3))
 
     # ---- stop, kill and removal ----
 
@@ -199,15 +199,15 @@
                 self._kill(name, process)
 
     def _kill(self, name: str, process: str) -> None:
-        after_s = self._context.terms.stop_within_s
-        self._context.tell("fleet.killed", name=name, process=process, after_s=after_s)
+        after_s = self._context.options.stop_within_s
+        self._context.log("fleet.killed", name=name, process=process, after_s=after_s)
         self._context.emit(Kill(name, process))
 
     def _kill_at(self, now: float) -> float:
-        return now + self._context.terms.stop_within_s
+        return now + self._context.options.stop_within_s
 
     def remove_unwanted(self, name: str, instance: Instance) -> None:
         """Forgets an instance that is no longer in the settings, once none of its processes is left."""
-        configured = name in self._context.terms.instances
+        configured = name in self._context.options.instances
         if not configured and instance.phase is Phase.DOWN and not instance.leaving:
             del self._context.state.instances[name]
--- a/glenfold/rules/fleet/terms.py
+++ b/glenfold/rules/fleet/options.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class Terms(msgspec.Struct, frozen=True):
+class Options(msgspec.Struct, frozen=True):
     """The part of the operators' file that concerns the fleet. Durations are in seconds."""
 
     instances: tuple[str, ...]
--- a/glenfold/rules/fleet/recovery.py
+++ b/glenfold/rules/fleet/recovery.py
@@ -1,7 +1,7 @@
 """Reconciliation of the saved state with the processes that a new supervisor finds."""
 
 from glenfold.rules.fleet.context import Context
-from glenfold.rules.fleet.incidents import Ended, Resumed
+from glenfold.rules.fleet.inputs import Exited, SupervisorStarted
 from glenfold.rules.fleet.lifecycle import Lifecycle
 from glenfold.rules.fleet.roll import RollControl
 from glenfold.rules.fleet.state import NEVER, Instance, Phase
@@ -15,14 +15,16 @@
         self._roll = roll
         self._lifecycle = lifecycle
 
-    def resume(self, found: Resumed, now: float) -> None:
+    def resume(self, found: SupervisorStarted, now: float) -> None:
         state = self._context.state
         state.down = False
-        if not found.again:
+        if not found.same_boot:
             self._discard_times(now)
-        kill_at = now + self._context.terms.stop_within_s
+        kill_at = now + self._context.options.stop_within_s
         for name, instance in list(state.instances.items()):
-            instance.leaving = {process: kill_at for process in instance.leaving if process in found.alive}
+            instance.leaving = {
+                process: kill_at for process in instance.leaving if process in found.live_processes
+            }
             self._resume_instance(name, instance, found, now)
 
     def _discard_times(self, now: float) -> None:
@@ -38,20 +40,20 @@
             if instance.phase is not Phase.HELD:
                 instance.phase = Phase.DUE
 
-    def _resume_instance(self, name: str, instance: Instance, found: Resumed, now: float) -> None:
-        if instance.replacing and instance.successor not in found.alive:
+    def _resume_instance(self, name: str, instance: Instance, found: SupervisorStarted, now: float) -> None:
+        if instance.replacing and instance.successor not in found.live_processes:
             instance.clear_successor()
             self._roll.retry_step(name)
         running = found.answering.get(name)
-        if running is None and instance.process in found.alive:
+        if running is None and instance.process in found.live_processes:
             running = instance.process
         if running is None:
             self._resume_missing(name, instance, now)
         elif running == instance.successor:
-            if instance.process not in found.alive:
-                self._lifecycle.succeed(instance, now)
+            if instance.process not in found.live_processes:
+                self._lifecycle.continue_with_successor(instance, now)
         elif running != instance.process:
-            if instance.process not in found.alive:
+            if instance.process not in found.live_processes:
                 instance.process = None
             self._lifecycle.adopt(name, instance, running, now)
         else:
@@ -69,8 +71,8 @@
         if instance.phase is Phase.HELD:
             return
         if instance.process is not None:
-            ended = Ended(name, instance.process, "while no supervisor looked on")
-            self._lifecycle.ended(ended, now)
+            exited = Exited(name, instance.process, "while no supervisor looked on")
+            self._lifecycle.on_exited(exited, now)
         elif self._context.is_wanted(name):
             due_at = max(instance.due_at, now) if instance.phase is Phase.DUE else now
             instance.schedule(due_at, now)
--- a/glenfold/rules/fleet/roll.py
+++ b/glenfold/rules/fleet/roll.py
@@ -15,10 +15,10 @@
     def __init__(self, context: Context) -> None:
         self._context = context
 
-    def refusal(self, most_out: int) -> str | None:
+    def rejection_reason(self, most_out: int) -> str | None:
         """Why a roll can't begin now; None if it can."""
         context, roll = self._context, self._context.state.roll
-        count = len(context.terms.instances)
+        count = len(context.options.instances)
         if context.state.down:
             return "the fleet is going down"
         if roll is not None:
@@ -28,10 +28,10 @@
             return f"{most_out} of {count} instances out at once would leave none, or never begin"
         unready = self.out_of_service()
         if len(unready) >= most_out:
-            return "not ready: " + ", ".join(self._described(name) for name in unready)
+            return "not ready: " + ", ".join(self._describe(name) for name in unready)
         return None
 
-    def _described(self, name: str) -> str:
+    def _describe(self, name: str) -> str:
         instance = self._context.state.instances[name]
         replacing = ", being replaced" if instance.replacing else ""
         return f"{name} ({instance.phase.value}{replacing})"
@@ -41,19 +41,19 @@
         instances = self._context.state.instances
         return [
             name
-            for name in self._context.terms.instances
+            for name in self._context.options.instances
             if name in stepping or instances[name].replacing or instances[name].phase is not Phase.READY
         ]
 
     def begin(self, most_out: int, now: float) -> None:
         context = self._context
-        names = context.terms.instances
+        names = context.options.instances
         before = context.service or Shares()
-        if before.asked < context.terms.least_asked:
+        if before.asked < context.options.least_asked:
             before = Shares(before.asked)
         context.state.roll = Roll(list(names), most_out, before, now)
         context.state.rolls += 1
-        context.tell(
+        context.log(
             "fleet.roll_begun",
             instances=len(names),
             most_out=most_out,
@@ -67,12 +67,12 @@
         roll.running = True
         roll.reason = ""
         roll.waits_since = None
-        self._context.tell("fleet.roll_continued", left=len(roll.todo))
+        self._context.log("fleet.roll_continued", left=len(roll.todo))
 
     def call_off(self) -> None:
         roll = self._context.state.roll
         assert roll is not None
-        self._context.tell("fleet.roll_called_off", done=len(roll.done))
+        self._context.log("fleet.roll_called_off", done=len(roll.done))
         self.finish("called off")
 
     def finish(self, outcome: str) -> None:
@@ -89,7 +89,7 @@
         roll.reason = reason
         roll.todo = [*roll.out, *roll.todo]
         roll.out = []
-        self._context.tell("fleet.roll_stopped", reason=reason, done=len(roll.done), left=len(roll.todo))
+        self._context.log("fleet.roll_stopped", reason=reason, done=len(roll.done), left=len(roll.todo))
 
     def retry_step(self, name: str) -> None:
         """Puts an instance whose step was interrupted at the head of the queue."""
--- a/glenfold/rules/service.py
+++ b/glenfold/rules/service.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-REFUSED = ("answered_busy", "fail_fast", "crowded_out")
-UNANSWERED = ("answered_failed", "left")
-Three = tuple[int, int, int]  # up, refused, unanswered
+REFUSED_COUNTERS = ("answered_busy", "fail_fast", "crowded_out")
+UNANSWERED_COUNTERS = ("answered_failed", "left")
+RequestCounts = tuple[int, int, int]  # up, refused, unanswered
 
 
 class Shares(msgspec.Struct, frozen=True):
@@ -23,12 +23,12 @@
     unanswered: float = 0.0
 
 
-def three(counters: Mapping[str, int]) -> Three:
+def request_counts(counters: Mapping[str, int]) -> RequestCounts:
     """From the relay's own counters, by their names; a counter that is missing is 0."""
     return (
         counters.get("answered_up", 0),
-        sum(counters.get(name, 0) for name in REFUSED),
-        sum(counters.get(name, 0) for name in UNANSWERED),
+        sum(counters.get(name, 0) for name in REFUSED_COUNTERS),
+        sum(counters.get(name, 0) for name in UNANSWERED_COUNTERS),
     )
 
 
@@ -38,15 +38,15 @@
 
     def __init__(self, length_s: float) -> None:
         self.length_s = length_s
-        self._last: dict[str, tuple[str, Three]] = {}
-        self._gains: deque[tuple[float, Three]] = deque()
+        self._last: dict[str, tuple[str, RequestCounts]] = {}
+        self._gains: deque[tuple[float, RequestCounts]] = deque()
 
     def read(
         self, now: float, name: str, process: str, counters: Mapping[str, int], *, started_here: bool
     ) -> None:
         """`started_here`: the process counts from 0 since this window has been looking on, so that its first
         figures are news; those of a process that was found running are where counting starts."""
-        new = three(counters)
+        new = request_counts(counters)
         before_process, before = self._last.get(name, ("", (0, 0, 0)))
         if before_process != process:
             before = (0, 0, 0) if started_here else new
--- a/tests/daemon/supervising.py
+++ b/tests/daemon/supervising.py
@@ -16,7 +16,7 @@
 from glenfold.daemon.ask import NoAnswer, ask
 from glenfold.daemon.logfiles import LogFiles
 from glenfold.daemon.supervisor import Order, Orders, Place, Supervisor
-from glenfold.rules.fleet.terms import Terms
+from glenfold.rules.fleet.options import Options
 
 supervisor_module.LOOK_S = 0.05
 FAKE = str(Path(__file__).with_name("fake_instance.py"))
@@ -33,7 +33,7 @@
 
 def read(folder: Path, names: tuple[str, ...], terms: dict[str, Any]) -> Order:
     return Order(
-        Terms(names, **(QUICK | terms)), {name: folder / f"{name}.control" for name in names}, lambda: None
+        Options(names, **(QUICK | terms)), {name: folder / f"{name}.control" for name in names}, lambda: None
     )
 
 
--- a/tests/rules/test_fleet_rules.py
+++ b/tests/rules/test_fleet_rules.py
@@ -13,25 +13,25 @@
 from glenfold.logs import EVENTS
 from glenfold.rules.fleet.effects import Effect, Kill, Refuse, Replace, Start, Stop, Tell
 from glenfold.rules.fleet.fleet import Fleet
-from glenfold.rules.fleet.incidents import (
+from glenfold.rules.fleet.inputs import (
     BeginRoll,
     CallOffRoll,
     Command,
     ContinueRoll,
     Down,
-    Ended,
-    Incident,
-    NewTerms,
-    Passed,
+    Exited,
+    Input,
+    NewOptions,
+    ProcessAnswered,
+    ProcessStarted,
     Release,
     ReloadAll,
-    Resumed,
-    Seen,
-    Served,
-    Spawned,
+    ServiceMeasured,
+    SupervisorStarted,
+    TimePassed,
 )
+from glenfold.rules.fleet.options import Options
 from glenfold.rules.fleet.state import Phase, State
-from glenfold.rules.fleet.terms import Terms
 from glenfold.rules.service import Shares, Window
 
 NAMES = ("a", "b", "c", "d")
@@ -41,8 +41,8 @@
 class Machine:
     """Processes, and one supervisor at a time; every effect is checked against what is allowed."""
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms, self.now = terms, 1000.0
+    def __init__(self, options: Options) -> None:
+        self.options, self.now = options, 1000.0
         self.running: dict[str, str] = {}  # process: instance
         self.ready: set[str] = set()
         self.told: set[str] = set()  # to stop
@@ -53,16 +53,16 @@
         self.service = WELL
         self.events: list[Tell] = []
         self.refused = ""
-        self.fleet = Fleet(terms, State(), lambda: 0.5)
+        self.fleet = Fleet(options, State(), lambda: 0.5)
         self.made = 0
         self.killed: list[str] = []  # and not yet seen to have ended
         self.within = 0
 
-    def on(self, incident: Incident, carry_out: int = 1000) -> None:
+    def on(self, event_input: Input, carry_out: int = 1000) -> None:
         """`carry_out`: the supervisor is killed after so many effects."""
         held = self.held()
-        todo = self.fleet.on(incident, self.now)
-        if isinstance(incident, Release):
+        todo = self.fleet.on(event_input, self.now)
+        if isinstance(event_input, Release):
             held &= self.held()
         self.within += 1
         for effect in todo[:carry_out]:
@@ -80,10 +80,10 @@
                 assert name not in held
                 assert name not in self.running.values(), "two processes of one name"
                 self.starts.append((self.now, name))
-                self.on(Spawned(name, self.spawn(name)))
+                self.on(ProcessStarted(name, self.spawn(name)))
             case Replace(name):
                 self.own_out.add(name)
-                self.on(Spawned(name, self.spawn(name)))
+                self.on(ProcessStarted(name, self.spawn(name)))
             case Stop(name, process):
                 assert self.running[process] == name
                 self.told.add(process)
@@ -116,7 +116,7 @@
         if self.answering[name] == process:
             del self.answering[name]
             self.answering.update((of, other) for other, of in self.running.items() if of == name)
-        self.on(Ended(name, process, how))
+        self.on(Exited(name, process, how))
 
     def be_ready(self, process: str) -> None:
         if process in self.told:
@@ -134,8 +134,8 @@
     def look(self, carry_out: int = 1000) -> None:
         for name, process in list(self.answering.items()):
             if process in self.running:
-                self.on(Seen(name, process, process in self.ready))
-        self.on(Served(self.service), carry_out)
+                self.on(ProcessAnswered(name, process, process in self.ready))
+        self.on(ServiceMeasured(self.service), carry_out)
 
     def later(self, seconds: float) -> None:
         self.now += seconds
@@ -144,8 +144,8 @@
     def supervisor_dies(self) -> None:
         """All that is left of it is what it saved."""
         state = msgspec.json.decode(msgspec.json.encode(self.fleet.state), type=State)
-        self.fleet = Fleet(self.terms, state, lambda: 0.5)
-        self.on(Resumed(frozenset(self.running), dict(self.answering)))
+        self.fleet = Fleet(self.options, state, lambda: 0.5)
+        self.on(SupervisorStarted(frozenset(self.running), dict(self.answering)))
 
     def calm(self, seconds: int) -> None:
         """Everything that starts gets ready, everything that is told to stop does."""
@@ -171,20 +171,20 @@
 
 def check_no_storm(machine: Machine) -> None:
     """Starts of one instance within any window, less those that a command asked for."""
-    terms = machine.terms
+    options = machine.options
     for name in NAMES:
         moments = [at for at, of in machine.starts if of == name]
         for first in moments:
-            inside = sum(first <= at < first + terms.loop_window_s for at in moments)
-            assert inside <= terms.loop_ends + machine.asked_for[name]
+            inside = sum(first <= at < first + options.loop_window_s for at in moments)
+            assert inside <= options.loop_ends + machine.asked_for[name]
     every = sorted(at for at, _ in machine.starts)
-    assert all(b - a >= terms.stagger_s for a, b in zip(every, every[1:], strict=False))
+    assert all(b - a >= options.stagger_s for a, b in zip(every, every[1:], strict=False))
 
 
 class FleetModel(RuleBasedStateMachine):
     @initialize(take_over=st.booleans(), stagger_s=st.sampled_from([0.0, 0.4]))
     def begin(self, take_over: bool, stagger_s: float) -> None:
-        self.machine = Machine(Terms(NAMES, stagger_s=stagger_s, loop_ends=4, take_over=take_over))
+        self.machine = Machine(Options(NAMES, stagger_s=stagger_s, loop_ends=4, take_over=take_over))
         self.machine.calm(10)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 6.0, 40.0, 80.0]))
@@ -246,15 +246,15 @@
 TestFleetModel = FleetModel.TestCase
 
 
-def ready_machine(**terms: object) -> Machine:
-    machine = Machine(Terms(NAMES, **terms))  # type: ignore[arg-type]
+def ready_machine(**options: object) -> Machine:
+    machine = Machine(Options(NAMES, **options))  # type: ignore[arg-type]
     machine.calm(10)
     assert machine.phases() == {Phase.READY}
     return machine
 
 
-def rolling_machine(most_out: int = 1, **terms: object) -> Machine:
-    machine = ready_machine(**terms)
+def rolling_machine(most_out: int = 1, **options: object) -> Machine:
+    machine = ready_machine(**options)
     machine.on(BeginRoll(most_out))
     return machine
 
@@ -264,7 +264,7 @@
     for _ in range(3):
         machine.end(machine.answering["a"])
         machine.now += 2
-        machine.on(Passed())
+        machine.on(TimePassed())
     assert [fields["name"] for fields in machine.told_of("fleet.held")] == ["a"]
     starts = len(machine.starts)
     machine.calm(500)
@@ -283,7 +283,7 @@
         machine.end(machine.answering["a"])
         waited = machine.fleet.next_at() - machine.now
         machine.now = machine.fleet.next_at()
-        machine.on(Passed())
+        machine.on(TimePassed())
         return round(waited, 6)
 
     assert [wait() for _ in range(5)] == [1, 2, 4, 5, 5]
@@ -391,14 +391,14 @@
 
 def test_new_terms_start_what_is_new_and_stop_what_is_gone() -> None:
     machine = ready_machine()
-    machine.on(NewTerms(Terms(("a", "e"))))
+    machine.on(NewOptions(Options(("a", "e"))))
     machine.calm(5)
     assert sorted(machine.running.values()) == ["a", "e"] == sorted(machine.fleet.state.instances)
 
 
 def test_on_a_machine_started_anew_a_roll_is_stopped_and_old_moments_mean_nothing() -> None:
     machine = rolling_machine()
-    machine.fleet.on(Resumed(frozenset(), {}, again=False), 5.0)
+    machine.fleet.on(SupervisorStarted(frozenset(), {}, same_boot=False), 5.0)
     assert machine.stopped() == "the machine was started anew"
     assert all(one.starts == 2 for one in machine.fleet.state.instances.values())
 
