--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -19,7 +19,7 @@
 from glenfold.daemon.snapshot_files import Files, HeldElsewhere, Store
 from glenfold.destinations import BadList
 from glenfold.rules.history import History
-from glenfold.rules.snapshots import Owner, Pace, Refused, Snapshot, TooLarge
+from glenfold.rules.snapshots import Owner, Snapshot, SnapshotRefused, TooLarge, WriteSchedule
 from linnetspread import interface as i
 
 READ_S = 2.0  # for the disk to answer at the start
@@ -50,7 +50,7 @@
         self.terms = terms
         self._files = files or Files()
         self._wall = wall
-        self._pace = Pace(terms.every_s, max(terms.every_s, terms.max_age_s / REFRESHES))
+        self._pace = WriteSchedule(terms.every_s, max(terms.every_s, terms.max_age_s / REFRESHES))
         self._history = History()
         self._wake = trio.Event()
         self._ending = False
@@ -75,20 +75,20 @@
         self._store = Store(self.terms.folder, owner, self.terms.max_bytes, self._files)
         relay.destinations.watches.append(self._heard)
         process.life.watches.append(self._lives)
-        found: list[Snapshot | Refused | None] = []
+        found: list[Snapshot | SnapshotRefused | None] = []
         with trio.move_on_at(trio.current_time() + READ_S) as reading:
             found = await trio.to_thread.run_sync(self._store.read, abandon_on_cancel=True)
         if reading.cancelled_caught:
-            self._refuse("", Refused("unreadable", f"the disk did not answer within {READ_S:g} s"))
+            self._refuse("", SnapshotRefused("unreadable", f"the disk did not answer within {READ_S:g} s"))
         told = self._newest(found)
         if told is not None:
             relay.config = replace(relay.config, known={})
             await relay.decisions.tell(told)
 
-    def _newest(self, found: list[Snapshot | Refused | None]) -> i.ServerList | None:
+    def _newest(self, found: list[Snapshot | SnapshotRefused | None]) -> i.ServerList | None:
         whole: list[tuple[Snapshot, str]] = []
         for path, file in zip(self._store.places, found, strict=False):
-            if isinstance(file, Refused):
+            if isinstance(file, SnapshotRefused):
                 self._refuse(path.name, file)
             elif file is not None:
                 whole.append((file, path.name))
@@ -97,11 +97,14 @@
             try:
                 snapshot.check_age(self._wall(), self.terms.max_age_s)
                 told = self._process.relay.destinations.restore(snapshot.document, snapshot.left)
-            except (Refused, BadList) as error:
-                self._refuse(name, error if isinstance(error, Refused) else Refused("damaged", str(error)))
+            except (SnapshotRefused, BadList) as error:
+                self._refuse(
+                    name,
+                    error if isinstance(error, SnapshotRefused) else SnapshotRefused("damaged", str(error)),
+                )
                 continue
             self._took(snapshot, name)
-            if len(whole) < 2 or not whole[0][0].says_as(whole[1][0]):
+            if len(whole) < 2 or not whole[0][0].has_same_content(whole[1][0]):
                 self._pace.changed(urgent=False)  # one damaged file must not bring back who left
             return told
         return None
@@ -114,7 +117,7 @@
             file=name, generation=snapshot.generation, age_s=self._wall() - snapshot.heard_at
         )
 
-    def _refuse(self, name: str, refused: Refused) -> None:
+    def _refuse(self, name: str, refused: SnapshotRefused) -> None:
         self._process.relay.counters.snapshots_refused += 1
         self._refused.append(refused.reason)
         events.snapshot_refused(file=name, error=refused)
@@ -122,7 +125,7 @@
     # ---- what there is to write ----
 
     def _heard(self, told: i.ServerList) -> None:
-        left = self._history.heard(told)
+        left = self._history.record(told)
         if told.kind is i.ListKind.CACHED:
             return
         self._list_at = trio.current_time()
@@ -138,7 +141,7 @@
 
     def _lives(self, before: Life, now: Life) -> None:
         if now in (Life.DRAINING, Life.STOPPED):
-            self._pace.hurry()
+            self._pace.mark_urgent()
             self._wake.set()
 
     def _starts(self) -> dict[int, int]:
@@ -215,7 +218,7 @@
             events.snapshot_written_again(generation=self.generation)
         return True
 
-    def _failed(self, error: Exception, before: Pace) -> None:
+    def _failed(self, error: Exception, before: WriteSchedule) -> None:
         self._pace.failed(trio.current_time(), before)
         if not isinstance(error, HeldElsewhere):
             self._process.relay.counters.snapshots_failed += 1
--- a/glenfold/daemon/snapshot_files.py
+++ b/glenfold/daemon/snapshot_files.py
@@ -11,7 +11,7 @@
 
 from glenfold.destinations import State
 from glenfold.rules.history import Section
-from glenfold.rules.snapshots import Content, Owner, Refused, Snapshot, decode, encode
+from glenfold.rules.snapshots import Content, Owner, Snapshot, SnapshotRefused, decode, encode
 
 ROWS_AT_ONCE = 64  # some 0.1 ms of work,
 PAUSE_S = 0.0005  # after which the event loop gets the interpreter
@@ -89,21 +89,21 @@
     def places(self) -> list[Path]:
         return [self._path("a.snapshot"), self._path("b.snapshot")]
 
-    def read(self) -> list[Snapshot | Refused | None]:
+    def read(self) -> list[Snapshot | SnapshotRefused | None]:
         """Of each place; None where there is nothing."""
         return [self._read(path) for path in self.places]
 
-    def _read(self, path: Path) -> Snapshot | Refused | None:
+    def _read(self, path: Path) -> Snapshot | SnapshotRefused | None:
         try:
             data = self.files.read(path, self.most + 1)
             if data is None:
                 return None
             if len(data) > self.most:
-                return Refused("too_large", f"it is over {self.most} bytes")
+                return SnapshotRefused("too_large", f"it is over {self.most} bytes")
             return decode(data, self.owner)
         except OSError as error:
-            return Refused("unreadable", str(error))
-        except Refused as refused:
+            return SnapshotRefused("unreadable", str(error))
+        except SnapshotRefused as refused:
             return refused
 
     def save(self, heard_at: float, state: State, history: Section | None) -> int:
--- a/glenfold/decisions.py
+++ b/glenfold/decisions.py
@@ -10,7 +10,7 @@
 from glenfold import events
 from glenfold.clock import Clock
 from glenfold.dispatch import Dispatch, RequestAction
-from glenfold.rules.list_changes import joined
+from glenfold.rules.list_changes import merge_changes
 from linnetspread import interface as i
 
 QUEUE = 1024  # messages; senders wait when it is full
@@ -84,7 +84,7 @@
         """With those that follow it, each a turn of the loop behind the other."""
         until = trio.current_time() + min(MOST_JOIN_S, max(JOIN_S, JOIN_TIMES * self._list_took_s))
         while trio.current_time() < until and (following := await self._following()) is not None:
-            both = joined(change, following) if isinstance(following, i.ServerList) else None
+            both = merge_changes(change, following) if isinstance(following, i.ServerList) else None
             if both is None:
                 self._next = following
                 break
--- a/glenfold/logs.py
+++ b/glenfold/logs.py
@@ -186,7 +186,7 @@
 
     def take(self, event: "Event[...]", fields: dict[str, Any]) -> None:
         now = self._now()
-        left_out = event.rate.passes(now)
+        left_out = event.rate.allow(now)
         if left_out is None:
             return
         if left_out:
@@ -196,7 +196,7 @@
         except Exception:  # a value that can't be shown must not end what it happened in
             self.faults += 1
         room = self.writer is not None and self.writer.held < HELD_BYTES // 2
-        if self._newly_lost and room and lines_lost.rate.passes(now) is not None:
+        if self._newly_lost and room and lines_lost.rate.allow(now) is not None:
             self._tell_lost()
 
     @property
@@ -235,7 +235,7 @@
     def finish(self) -> None:
         """Tells what was left out, and gives the last lines a moment to get out."""
         for event in EVENTS.values():
-            if left_out := event.rate.taken_out():
+            if left_out := event.rate.take_left_out():
                 events_left_out(kind=event.name, lines=left_out)
         if self.writer is not None:
             if self._newly_lost:
--- a/glenfold/net/discovery.py
+++ b/glenfold/net/discovery.py
@@ -97,7 +97,7 @@
         wait_s, busy, began = 0.0, False, -math.inf
         if self._destinations.listed:  # with a list to go by it can wait for its turn
             self._known_of = self._address
-            wait_s = self._backoff.first_s(self._first_within_s)
+            wait_s = self._backoff.first_delay_s(self._first_within_s)
         while True:
             address = self._address
             with trio.CancelScope() as self._scope:
@@ -105,10 +105,10 @@
                 began = trio.current_time()
                 busy = await self._call()
             if self._address != address:
-                self._backoff.worked()
-                wait_s = self._backoff.first_s(SOON_S)
+                self._backoff.reset()
+                wait_s = self._backoff.first_delay_s(SOON_S)
             else:
-                wait_s = self._backoff.again_s(
+                wait_s = self._backoff.retry_delay_s(
                     busy, max(began, self.heard_at) + NEXT_CALL_S - trio.current_time()
                 )
 
@@ -164,7 +164,7 @@
                 if word:
                     self.heard_at = trio.current_time()
                     self._known_of = address
-                    self._backoff.worked()
+                    self._backoff.reset()
             if objects.size:
                 raise BadList("a watch ended within an object")
 
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -67,11 +67,11 @@
             yield event
             return
         servers = self.destinations.count
-        part = self.group_parts.take(event.group, event.key, len(self.ids), servers)
+        part = self.group_parts.add_member(event.group, event.key, len(self.ids), servers)
         try:
             yield replace(event, group=part)
         finally:
-            self.group_parts.release(event.group)
+            self.group_parts.remove_member(event.group)
 
     def end_by(self, moment: float) -> None:
         """Who still waits by then gets a final answer, however much longer it would."""
--- a/glenfold/replica/follower.py
+++ b/glenfold/replica/follower.py
@@ -101,7 +101,9 @@
                     await self._follow_each()
                 left, self.watch = self.watch, None
                 self._calls.close_all()
-                await trio.sleep(self._choice.leave_s(0 if left is None else left.call.greeting.children))
+                await trio.sleep(
+                    self._choice.leave_delay_s(0 if left is None else left.call.greeting.children)
+                )
 
     # ---- one parent after the other ----
 
@@ -114,11 +116,11 @@
     async def _first(self) -> Watch:
         """Where there is none to stay with: the least old, if none is fresh."""
         while True:
-            found = await self._look(self._choice.in_turn(trio.current_time()))
+            found = await self._look(self._choice.available(trio.current_time()))
             self._calls.close_all(but=None if found is None else found.call)
             if found is not None:
                 return found
-            await trio.sleep_until(self._choice.next_turn_s(trio.current_time()))
+            await trio.sleep_until(self._choice.next_available_s(trio.current_time()))
 
     async def _hold(self, watch: Watch) -> Watch | None:
         """Until its end, or until there is a better one: that one."""
@@ -135,7 +137,7 @@
             nursery.cancel_scope.cancel()
         self._calls.close_all(but=None if self._next is None else self._next.call)
         if self._next is None:
-            await trio.sleep(self._choice.leave_s(watch.call.greeting.children))
+            await trio.sleep(self._choice.leave_delay_s(watch.call.greeting.children))
         return self._next
 
     async def _catch_up(self, watch: Watch) -> None:
@@ -152,7 +154,7 @@
                 watch.leave_at_s = float("inf")
                 if body is None:
                     self._renew(watch, trio.current_time())
-                    self._choice.sound(watch.parent, trio.current_time())
+                    self._choice.mark_sound(watch.parent, trio.current_time())
                 else:
                     await self._take_change(watch, body)
             raise h11.RemoteProtocolError("the watch ended")
@@ -169,7 +171,7 @@
         watch.after = body.revision
         now_s = trio.current_time()
         renewed = now_s - watch.renewed_at_s <= FRESH_AGE_S and now_s > watch.call.began_at_s + CATCHING_UP_S
-        if watch.call.greeting.source or renewed:
+        if watch.call.greeting.is_source or renewed:
             self._renew(watch, now_s)
 
     def _renew(self, watch: Watch, renewed_at_s: float) -> None:
@@ -180,13 +182,13 @@
 
     async def _seek(self, watch: Watch, scope: trio.CancelScope) -> None:
         """Looks for a fresher parent while this one is silent, and for a nearer one while it is not."""
-        home_at_s = trio.current_time() + self._choice.home_look_s()
+        home_at_s = trio.current_time() + self._choice.nearer_check_delay_s()
         while True:
             now_s = trio.current_time()
             if watch.silent(now_s):
                 parents = self._instead(watch, now_s)
             elif now_s >= home_at_s:
-                home_at_s = now_s + self._choice.home_look_s()
+                home_at_s = now_s + self._choice.nearer_check_delay_s()
                 parents = self._choice.nearer(watch.parent, now_s)
             else:
                 parents = []
@@ -202,11 +204,11 @@
     def _instead(self, watch: Watch, now_s: float) -> list[Parent]:
         """Those to be asked now that it is silent, itself last: it may have lost this connection alone."""
         if watch.leave_at_s == float("inf"):
-            watch.leave_at_s = now_s + self._choice.leave_s(watch.call.greeting.children)
+            watch.leave_at_s = now_s + self._choice.leave_delay_s(watch.call.greeting.children)
         if now_s < watch.leave_at_s:
             return []
-        watch.leave_at_s = now_s + self._choice.slow_look_s()
-        parents = self._choice.in_turn(now_s)
+        watch.leave_at_s = now_s + self._choice.fresher_check_delay_s()
+        parents = self._choice.available(now_s)
         return sorted(parents, key=lambda parent: parent == watch.parent)
 
     @staticmethod
@@ -261,19 +263,19 @@
         """Of a parent whose lists are behind what is known, but which the source renews."""
         succession = self._taking.succession
         for parent in tuple(self._calls.behind):
-            succession.believe(parent.address)
+            succession.trust(parent.address)
             found = await self._calls.answer(parent)
             if found is None:
                 continue
             if await self._calls.speaks(found) and (watch := await self._adopt(found)) is not None:
                 return watch
             self._calls.close(found)
-        succession.believe(None)
+        succession.trust(None)
         return None
 
     async def _take_up(self, fresh: Call, held: Watch | None) -> Watch | None:
         """A watch that is sound is left only for a parent that has been so for a while."""
-        long_sound = self._choice.sound(fresh.parent, trio.current_time())
+        long_sound = self._choice.mark_sound(fresh.parent, trio.current_time())
         if held is None or held.silent(trio.current_time()):
             return await self._adopt(fresh)
         if long_sound and await self._calls.speaks(fresh):
@@ -285,5 +287,5 @@
         adopted = await self._calls.adopt(found)
         if adopted is None or adopted.revision is None:
             return None
-        renewed_at_s = float("-inf") if adopted.greeting.source else adopted.renewed_at_s
+        renewed_at_s = float("-inf") if adopted.greeting.is_source else adopted.renewed_at_s
         return Watch(adopted, adopted.revision, trio.current_time(), renewed_at_s)
--- a/glenfold/replica/parent_calls.py
+++ b/glenfold/replica/parent_calls.py
@@ -10,8 +10,8 @@
 from glenfold.destinations import BadList
 from glenfold.replica.list_taking import ListTaking
 from glenfold.replica.parent_watch import FAULTS, GONE, Call, call
-from glenfold.rules.greeting import BadGreeting
 from glenfold.rules.parent_choice import ParentChoice, Refusal
+from glenfold.rules.parent_header import ParentHeaderError
 from glenfold.rules.source_lease import SILENCE_S
 from glenfold.rules.succession import Verdict
 
@@ -82,7 +82,7 @@
         """A watch to be held, after the whole list where changes alone would not do; None: it is refused."""
         succession = self._taking.succession
         try:
-            if succession.needs_whole(found.origin, found.status == GONE):
+            if succession.needs_whole_list(found.origin, found.status == GONE):
                 await self._take_whole(found)
                 found = await self._call(found.parent)
                 self._check(found)
@@ -100,7 +100,7 @@
         after that."""
         if fresh.greeting.age_s > FRESH_AGE_S:
             return False
-        if not fresh.greeting.source:
+        if not fresh.greeting.is_source:
             return True
         trial = None
         try:
@@ -120,14 +120,14 @@
 
     def refuse(self, parent: Parent, error: Exception) -> None:
         """Logged once for each kind of fault in a row of one parent."""
-        why = Refusal.FAULTY if isinstance(error, BadList | BadGreeting) else Refusal.UNREACHABLE
+        why = Refusal.FAULTY if isinstance(error, BadList | ParentHeaderError) else Refusal.UNREACHABLE
         retry_after_s = None
         if isinstance(error, Refused):
             why, retry_after_s = error.why, error.retry_after_s
         if why is Refusal.BEHIND:
             self.behind.add(parent)
         self.refused[why] += 1
-        self._choice.refuse(parent, why, trio.current_time(), retry_after_s)
+        self._choice.record_refusal(parent, why, trio.current_time(), retry_after_s)
         if why is not Refusal.STALE and self._told.get(parent) != repr(error):
             self._told[parent] = repr(error)
             events.parent_refused(address=written(parent.address), why=why.value, error=error)
@@ -160,7 +160,7 @@
                 raise Refused(Refusal.FAULTY)
             if self._name is not None and self._name in found.greeting.via:
                 raise Refused(Refusal.LOOP)
-            if self._taking.succession.behind(found.origin, gone or found.status == GONE):
+            if self._taking.succession.is_behind(found.origin, gone or found.status == GONE):
                 raise Refused(Refusal.BEHIND)
         except Refused:
             self.close(found)
@@ -181,4 +181,4 @@
                 raise Refused(Refusal.BEHIND)
         finally:
             self.close(found)
-        self._taking.renew(trio.current_time() if found.greeting.source else found.renewed_at_s)
+        self._taking.renew(trio.current_time() if found.greeting.is_source else found.renewed_at_s)
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -11,7 +11,7 @@
 from glenfold.config.platform import Parent
 from glenfold.destinations import BadList
 from glenfold.net.lists import LONGEST_LINE, Exchange, Objects
-from glenfold.rules.greeting import BadGreeting, Greeting, read_greeting
+from glenfold.rules.parent_header import ParentHeader, ParentHeaderError, read_parent_header
 from glenfold.rules.replication import INCARNATION_FIELD
 from glenfold.rules.succession import Origin
 
@@ -27,7 +27,7 @@
     trio.BrokenResourceError,
     trio.ClosedResourceError,
     h11.ProtocolError,
-    BadGreeting,
+    ParentHeaderError,
 )
 
 
@@ -69,7 +69,7 @@
         self.revision = revision  # that its watch goes on from; None: the whole list was asked for
         self.within_object = False  # of a watch: one has begun and not ended
         self.status = response.status_code
-        self.greeting: Greeting = read_greeting(response.headers)
+        self.greeting: ParentHeader = read_parent_header(response.headers)
         self.origin = Origin(parent.address, self.greeting.incarnation)
         self.began_at_s = trio.current_time()
         self._stream = stream
--- a/glenfold/replica/requests.py
+++ b/glenfold/replica/requests.py
@@ -5,7 +5,7 @@
 import h11
 
 from glenfold.net.sockets import SocketType
-from glenfold.rules.replication_http import MOST_REQUEST_BYTES, Refusal
+from glenfold.rules.replication_http import MAX_REQUEST_BYTES, RequestError
 
 READ_BYTES = 4096
 
@@ -24,7 +24,7 @@
         if not data:
             return None
         self._ahead = b""
-        connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_REQUEST_BYTES)
+        connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_REQUEST_BYTES)
         connection.receive_data(data)
         request: h11.Request | None = None
         try:
@@ -40,8 +40,8 @@
                     self._ahead = connection.trailing_data[0]
                     return request
                 elif isinstance(event, h11.Data):
-                    raise Refusal(HTTPStatus.BAD_REQUEST, "a request with a body")
+                    raise RequestError(HTTPStatus.BAD_REQUEST, "a request with a body")
                 else:
                     return None
         except h11.RemoteProtocolError as error:
-            raise Refusal(HTTPStatus.BAD_REQUEST, str(error)) from error
+            raise RequestError(HTTPStatus.BAD_REQUEST, str(error)) from error
--- a/glenfold/replica/server.py
+++ b/glenfold/replica/server.py
@@ -22,13 +22,13 @@
 from glenfold.replica.watches import Watch, Watches
 from glenfold.rules.replication import ListDocument, Position
 from glenfold.rules.replication_admission import WholeListAdmission
-from glenfold.rules.replication_history import FutureRevision, PastRevision, RevisionHistory, around_chunk
+from glenfold.rules.replication_history import FutureRevision, PastRevision, RevisionHistory, chunk_framing
 from glenfold.rules.replication_http import (
-    Refusal,
-    Source,
+    ListStatus,
+    RequestError,
     WatchRequest,
+    error_response,
     read_request,
-    refusal,
     watch_head,
     whole_list_head,
 )
@@ -90,7 +90,7 @@
         before = self._history.position
         self._history.add(document)
         self._counters.published += 1
-        if document.anew or before is None or before.incarnation != document.position.incarnation:
+        if document.restarts_history or before is None or before.incarnation != document.position.incarnation:
             self._reads_history = self._earlier is not None
             self._begun.set()
             self._counters.incarnations += 1
@@ -142,7 +142,7 @@
             changes = await earlier(since, begin)
             if changes:
                 with suppress(ValueError):  # another history has begun meanwhile, or changes have gone
-                    taken = self._history.lead_in(since, changes)
+                    taken = self._history.prepend_changes(since, changes)
                     self._counters.history_read += taken
                     events.history_read(changes=taken, revision=begin.revision)
                 return
@@ -182,10 +182,10 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             try:
                 await self._talk(sock)
-            except Refusal as error:
+            except RequestError as error:
                 self._count(error)
                 source = None if self._history.position is None else self._source()
-                await self._part(sock, refusal(error, source))
+                await self._part(sock, error_response(error, source))
         except (OSError, trio.ClosedResourceError):  # the child has gone
             pass
         except Exception as error:
@@ -240,11 +240,11 @@
         finally:
             self._children -= 1
 
-    def _unavailable(self, reason: str, spread_s: float) -> Refusal:
+    def _unavailable(self, reason: str, spread_s: float) -> RequestError:
         retry_after_s = 1 + round(self._chance.uniform(0.0, spread_s))
-        return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, reason, retry_after_s)
+        return RequestError(HTTPStatus.SERVICE_UNAVAILABLE, reason, retry_after_s)
 
-    def _count(self, error: Refusal) -> None:
+    def _count(self, error: RequestError) -> None:
         match error.status:
             case HTTPStatus.BAD_REQUEST:
                 self._counters.malformed += 1
@@ -279,9 +279,9 @@
             raise self._unavailable("there is no list yet", NOT_READY_RETRY_S)
         return self._history.position
 
-    def _source(self) -> Source:
+    def _source(self) -> ListStatus:
         via = (*self._above, self._name)
-        return Source(self._position(), self._age_s(), via, self.children)
+        return ListStatus(self._position(), self._age_s(), via, self.children)
 
     @contextmanager
     def _admitted(self, size: int) -> Iterator[None]:
@@ -290,7 +290,7 @@
             self._counters.whole_lists_deferred += 1
             events.lists_deferred(deferred=self._counters.whole_lists_deferred)
             retry_after_s = self._admission.retry_after_s(now_s, size)
-            raise Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "whole lists wait", retry_after_s)
+            raise RequestError(HTTPStatus.SERVICE_UNAVAILABLE, "whole lists wait", retry_after_s)
         self._counters.whole_lists += 1
         try:
             yield
@@ -309,14 +309,14 @@
         try:
             index = self._history.index_after(asked.revision, asked.incarnation)
         except FutureRevision:
-            raise Refusal(HTTPStatus.GONE, f"{asked.revision} is of the future") from None
+            raise RequestError(HTTPStatus.GONE, f"{asked.revision} is of the future") from None
         except PastRevision:
             if self._reads_history:
                 self._counters.not_ready += 1
                 raise self._unavailable("the history is being read", NOT_READY_RETRY_S) from None
             index, body = self._history.end_index, self._history.whole()
             with self._admitted(len(body)):
-                before, after = around_chunk(len(body) + len(END_OF_LINE))
+                before, after = chunk_framing(len(body) + len(END_OF_LINE))
                 line_end = END_OF_LINE + after
                 if not await self._send_list(sock, watch_head(source) + before, body, line_end):
                     return
--- a/glenfold/replica/watches.py
+++ b/glenfold/replica/watches.py
@@ -110,7 +110,7 @@
         newest = (position.incarnation, self._history.end_index)
         if newest != self._written_to:
             self._written_to = newest
-            self._lease.line_went_out(trio.current_time())
+            self._lease.record_line(trio.current_time())
             await self._each(self._advance)
         elif self._lease.take_renewal(trio.current_time()):
             self._counters.renewals_told += 1
--- a/glenfold/rules/backoff.py
+++ b/glenfold/rules/backoff.py
@@ -14,35 +14,37 @@
 
     def __init__(
         self,
-        least_s: float,
+        min_s: float,
         spread_s: float,
-        most_times: float,
-        chance: random.Random,
-        soon_s: float = math.inf,
+        max_factor: float,
+        rng: random.Random,
+        initial_spread_s: float = math.inf,
     ) -> None:
-        self._least_s = least_s
+        self._min_s = min_s
         self._spread_s = spread_s
-        self._soon_s = soon_s
-        self._most_times = most_times
-        self._chance = chance
-        self._times = 1.0
+        self._initial_spread_s = initial_spread_s
+        self._max_factor = max_factor
+        self._rng = rng
+        self._factor = 1.0
 
-    def first_s(self, within_s: float = math.inf) -> float:
+    def first_delay_s(self, within_s: float = math.inf) -> float:
         """Before the first call of all, or of another service."""
-        return self._chance.uniform(0.0, min(self._spread_s, within_s))
+        return self._rng.uniform(0.0, min(self._spread_s, within_s))
 
-    def again_s(self, busy: bool = True, within_s: float = math.inf) -> float:
+    def retry_delay_s(self, busy: bool = True, within_s: float = math.inf) -> float:
         """Before the next call, after one more fault. `busy`: it was refused as one too many. `within_s`: the
         longest wait allowed then; the least wait is kept all the same."""
-        least = self._least_s * self._chance.uniform(0.5, 1.0)
+        min_delay_s = self._min_s * self._rng.uniform(0.5, 1.0)
         if not busy:
-            return least + self.first_s(min(self._soon_s, max(0.0, within_s - least)))
-        times, self._times = self._times, min(self._most_times, 2 * self._times)
-        if times * (self._least_s + self._spread_s) <= within_s:
-            return times * (least + self.first_s())
-        latest = max(least, within_s)
-        return self._chance.uniform(max(least, latest * (1 - 1 / times)), latest)
+            return min_delay_s + self.first_delay_s(
+                min(self._initial_spread_s, max(0.0, within_s - min_delay_s))
+            )
+        factor, self._factor = self._factor, min(self._max_factor, 2 * self._factor)
+        if factor * (self._min_s + self._spread_s) <= within_s:
+            return factor * (min_delay_s + self.first_delay_s())
+        latest_s = max(min_delay_s, within_s)
+        return self._rng.uniform(max(min_delay_s, latest_s * (1 - 1 / factor)), latest_s)
 
-    def worked(self) -> None:
+    def reset(self) -> None:
         """The next refusal is the first of a row."""
-        self._times = 1.0
+        self._factor = 1.0
--- a/glenfold/rules/group_parts.py
+++ b/glenfold/rules/group_parts.py
@@ -9,27 +9,29 @@
 import math
 from collections import Counter
 
-MASK = (1 << 64) - 1
-GOLDEN = 0x9E3779B97F4A7C15  # odd; spreads consecutive numbers over 64 bits
-LEAST_ROOM = 0.25  # connections of a server here; with fewer, what is held says nothing of a group's size
-PARTS_A_ROOM = 4  # so small that a part does not crowd out the server's other connections
-DEVIATIONS = 3.0  # by which a count may exceed its expectation without being taken for more
+MASK_64 = (1 << 64) - 1
+GOLDEN_GAMMA = 0x9E3779B97F4A7C15  # odd; spreads consecutive numbers over 64 bits
+MIN_CONNECTIONS_PER_SERVER = (
+    0.25  # connections of a server here; with fewer, what is held says nothing of a group's size
+)
+PARTS_PER_SERVER_SHARE = 4  # so small that a part does not crowd out the server's other connections
+STANDARD_DEVIATIONS = 3.0  # by which a count may exceed its expectation without being taken for more
 
 
-def mixed(value: int) -> int:
+def mix64(value: int) -> int:
     """The finaliser of splitmix64: the same at every relay."""
-    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK
+    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64
+    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK_64
     return value ^ (value >> 31)
 
 
-def parts_for(members: int, room: float) -> int:
+def part_count(members: int, connections_per_server: float) -> int:
     """How many parts a group needs when one server has `room` connections of this relay, on average: a power
     of two, so that relays whose counts differ a little agree, and 1 for all but large groups."""
-    certain = members - DEVIATIONS * math.sqrt(members)
-    if room < LEAST_ROOM or certain < room:
+    min_members = members - STANDARD_DEVIATIONS * math.sqrt(members)
+    if connections_per_server < MIN_CONNECTIONS_PER_SERVER or min_members < connections_per_server:
         return 1
-    return 1 << int(PARTS_A_ROOM * certain / room).bit_length()
+    return 1 << int(PARTS_PER_SERVER_SHARE * min_members / connections_per_server).bit_length()
 
 
 class GroupParts:
@@ -43,16 +45,16 @@
         """Groups that are counted."""
         return len(self._members)
 
-    def take(self, group: int, key: int, connections: int, servers: int) -> int:
+    def add_member(self, group: int, key: int, connections: int, servers: int) -> int:
         """The group key that the decisions are given for a new member with that client key; `release` undoes
         its count. `connections`: of all groups, here; `servers`: listed."""
         if not group:
             return 0
         self._members[group] += 1
-        parts = parts_for(self._members[group], connections / max(servers, 1))
-        return part_key(group, mixed(group ^ key) % parts)
+        parts = part_count(self._members[group], connections / max(servers, 1))
+        return part_key(group, mix64(group ^ key) % parts)
 
-    def release(self, group: int) -> None:
+    def remove_member(self, group: int) -> None:
         """A member that was taken has gone."""
         if not group:
             return
@@ -63,4 +65,4 @@
 
 def part_key(group: int, part: int) -> int:
     """The key of one part; the first keeps the group's own, so that a group that grows moves nobody there."""
-    return group ^ mixed(part * GOLDEN & MASK) if part else group
+    return group ^ mix64(part * GOLDEN_GAMMA & MASK_64) if part else group
--- a/glenfold/rules/history.py
+++ b/glenfold/rules/history.py
@@ -5,7 +5,7 @@
 from linnetspread import interface as i
 
 FORMAT = 1
-MOST_CHANGES = 4096
+MAX_CHANGES = 4096
 
 Row = tuple[int, float] | tuple[int]  # a server that became ready, with its share; one that ceased to be
 
@@ -23,30 +23,32 @@
 class History:
     """Over `most` changes since the first list it is given up: it must be bounded."""
 
-    most: int = MOST_CHANGES
+    max_changes: int = MAX_CHANGES
     ready: dict[int, float] = field(default_factory=dict)  # with the share that each came with
-    _built: tuple[Row, ...] | None = None
+    _initial: tuple[Row, ...] | None = None
     _changes: list[Row] = field(default_factory=list)
 
-    def heard(self, told: i.ServerList) -> bool:
+    def record(self, server_list: i.ServerList) -> bool:
         """Whether a ready server left with this list, or is not in it."""
-        now = dict(self.ready) if told.kind is i.ListKind.DELTA else {}
-        for line in told.servers:
+        ready_now = dict(self.ready) if server_list.kind is i.ListKind.DELTA else {}
+        for line in server_list.servers:
             if line.state is i.ServerState.READY:
-                now[line.server] = self.ready.get(line.server, line.weight)
+                ready_now[line.server] = self.ready.get(line.server, line.weight)
             else:
-                now.pop(line.server, None)
-        left = sorted(self.ready.keys() - now.keys())
-        came: list[Row] = [(server, now[server]) for server in sorted(now.keys() - self.ready.keys())]
-        self.ready = now
-        if self._built is None:
-            self._built = tuple(came)
-        elif len(self._changes) <= self.most:
-            self._changes += [*((server,) for server in left), *came]
-        return bool(left)
+                ready_now.pop(line.server, None)
+        departed = sorted(self.ready.keys() - ready_now.keys())
+        arrived: list[Row] = [
+            (server, ready_now[server]) for server in sorted(ready_now.keys() - self.ready.keys())
+        ]
+        self.ready = ready_now
+        if self._initial is None:
+            self._initial = tuple(arrived)
+        elif len(self._changes) <= self.max_changes:
+            self._changes += [*((server,) for server in departed), *arrived]
+        return bool(departed)
 
     def section(self) -> Section | None:
         """None before the first list, and when it was given up."""
-        if self._built is None or len(self._changes) > self.most:
+        if self._initial is None or len(self._changes) > self.max_changes:
             return None
-        return Section(len(self._built), (*self._built, *self._changes))
+        return Section(len(self._initial), (*self._initial, *self._changes))
--- a/glenfold/rules/list_changes.py
+++ b/glenfold/rules/list_changes.py
@@ -7,7 +7,7 @@
 from linnetspread import interface as i
 
 
-def joined(earlier: i.ServerList, later: i.ServerList) -> i.ServerList | None:
+def merge_changes(earlier: i.ServerList, later: i.ServerList) -> i.ServerList | None:
     """One change that leads to where both lead, with what was said last of each server; None if one of them
     is a whole list or tells of a failure."""
     if earlier.kind is not i.ListKind.DELTA or later.kind is not i.ListKind.DELTA:
--- a/glenfold/rules/greeting.py
+++ b/glenfold/rules/parent_header.py
@@ -13,16 +13,16 @@
 )
 
 RETRY_AFTER_FIELD = "Retry-After"
-MOST_HOPS = 16  # replicas between the source and a child
-MOST_NUMBER = 1 << 63  # bound of incarnations, counts and ages in a header
+MAX_HOPS = 16  # replicas between the source and a child
+MAX_NUMBER = 1 << 63  # bound of incarnations, counts and ages in a header
 
 
-class BadGreeting(Exception):
+class ParentHeaderError(Exception):
     """A header field of a replica can't be read."""
 
 
 @dataclass(frozen=True, slots=True)
-class Greeting:
+class ParentHeader:
     """`via`: the replicas from the source to the parent; none: the parent is the source. `incarnation`: None
     if it names none. `age_s`: since the source last renewed, infinite if a replica was never renewed.
     `retry_after_s`: None if it does not say."""
@@ -34,29 +34,29 @@
     retry_after_s: float | None = None
 
     @property
-    def source(self) -> bool:
+    def is_source(self) -> bool:
         return not self.via
 
 
-def read_greeting(fields: Iterable[tuple[bytes, bytes]]) -> Greeting:
+def read_parent_header(fields: Iterable[tuple[bytes, bytes]]) -> ParentHeader:
     """Field names count without their case. Raises BadGreeting."""
-    told: dict[str, str] = {}
+    values: dict[str, str] = {}
     for name, value in fields:
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
-        told[key] = f"{told[key]}, {text}" if key in told else text
-    via = _via(told.get(VIA_FIELD.lower(), ""))
-    incarnation = _whole(told, INCARNATION_FIELD)
+        values[key] = f"{values[key]}, {text}" if key in values else text
+    via = _via(values.get(VIA_FIELD.lower(), ""))
+    incarnation = _integer(values, INCARNATION_FIELD)
     if via and incarnation is None:
         incarnation = 0
-    age_s = _seconds(told, AGE_FIELD)
+    age_s = _seconds(values, AGE_FIELD)
     if age_s is None:
         age_s = math.inf if via else 0.0
-    return Greeting(
+    return ParentHeader(
         via=via,
         incarnation=incarnation,
         age_s=age_s,
-        children=_whole(told, CHILDREN_FIELD) or 0,
-        retry_after_s=_retry_after(told),
+        children=_integer(values, CHILDREN_FIELD) or 0,
+        retry_after_s=_retry_after(values),
     )
 
 
@@ -67,36 +67,36 @@
     for hop in text.split(","):
         protocol, _, name = hop.strip().partition(" ")
         if protocol != VIA_PROTOCOL or not name.strip():
-            raise BadGreeting(f"{VIA_FIELD}: {text[:80]!r} is no chain of replicas")
+            raise ParentHeaderError(f"{VIA_FIELD}: {text[:80]!r} is no chain of replicas")
         names.append(name.strip())
-    if len(names) > MOST_HOPS:
-        raise BadGreeting(f"{VIA_FIELD}: {len(names)} replicas; at most {MOST_HOPS}")
+    if len(names) > MAX_HOPS:
+        raise ParentHeaderError(f"{VIA_FIELD}: {len(names)} replicas; at most {MAX_HOPS}")
     return tuple(names)
 
 
-def _whole(told: dict[str, str], field: str) -> int | None:
-    text = told.get(field.lower())
+def _integer(values: dict[str, str], field: str) -> int | None:
+    text = values.get(field.lower())
     if text is None:
         return None
-    if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) < MOST_NUMBER):
-        raise BadGreeting(f"{field}: {text[:40]!r} is no whole number")
+    if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) < MAX_NUMBER):
+        raise ParentHeaderError(f"{field}: {text[:40]!r} is no whole number")
     return int(text)
 
 
-def _seconds(told: dict[str, str], field: str) -> float | None:
-    text = told.get(field.lower())
+def _seconds(values: dict[str, str], field: str) -> float | None:
+    text = values.get(field.lower())
     if text is None:
         return None
     try:
         seconds = float(text)
     except ValueError as error:
-        raise BadGreeting(f"{field}: {text[:40]!r} is no number of seconds") from error
+        raise ParentHeaderError(f"{field}: {text[:40]!r} is no number of seconds") from error
     if not 0.0 <= seconds < math.inf:
-        raise BadGreeting(f"{field}: {text[:40]!r} is no number of seconds")
+        raise ParentHeaderError(f"{field}: {text[:40]!r} is no number of seconds")
     return seconds
 
 
-def _retry_after(told: dict[str, str]) -> float | None:
+def _retry_after(values: dict[str, str]) -> float | None:
     """In its other form, a date, it says nothing here."""
-    text = told.get(RETRY_AFTER_FIELD.lower(), "")
+    text = values.get(RETRY_AFTER_FIELD.lower(), "")
     return float(text) if text.isascii() and text.isdigit() and len(text) < 20 else None
--- a/glenfold/rules/rate.py
+++ b/glenfold/rules/rate.py
@@ -15,7 +15,7 @@
         self._tokens = float(burst)
         self._at_s = float("-inf")
 
-    def passes(self, now_s: float, cost: float = 1.0) -> int | None:
+    def allow(self, now_s: float, cost: float = 1.0) -> int | None:
         """None: left out. Else how many were left out since the last that passed. `now_s` never falls."""
         if now_s > self._at_s:
             earned = self.per_s * (now_s - self._at_s)
@@ -25,9 +25,9 @@
             self.left_out += 1
             return None
         self._tokens -= cost
-        return self.taken_out()
+        return self.take_left_out()
 
-    def taken_out(self) -> int:
+    def take_left_out(self) -> int:
         """How many were left out; from now on they count as told."""
         left_out, self.left_out = self.left_out, 0
         return left_out
--- a/glenfold/rules/replication.py
+++ b/glenfold/rules/replication.py
@@ -33,7 +33,7 @@
     position: Position
     whole: bool
     entries: tuple[Mapping[str, Any], ...]
-    anew: bool = False
+    restarts_history: bool = False
 
 
 class Publisher(Protocol):
--- a/glenfold/rules/replication_history.py
+++ b/glenfold/rules/replication_history.py
@@ -31,7 +31,7 @@
     """One server in discovery's form, encoded. `gone`: it says that the server has left."""
 
     encoded: bytes
-    gone: bool
+    removed: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     chunk: bytes
 
 
-def around_chunk(size: int) -> tuple[bytes, bytes]:
+def chunk_framing(size: int) -> tuple[bytes, bytes]:
     """What stands before and behind so many bytes, which are not none, to make them one chunk of a response
     with Transfer-Encoding: chunked."""
     return b"%x\r\n" % size, b"\r\n"
@@ -54,7 +54,7 @@
 
 def _change(revision: int, entries: Iterable[_Entry]) -> _Change:
     line = _document(revision, False, entries) + b"\n"
-    before, after = around_chunk(len(line))
+    before, after = chunk_framing(len(line))
     return _Change(revision, before + line + after)
 
 
@@ -62,16 +62,16 @@
     """The list as it is, and the changes that led to it: at most `most_changes` of them, of together at most
     `most_bytes`. Changes have indexes that only grow, also over the end of a history."""
 
-    def __init__(self, most_changes: int, most_bytes: int) -> None:
-        self._most_changes = most_changes
-        self._most_bytes = most_bytes
+    def __init__(self, max_changes: int, most_bytes: int) -> None:
+        self._max_changes = max_changes
+        self._max_bytes = most_bytes
         self._entries: dict[str, _Entry] = {}  # by host
         self._changes: deque[_Change] = deque()
         self._bytes = 0
         self._since = 0  # the revision that the first of the changes leads on from
         self._earlier_revisions = -1  # the highest that an earlier history has reached
         self._same_incarnation_revisions = -1  # the highest of those that had the same incarnation
-        self._whole: bytes | None = None  # the list encoded, until it changes
+        self._encoded_list: bytes | None = None  # the list encoded, until it changes
         self.position: Position | None = None
         self.end_index = 0  # of the change that comes next
 
@@ -88,22 +88,22 @@
     def add(self, document: ListDocument) -> None:
         """Takes in a list or change that is later than all before. A whole list of the same incarnation is
         held as the change that it makes. Raises ValueError for one that has no place here."""
-        if document.anew and document.whole:
-            self._begin(document)
+        if document.restarts_history and document.whole:
+            self._start_history(document)
             self.end_index += 1  # past all watches: the revisions of this history do not lead on from theirs
-            self._whole = None
+            self._encoded_list = None
             return
         if self.position is not None and document.position <= self.position:
             raise ValueError(f"{document.position} is not later than {self.position}")
         if self.position is None or document.position.incarnation != self.position.incarnation:
             if not document.whole:
                 raise ValueError(f"a change to {document.position} has no list to lead on from")
-            self._begin(document)
+            self._start_history(document)
         else:
-            self._go_on(document)
-        self._whole = None
+            self._apply_document(document)
+        self._encoded_list = None
 
-    def _begin(self, document: ListDocument) -> None:
+    def _start_history(self, document: ListDocument) -> None:
         """Nobody can resume from an earlier history."""
         if self.position is not None:
             self._earlier_revisions = max(self._earlier_revisions, self.position.revision)
@@ -114,33 +114,35 @@
                 self._same_incarnation_revisions = reached
         self._changes.clear()
         self._bytes = 0
-        self._entries = {host: entry for host, entry in _by_host(document).items() if not entry.gone}
+        self._entries = {host: entry for host, entry in _by_host(document).items() if not entry.removed}
         self.position = document.position
         self._since = document.position.revision
 
-    def _go_on(self, document: ListDocument) -> None:
-        told = _by_host(document)
-        changed = {host: entry for host, entry in told.items() if self._entries.get(host) != entry}
+    def _apply_document(self, document: ListDocument) -> None:
+        entries = _by_host(document)
+        changed = {host: entry for host, entry in entries.items() if self._entries.get(host) != entry}
         if document.whole:
-            changed |= {host: _as_gone(entry) for host, entry in self._entries.items() if host not in told}
+            changed |= {
+                host: _as_removed(entry) for host, entry in self._entries.items() if host not in entries
+            }
         for host, entry in changed.items():
-            if entry.gone:
+            if entry.removed:
                 self._entries.pop(host, None)
             else:
                 self._entries[host] = entry
         self.position = document.position
-        self._hold(_change(document.position.revision, changed.values()))
+        self._append_change(_change(document.position.revision, changed.values()))
 
-    def _hold(self, change: _Change) -> None:
+    def _append_change(self, change: _Change) -> None:
         self._changes.append(change)
         self._bytes += len(change.chunk)
         self.end_index += 1
-        while len(self._changes) > self._most_changes or self._bytes > self._most_bytes:
+        while len(self._changes) > self._max_changes or self._bytes > self._max_bytes:
             oldest = self._changes.popleft()
             self._bytes -= len(oldest.chunk)
             self._since = oldest.revision
 
-    def lead_in(self, since: int, changes: Sequence[ListDocument]) -> int:
+    def prepend_changes(self, since: int, changes: Sequence[ListDocument]) -> int:
         """Takes in the changes that led from `since` to where this history begins, the newest of them as far
         as its bounds allow, so that those resume who knew a little less than its first list. How many were
         taken. Raises ValueError for changes that do not lead there."""
@@ -154,7 +156,7 @@
         for before, change in zip(reversed(revisions[:-1]), reversed(changes), strict=True):
             made = _change(change.position.revision, _by_host(change).values())
             size = self._bytes + len(made.chunk)
-            if len(self._changes) >= self._most_changes or size > self._most_bytes:
+            if len(self._changes) >= self._max_changes or size > self._max_bytes:
                 break
             self._changes.appendleft(made)
             self._bytes, self._since = size, before
@@ -187,8 +189,8 @@
             raise PastRevision
         chunks: list[bytes] = []
         size = 0
-        for place in range(index - self.first_index, len(self._changes)):
-            chunk = self._changes[place].chunk
+        for offset in range(index - self.first_index, len(self._changes)):
+            chunk = self._changes[offset].chunk
             if chunks and size + len(chunk) > most_bytes:
                 break
             chunks.append(chunk)
@@ -199,9 +201,9 @@
         """The whole list as a document. Raises PastRevision before the first."""
         if self.position is None:
             raise PastRevision
-        if self._whole is None:
-            self._whole = _document(self.position.revision, True, self._entries.values())
-        return self._whole
+        if self._encoded_list is None:
+            self._encoded_list = _document(self.position.revision, True, self._entries.values())
+        return self._encoded_list
 
 
 def _by_host(document: ListDocument) -> dict[str, _Entry]:
@@ -215,6 +217,6 @@
     return found
 
 
-def _as_gone(entry: _Entry) -> _Entry:
+def _as_removed(entry: _Entry) -> _Entry:
     left = json.loads(entry.encoded) | {"health": _GONE}
-    return _Entry(_ENCODER.encode(left).encode(), gone=True)
+    return _Entry(_ENCODER.encode(left).encode(), removed=True)
--- a/glenfold/rules/replication_http.py
+++ b/glenfold/rules/replication_http.py
@@ -18,13 +18,13 @@
 )
 
 PATH = "/v1/servers"
-MOST_REQUEST_BYTES = 8 * 1024  # a request line with its header fields
-MOST_REVISION = 2**63 - 1
+MAX_REQUEST_BYTES = 8 * 1024  # a request line with its header fields
+MAX_REVISION = 2**63 - 1
 RENEWAL_CHUNK = b"1\r\n\n\r\n"  # the empty line: nothing changed, and the source said so
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-class Refusal(Exception):
+class RequestError(Exception):
     """A request that is answered with an error. `retry_after_s`: when it may be made again, if that helps."""
 
     def __init__(self, status: HTTPStatus, reason: str, retry_after_s: int | None = None) -> None:
@@ -51,39 +51,39 @@
 def read_request(request: h11.Request) -> WholeListRequest | WatchRequest:
     """Raises Refusal."""
     if request.method != b"GET":
-        raise Refusal(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
+        raise RequestError(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
     if request.http_version != b"1.1":
-        raise Refusal(HTTPStatus.BAD_REQUEST, "HTTP/1.1 only")
+        raise RequestError(HTTPStatus.BAD_REQUEST, "HTTP/1.1 only")
     try:
         target = urlsplit(request.target.decode("ascii"))
-        asked = parse_qs(target.query, keep_blank_values=True, max_num_fields=8)
+        query = parse_qs(target.query, keep_blank_values=True, max_num_fields=8)
     except ValueError as error:
-        raise Refusal(HTTPStatus.BAD_REQUEST, f"target: {error}") from error
+        raise RequestError(HTTPStatus.BAD_REQUEST, f"target: {error}") from error
     if target.path != PATH:
-        raise Refusal(HTTPStatus.NOT_FOUND, f"there is {PATH} only")
-    if asked.get("watch", ["0"]) == ["0"]:
+        raise RequestError(HTTPStatus.NOT_FOUND, f"there is {PATH} only")
+    if query.get("watch", ["0"]) == ["0"]:
         return WholeListRequest()
-    if asked["watch"] != ["1"]:
-        raise Refusal(HTTPStatus.BAD_REQUEST, "watch is neither 0 nor 1")
-    return WatchRequest(_count("from", asked.get("from", ["0"])), _incarnation(request))
+    if query["watch"] != ["1"]:
+        raise RequestError(HTTPStatus.BAD_REQUEST, "watch is neither 0 nor 1")
+    return WatchRequest(_count("from", query.get("from", ["0"])), _incarnation(request))
 
 
 def _incarnation(request: h11.Request) -> int | None:
     name = INCARNATION_FIELD.lower().encode()
-    told = [value.decode("latin-1") for field, value in request.headers if field == name]
-    return _count(INCARNATION_FIELD, told) if told else None
+    values = [value.decode("latin-1") for field, value in request.headers if field == name]
+    return _count(INCARNATION_FIELD, values) if values else None
 
 
-def _count(name: str, told: Sequence[str]) -> int:
-    if len(told) != 1 or not told[0].isascii() or not told[0].isdigit() or len(told[0]) > 19:
-        raise Refusal(HTTPStatus.BAD_REQUEST, f"{name} is not one whole number")
-    if (count := int(told[0])) > MOST_REVISION:
-        raise Refusal(HTTPStatus.BAD_REQUEST, f"{name} is above {MOST_REVISION}")
+def _count(name: str, values: Sequence[str]) -> int:
+    if len(values) != 1 or not values[0].isascii() or not values[0].isdigit() or len(values[0]) > 19:
+        raise RequestError(HTTPStatus.BAD_REQUEST, f"{name} is not one whole number")
+    if (count := int(values[0])) > MAX_REVISION:
+        raise RequestError(HTTPStatus.BAD_REQUEST, f"{name} is above {MAX_REVISION}")
     return count
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class ListStatus:
     """What each answer tells of the list beside it. `age_s`: since the source renewed it, None if it never
     did here; `via`: the replicas from the source on, this one included; `children`: who watch here."""
 
@@ -106,19 +106,19 @@
     return "\r\n".join(lines).encode("latin-1")
 
 
-def whole_list_head(source: Source, size: int) -> bytes:
+def whole_list_head(source: ListStatus, size: int) -> bytes:
     """Of an answer with a body of so many bytes; the connection is kept for the next request."""
     fields = ["Content-Type: application/json", f"Content-Length: {size}", *source.fields()]
     return _head(HTTPStatus.OK, fields)
 
 
-def watch_head(source: Source) -> bytes:
+def watch_head(source: ListStatus) -> bytes:
     """Of a watch, whose connection ends with it."""
     fields = ["Content-Type: application/json", "Transfer-Encoding: chunked", "Connection: close"]
     return _head(HTTPStatus.OK, [*fields, *source.fields()])
 
 
-def refusal(error: Refusal, source: Source | None = None) -> bytes:
+def error_response(error: RequestError, source: ListStatus | None = None) -> bytes:
     """The whole response; the connection ends with it. `source`: None before the first list."""
     fields = ["Content-Length: 0", "Connection: close", *(source.fields() if source else ())]
     if error.status is HTTPStatus.METHOD_NOT_ALLOWED:
--- a/glenfold/rules/replication_lease.py
+++ b/glenfold/rules/replication_lease.py
@@ -5,8 +5,8 @@
 """
 
 FRESH_S = 2.5  # a watch that says nothing for longer counts as dead; so does a renewal that is older
-LEAST_GAP_S = 0.5  # between two lines, where the later one says nothing but that the list holds
-SAME_WORD_S = 0.1  # a renewal so soon after a change came with it, and that line has told of it
+MIN_LINE_INTERVAL_S = 0.5  # between two lines, where the later one says nothing but that the list holds
+SAME_LINE_WINDOW_S = 0.1  # a renewal so soon after a change came with it, and that line has told of it
 
 
 class Lease:
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         self._renewed_at_s: float | None = None
-        self._untold = False  # a renewal that children have not been told of
+        self._unsent = False  # a renewal that children have not been told of
         self._last_line_at_s = float("-inf")
         self.stale = True
 
@@ -24,24 +24,24 @@
             return False
         self._renewed_at_s = renewed_at_s
         if now_s <= renewed_at_s + FRESH_S:
-            came_with_line = renewed_at_s <= self._last_line_at_s + SAME_WORD_S
-            self._untold = self._untold or self.stale or not came_with_line
+            came_with_line = renewed_at_s <= self._last_line_at_s + SAME_LINE_WINDOW_S
+            self._unsent = self._unsent or self.stale or not came_with_line
             self.stale = False
         return True
 
     def expire(self) -> None:
         """Nobody renews any more."""
-        self._untold = False
+        self._unsent = False
         self.stale = True
 
-    def line_went_out(self, now_s: float) -> None:
+    def record_line(self, now_s: float) -> None:
         """A change or an empty line to all children; it tells them of any renewal before."""
-        self._untold = False
+        self._unsent = False
         self._last_line_at_s = now_s
 
     def due_at_s(self) -> float | None:
         """When an empty line is due; None: there is nothing to be told."""
-        return self._last_line_at_s + LEAST_GAP_S if self._untold else None
+        return self._last_line_at_s + MIN_LINE_INTERVAL_S if self._unsent else None
 
     def take_renewal(self, now_s: float) -> bool:
         """Whether an empty line goes out now. Then, and where the renewal has become too old for it, there
@@ -49,7 +49,7 @@
         due_at_s = self.due_at_s()
         if due_at_s is None or self._renewed_at_s is None or now_s < due_at_s:
             return False
-        self.line_went_out(now_s)
+        self.record_line(now_s)
         return now_s <= self._renewed_at_s + FRESH_S
 
     def age_s(self, now_s: float) -> float | None:
--- a/glenfold/rules/snapshots.py
+++ b/glenfold/rules/snapshots.py
@@ -17,12 +17,12 @@
 
 FORMAT = 1
 MAGIC = b"glenfold-snapshot"
-FIRST_LINE = 80  # bytes at the most
+MAX_FIRST_LINE_BYTES = 80  # bytes at the most
 ENCODER = json.JSONEncoder(separators=(",", ":"), allow_nan=False)
-SKEW_S = 5.0  # that a clock may have been set back by
+MAX_CLOCK_SKEW_S = 5.0  # that a clock may have been set back by
 
 
-class Refused(Exception):
+class SnapshotRefused(Exception):
     """A file that is not taken. `reason` is one word, for logs and counts."""
 
     def __init__(self, reason: str, detail: str) -> None:
@@ -54,7 +54,7 @@
 
     def pieces(self) -> Iterator[bytes]:
         """One JSON object, a row a line."""
-        history, said = (
+        history, values = (
             self.history,
             {
                 "fleet": self.owner.fleet,
@@ -63,7 +63,7 @@
                 "heard_at": self.heard_at,
             },
         )
-        yield _dumps(said)[:-1] + b',\n"left":['
+        yield _dumps(values)[:-1] + b',\n"left":['
         yield from _rows((server, *how) for server, how in self.state.left.items())
         if history is not None:
             yield b'],\n"history":{"format":%d,"built":%d,"rows":[' % (HISTORY_FORMAT, history.built)
@@ -97,28 +97,30 @@
     document: Any
     left: Any
 
-    def says_as(self, other: "Snapshot") -> bool:
+    def has_same_content(self, other: "Snapshot") -> bool:
         """Of the servers, and of who left."""
         return bool(self.document == other.document and self.left == other.left)
 
-    def check_age(self, now: float, most_s: float) -> None:
+    def check_age(self, now: float, max_age_s: float) -> None:
         """Raises Refused."""
         age_s = now - self.heard_at
-        if age_s > most_s:
-            raise Refused("too_old", f"last heard of {age_s:.0f} s ago, over {most_s:.0f} s")
-        if age_s < -SKEW_S:
-            raise Refused("from_the_future", f"heard of {-age_s:.0f} s from now: a clock was set back")
+        if age_s > max_age_s:
+            raise SnapshotRefused("too_old", f"last heard of {age_s:.0f} s ago, over {max_age_s:.0f} s")
+        if age_s < -MAX_CLOCK_SKEW_S:
+            raise SnapshotRefused(
+                "from_the_future", f"heard of {-age_s:.0f} s from now: a clock was set back"
+            )
 
 
-def encode(content: Content, most: int) -> Iterator[bytes]:
+def encode(content: Content, max_bytes: int) -> Iterator[bytes]:
     """The file's first line and body, and before them an empty piece for each row: whoever writes it can let
     others have the processor in between. Raises TooLarge over `most` bytes."""
-    pieces, size = [], FIRST_LINE
+    pieces, size = [], MAX_FIRST_LINE_BYTES
     for piece in content.pieces():
         pieces.append(piece)
         size += len(piece)
-        if size > most:
-            raise TooLarge(f"a snapshot of {len(content.state.known)} servers is over {most} bytes")
+        if size > max_bytes:
+            raise TooLarge(f"a snapshot of {len(content.state.known)} servers is over {max_bytes} bytes")
         yield b""
     body = b"".join(pieces)
     yield b"%s %d %d %s\n" % (MAGIC, FORMAT, len(body), _checksum(body))
@@ -127,34 +129,34 @@
 
 def decode(data: bytes, owner: Owner) -> Snapshot:
     """Raises Refused, whatever the bytes are."""
-    line, whole, body = data.partition(b"\n")
+    line, newline, body = data.partition(b"\n")
     words = line.split(b" ")
-    if not whole and (MAGIC.startswith(line) or words[0] == MAGIC):
-        raise Refused("torn", "its first line is not whole")
+    if not newline and (MAGIC.startswith(line) or words[0] == MAGIC):
+        raise SnapshotRefused("torn", "its first line is not whole")
     if words[0] != MAGIC:
-        raise Refused("foreign", "it does not begin as a snapshot does")
+        raise SnapshotRefused("foreign", "it does not begin as a snapshot does")
     if words[1:2] != [b"%d" % FORMAT]:
-        raise Refused("format", f"its format is {words[1:2]}, not {FORMAT}")
+        raise SnapshotRefused("format", f"its format is {words[1:2]}, not {FORMAT}")
     if words[2:3] != [b"%d" % len(body)]:
-        raise Refused("torn", f"{len(body)} bytes follow its first line, not {words[2:3]}")
+        raise SnapshotRefused("torn", f"{len(body)} bytes follow its first line, not {words[2:3]}")
     if words[3:] != [_checksum(body)]:
-        raise Refused("damaged", "its checksum is another")
+        raise SnapshotRefused("damaged", "its checksum is another")
     return _read(body, owner)
 
 
 def _read(body: bytes, owner: Owner) -> Snapshot:
     try:
-        said = json.loads(body)
-        found = Owner(str(said["fleet"]), str(said["name"]))
+        values = json.loads(body)
+        found = Owner(str(values["fleet"]), str(values["name"]))
         snapshot = Snapshot(
-            found, int(said["generation"]), float(said["heard_at"]), said["list"], said["left"]
+            found, int(values["generation"]), float(values["heard_at"]), values["list"], values["left"]
         )
     except (KeyError, TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise Refused("damaged", f"not what a snapshot says: {error!r}") from error
+        raise SnapshotRefused("damaged", f"not what a snapshot says: {error!r}") from error
     if found != owner:
-        raise Refused("foreign", f"it is that of {found.name} in {found.fleet}")
+        raise SnapshotRefused("foreign", f"it is that of {found.name} in {found.fleet}")
     if not math.isfinite(snapshot.heard_at):
-        raise Refused("damaged", "the moment it was heard is not finite")
+        raise SnapshotRefused("damaged", "the moment it was heard is not finite")
     return snapshot
 
 
@@ -163,7 +165,7 @@
 
 
 @dataclass(slots=True)
-class Pace:
+class WriteSchedule:
     """When the next snapshot is due. Moments are on one clock, in seconds.
 
     After a server has left, a snapshot is written at once and twice: as there are two generations, one
@@ -175,7 +177,7 @@
     refresh_s: float
     copies: int = 0  # to be written
     urgent: bool = False  # since a server left
-    began_at: float = -math.inf  # the last write
+    started_at: float = -math.inf  # the last write
     not_before: float = -math.inf
 
     def changed(self, urgent: bool) -> None:
@@ -184,30 +186,30 @@
 
     def due_at(self) -> float:
         if not self.copies:
-            return self.began_at + self.refresh_s if self.began_at > -math.inf else math.inf
-        return max(self.not_before, -math.inf if self.urgent else self.began_at + self.every_s)
+            return self.started_at + self.refresh_s if self.started_at > -math.inf else math.inf
+        return max(self.not_before, -math.inf if self.urgent else self.started_at + self.every_s)
 
-    def hurry(self) -> None:
+    def mark_urgent(self) -> None:
         """What is to be written is due."""
         self.urgent = self.copies > 0
 
-    def begin(self, now: float) -> "Pace":
+    def begin(self, now: float) -> "WriteSchedule":
         """What changes from now on is not in the snapshot written now. Returns what `failed` wants."""
         before = replace(self)
-        self.began_at = now
+        self.started_at = now
         self.copies = max(0, self.copies - 1)
         self.urgent = self.urgent and self.copies > 0
         return before
 
     def ended(self, now: float) -> None:
-        self.not_before = 2 * now - self.began_at
+        self.not_before = 2 * now - self.started_at
 
     def skipped(self, now: float) -> None:
         """What is written can't be refreshed, as nothing was heard since."""
-        self.began_at = now
+        self.started_at = now
 
-    def failed(self, now: float, before: "Pace") -> None:
+    def failed(self, now: float, before: "WriteSchedule") -> None:
         """All that was to be written still is."""
         self.urgent |= before.urgent
         self.copies = max(self.copies, before.copies, 1)
-        self.not_before = max(now + self.every_s, 2 * now - self.began_at)
+        self.not_before = max(now + self.every_s, 2 * now - self.started_at)
--- a/glenfold/rules/succession.py
+++ b/glenfold/rules/succession.py
@@ -9,7 +9,7 @@
 from glenfold.rules.replication import ListDocument, Position
 
 READY, DRAINING, GONE = "in_service", "terminating", "terminated"  # `health` in discovery's form
-LEAST_REMEMBERED = 1024  # servers that have left; more where the list is longer
+MIN_REMEMBERED_SERVERS = 1024  # servers that have left; more where the list is longer
 
 
 class Verdict(Enum):
@@ -57,75 +57,75 @@
     def __init__(self) -> None:
         self.position: Position | None = None
         self._origin: Address | None = None  # who told what is known
-        self._assumed = False  # the incarnation of `position` is not known yet
-        self._unsound: Address | None = None  # who has to send the whole list before any change
-        self._believed: Address | None = None  # whose whole list holds, whatever its position
+        self._has_unknown_incarnation = False  # the incarnation of `position` is not known yet
+        self._needs_list_from: Address | None = None  # who has to send the whole list before any change
+        self._trusted: Address | None = None  # whose whole list holds, whatever its position
         self._started: dict[str, int] = {}  # by the host of each listed server
-        self._left: dict[str, tuple[Position, int]] = {}  # where it left, and the start it left after
-        self._longest = 0
+        self._departed: dict[str, tuple[Position, int]] = {}  # where it left, and the start it left after
+        self._max_list_length = 0
 
     @property
     def incarnation(self) -> int | None:
         """None where it is not known."""
-        return None if self.position is None or self._assumed else self.position.incarnation
+        return None if self.position is None or self._has_unknown_incarnation else self.position.incarnation
 
     def distrust(self, origin: Origin) -> None:
         """It sent a change that can't be read, or one on something unknown."""
-        self._unsound = origin.address
+        self._needs_list_from = origin.address
 
-    def believe(self, address: Address | None) -> None:
+    def trust(self, address: Address | None) -> None:
         """The source renews what that parent knows, and for long nothing later: it counts anew, and its whole
         list is to be taken even if that is behind. None: nobody's is."""
-        self._believed = address
+        self._trusted = address
 
     def resume(self, revision: int) -> None:
         """An earlier process knew that revision, of a history that the first parent to answer names."""
-        self.position, self._assumed = Position(0, revision), True
+        self.position, self._has_unknown_incarnation = Position(0, revision), True
 
     def release(self, followed: Collection[Address]) -> None:
         """These alone are followed from now on."""
         if self._origin not in followed:
             self._origin = None
 
-    def needs_whole(self, origin: Origin, gone: bool) -> bool:
+    def needs_whole_list(self, origin: Origin, gone: bool) -> bool:
         """Whether a watch from the revision known would not do there. `gone`: it answered 410."""
         known = self.position
-        if known is None or origin.address in (self._unsound, self._believed):
+        if known is None or origin.address in (self._needs_list_from, self._trusted):
             return True
         if origin.incarnation is None:
-            return gone or (origin.address != self._origin and not self._assumed)
+            return gone or (origin.address != self._origin and not self._has_unknown_incarnation)
         return gone  # a watch of a later incarnation begins with the whole list
 
-    def behind(self, origin: Origin, gone: bool) -> bool:
+    def is_behind(self, origin: Origin, gone: bool) -> bool:
         """Whether the parent is known to have older lists only."""
         known = self.position
-        if known is None or self._assumed or origin.incarnation is None:
+        if known is None or self._has_unknown_incarnation or origin.incarnation is None:
             return False
-        if origin.address == self._believed:
+        if origin.address == self._trusted:
             return False
         return origin.incarnation < known.incarnation or (gone and origin.incarnation == known.incarnation)
 
     def resumed(self, origin: Origin) -> None:
         """A watch from the revision known was taken there."""
-        if self._assumed and self.position is not None:
+        if self._has_unknown_incarnation and self.position is not None:
             self.position = Position(origin.incarnation or 0, self.position.revision)
-            self._assumed, self._origin = False, origin.address
+            self._has_unknown_incarnation, self._origin = False, origin.address
 
     def judge(self, received: Received) -> ListDocument | Verdict:
         """The document to be taken and passed on, which is then what is known; or why it is not."""
         position = self._position(received)
-        verdict = position if isinstance(position, Verdict) else self._refused(received, position)
+        verdict = position if isinstance(position, Verdict) else self._rejection(received, position)
         if verdict is Verdict.INCOMPLETE:
             self.distrust(received.origin)
-        elif received.whole and received.origin.address == self._unsound:
-            self._unsound = None
+        elif received.whole and received.origin.address == self._needs_list_from:
+            self._needs_list_from = None
         if verdict is not None or isinstance(position, Verdict):
             return verdict or Verdict.BEHIND
-        anew = self.position is not None and position < self.position
+        restarts_history = self.position is not None and position < self.position
         entries = tuple(self._entries(received, position))
-        self.position, self._origin, self._assumed = position, received.origin.address, False
-        self._believed = None
-        return ListDocument(position, received.whole, entries, anew)
+        self.position, self._origin, self._has_unknown_incarnation = position, received.origin.address, False
+        self._trusted = None
+        return ListDocument(position, received.whole, entries, restarts_history)
 
     def _position(self, received: Received) -> Position | Verdict:
         known, incarnation, revision = self.position, received.origin.incarnation, received.revision
@@ -133,21 +133,21 @@
             return Position(incarnation, revision)
         if known is None:
             return Position(0, revision)
-        moved = self._origin is None and received.whole
-        if revision > known.revision or (revision == known.revision and not moved):
+        is_reassigned = self._origin is None and received.whole
+        if revision > known.revision or (revision == known.revision and not is_reassigned):
             return Position(known.incarnation, revision)
-        if self._origin not in (None, received.origin.address) and not self._is_believed(received):
+        if self._origin not in (None, received.origin.address) and not self._is_trusted(received):
             return Verdict.BEHIND
         return Position(known.incarnation + 1, revision) if received.whole else Verdict.INCOMPLETE
 
-    def _is_believed(self, received: Received) -> bool:
-        return received.whole and received.origin.address == self._believed
+    def _is_trusted(self, received: Received) -> bool:
+        return received.whole and received.origin.address == self._trusted
 
-    def _refused(self, received: Received, position: Position) -> Verdict | None:
+    def _rejection(self, received: Received, position: Position) -> Verdict | None:
         known = self.position
-        if self._is_believed(received) and position != known:
+        if self._is_trusted(received) and position != known:
             return None
-        if known is None or self._assumed or position.incarnation > known.incarnation:
+        if known is None or self._has_unknown_incarnation or position.incarnation > known.incarnation:
             return None if received.whole else Verdict.INCOMPLETE
         if position.incarnation < known.incarnation:
             return Verdict.BEHIND
@@ -167,34 +167,34 @@
                 yield entry
                 continue
             named.add(host)
-            yield self._noted(host, entry, position)
+            yield self._record_entry(host, entry, position)
         if received.whole:
             for host in self._started.keys() - named:
-                self._leaves(host, position, self._started.pop(host))
-        self._longest = max(self._longest, len(self._started))
-        while len(self._left) > max(LEAST_REMEMBERED, self._longest):
-            del self._left[next(iter(self._left))]
+                self._record_departure(host, position, self._started.pop(host))
+        self._max_list_length = max(self._max_list_length, len(self._started))
+        while len(self._departed) > max(MIN_REMEMBERED_SERVERS, self._max_list_length):
+            del self._departed[next(iter(self._departed))]
 
-    def _noted(self, host: str, entry: Mapping[str, Any], position: Position) -> Mapping[str, Any]:
+    def _record_entry(self, host: str, entry: Mapping[str, Any], position: Position) -> Mapping[str, Any]:
         started, health = _started(entry), entry.get("health")
         if health == GONE:
             self._started.pop(host, None)
         else:
             self._started[host] = started
         if health in (DRAINING, GONE):
-            self._leaves(host, position, started)
-        elif host in self._left:
-            left_at, left_after = self._left[host]
+            self._record_departure(host, position, started)
+        elif host in self._departed:
+            left_at, left_after = self._departed[host]
             if started <= left_after and position.revision < left_at.revision:
                 return {**entry, "health": DRAINING}
-            del self._left[host]
+            del self._departed[host]
         return entry
 
-    def _leaves(self, host: str, position: Position, started: int) -> None:
-        left_at, left_after = self._left.pop(host, (position, started))
+    def _record_departure(self, host: str, position: Position, started: int) -> None:
+        left_at, left_after = self._departed.pop(host, (position, started))
         if position.revision < left_at.revision:
             position = left_at
-        self._left[host] = position, max(started, left_after)
+        self._departed[host] = position, max(started, left_after)
 
 
 def _started(entry: Mapping[str, Any]) -> int:
--- a/glenfold_lab/scale/hollow_watcher.py
+++ b/glenfold_lab/scale/hollow_watcher.py
@@ -162,7 +162,7 @@
         if fault.retry_after_s:
             wait_s = fault.retry_after_s * self._chance.uniform(1.0, 1.5)
             self._not_before[self._parent] = now + wait_s
-        self.due_at = now + self._backoff.again_s(fault.busy and not fault.retry_after_s)
+        self.due_at = now + self._backoff.retry_delay_s(fault.busy and not fault.retry_after_s)
         self._parent = self._next_parent()
         self.due_at = max(self.due_at, self._not_before[self._parent])
 
@@ -242,7 +242,7 @@
                 self.log.empty_lines += 1
         if lines:
             self.due_at = now + LONGEST_SILENCE_S
-            self._backoff.worked()
+            self._backoff.reset()
 
     def _take(self, text: bytes, now: float) -> None:
         try:
--- a/glenfold_lab/scale/topics.py
+++ b/glenfold_lab/scale/topics.py
@@ -94,7 +94,7 @@
         now += STEP_US
         group = arrival.group
         if split:
-            group = parts.take(group, arrival.key, len(balancer.held), fleet.servers)
+            group = parts.add_member(group, arrival.key, len(balancer.held), fleet.servers)
         for action in balancer.handle(now, replace(arrival, group=group)):
             if isinstance(action, i.Attempt):
                 balancer.handle(now, i.Established(arrival.request, 1, action.server, SETUP_US))
--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -20,7 +20,7 @@
 from glenfold.daemon.snapshot import LAST_S, SLOW_S, Snapshots, Terms
 from glenfold.daemon.snapshot_files import Files, HeldElsewhere, Store
 from glenfold.destinations import DestinationSet, server_number
-from glenfold.rules.snapshots import Owner, Refused, Snapshot
+from glenfold.rules.snapshots import Owner, Snapshot, SnapshotRefused
 
 Act = Callable[[Process, Snapshots], Awaitable[None]]
 CLOCK = trio.testing.MockClock  # stands still, but for the jumps that a test makes
@@ -131,9 +131,9 @@
     assert all(isinstance(found, Snapshot) for found in store.read())  # and what was hurt is replaced at once
     store.places[0].unlink()
     store.places[0].mkdir()
-    assert isinstance(found := store.read()[0], Refused) and found.reason == "unreadable"
+    assert isinstance(found := store.read()[0], SnapshotRefused) and found.reason == "unreadable"
     small = Store(tmp_path, store.owner, 100).read()[1]
-    assert isinstance(small, Refused) and small.reason == "too_large"
+    assert isinstance(small, SnapshotRefused) and small.reason == "too_large"
 
 
 def test_lists_wait_for_their_turn_and_drains_do_not(tmp_path: Path) -> None:
--- a/tests/replica/test_follower.py
+++ b/tests/replica/test_follower.py
@@ -8,7 +8,7 @@
 from stand_in_parent import Child, StandInParent, jump, play
 
 from glenfold.replica.parent_watch import PATH
-from glenfold.rules.parent_choice import SOONEST_HOME_S
+from glenfold.rules.parent_choice import MIN_SOUND_S
 from glenfold.rules.replication import Position
 from glenfold.rules.source_lease import LEASE_S, SILENCE_S
 
@@ -319,7 +319,7 @@
         await parent.listen(nursery)
         assert await child.published.until(revision) < last_s + LEASE_S + 1.0
         taken = child.published.documents[-1][1]
-        assert taken.position == Position(incarnation, revision) and taken.whole and taken.anew
+        assert taken.position == Position(incarnation, revision) and taken.whole and taken.restarts_history
         told = {one["host"]: one["health"] for one in taken.entries}
         assert told["s-2"] == ("terminating" if revision == 3 else "in_service")
         await parent.change(entry("s-3"))
@@ -564,7 +564,7 @@
         near.renewed_at_s = back_at_s
         near.asked.clear()
         home_at_s = await child.until_at(near)
-        assert back_at_s + SOONEST_HOME_S <= home_at_s <= back_at_s + 40
+        assert back_at_s + MIN_SOUND_S <= home_at_s <= back_at_s + 40
         assert -1 not in watched(near)
         assert child.published.positions == [Position(0, 1)] and child.published.stale_at_s == []
 
--- a/tests/replica/test_follower_mutants.py
+++ b/tests/replica/test_follower_mutants.py
@@ -23,14 +23,14 @@
 
 
 def test_no_jitter_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ParentChoice, "leave_s", lambda self, children: 0.0)
+    monkeypatch.setattr(ParentChoice, "leave_delay_s", lambda self, children: 0.0)
     with pytest.raises(AssertionError):
         tests.test_the_children_of_a_dead_replica_spread_over_the_others_and_over_time()
 
 
 def test_an_older_list_taken_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Succession, "behind", lambda self, origin, gone: False)
-    monkeypatch.setattr(Succession, "_refused", lambda self, received, position: None)
+    monkeypatch.setattr(Succession, "is_behind", lambda self, origin, gone: False)
+    monkeypatch.setattr(Succession, "_rejection", lambda self, received, position: None)
     with pytest.raises(AssertionError):
         tests.test_a_later_incarnation_of_another_parent_wins_and_an_earlier_one_is_behind()
 
--- a/tests/replica/test_replica_mutants.py
+++ b/tests/replica/test_replica_mutants.py
@@ -25,7 +25,7 @@
 def test_a_lease_that_is_passed_on_though_the_source_did_not_renew(monkeypatch):
     """A timer of the replica's own, as an agent has."""
     monkeypatch.setattr(Lease, "due_at_s", lambda self: self._last_line_at_s + 0.5)
-    monkeypatch.setattr(Lease, "take_renewal", lambda self, now_s: not self.line_went_out(now_s))
+    monkeypatch.setattr(Lease, "take_renewal", lambda self, now_s: not self.record_line(now_s))
     caught(
         lease_tests.test_who_is_stale_tells_nothing_and_ages,
         lease_tests.test_an_empty_line_goes_out_once_for_each_renewal,
@@ -47,7 +47,7 @@
         self._bytes += len(change.chunk)
         self.end_index += 1
 
-    monkeypatch.setattr(RevisionHistory, "_hold", hold)
+    monkeypatch.setattr(RevisionHistory, "_append_change", hold)
     caught(
         history_tests.test_the_history_is_bounded_by_count,
         history_tests.test_the_history_is_bounded_by_bytes_also_where_one_change_is_too_large,
--- a/tests/rules/test_backoff.py
+++ b/tests/rules/test_backoff.py
@@ -12,15 +12,18 @@
 PATIENCE_S = 2.0
 
 
-def waits(relay: int, spread_s: float, soon_s: float = float("inf")) -> Backoff:
-    return Backoff(0.25, spread_s, 4.0, random.Random(relay), soon_s)
+def waits(relay: int, spread_s: float, initial_spread_s: float = float("inf")) -> Backoff:
+    return Backoff(0.25, spread_s, 4.0, random.Random(relay), initial_spread_s)
 
 
-def until_all_are_told(relays: int, spread_s: float, soon_s: float | None = None) -> float:
+def until_all_are_told(relays: int, spread_s: float, initial_spread_s: float | None = None) -> float:
     """All lose discovery at the moment 0; it serves them in turn, and who waits too long has failed.
     `soon_s`: the spread of the first calls, which it has not refused yet."""
-    backoffs = [waits(relay, spread_s, soon_s or spread_s) for relay in range(relays)]
-    calls = [(backoff.again_s(busy=soon_s is None), relay) for relay, backoff in enumerate(backoffs)]
+    backoffs = [waits(relay, spread_s, initial_spread_s or spread_s) for relay in range(relays)]
+    calls = [
+        (backoff.retry_delay_s(busy=initial_spread_s is None), relay)
+        for relay, backoff in enumerate(backoffs)
+    ]
     heapq.heapify(calls)
     free_at, told_at = 0.0, 0.0
     while calls and calls[0][0] < 120:
@@ -29,7 +32,7 @@
         if free_at - now <= PATIENCE_S:
             told_at = max(told_at, free_at)
         else:
-            heapq.heappush(calls, (now + PATIENCE_S + backoffs[relay].again_s(), relay))
+            heapq.heappush(calls, (now + PATIENCE_S + backoffs[relay].retry_delay_s(), relay))
     return float("inf") if calls else told_at
 
 
@@ -51,16 +54,16 @@
 @pytest.mark.parametrize("call", ["first", "again"])
 def test_waits_of_many_relays_do_not_bunch(relays, call):
     backoffs = [waits(relay, relays / 10) for relay in range(relays)]
-    moments = sorted(one.first_s() if call == "first" else one.again_s() for one in backoffs)
+    moments = sorted(one.first_delay_s() if call == "first" else one.retry_delay_s() for one in backoffs)
     assert max(sum(at <= other < at + 1 for other in moments) for at in moments) <= 10 + 3 * 10**0.5
 
 
 def test_success_makes_the_next_fault_the_first_of_a_row():
     backoff, fresh = waits(3, 4.0), waits(3, 4.0)
-    first = [fresh.again_s(), fresh.again_s() / 2]
-    assert backoff.again_s() == first[0]
-    backoff.worked()
-    assert backoff.again_s() == pytest.approx(first[1])
+    first = [fresh.retry_delay_s(), fresh.retry_delay_s() / 2]
+    assert backoff.retry_delay_s() == first[0]
+    backoff.reset()
+    assert backoff.retry_delay_s() == pytest.approx(first[1])
 
 
 DOWN_S = 30.0  # all calls are refused up to then
@@ -72,20 +75,20 @@
 
     def __init__(self, relays: int, serves_all_s: float, refusal_s: float) -> None:
         chances = [random.Random(relay) for relay in range(relays)]
-        self.backoffs = [Backoff(AGAIN_S, relays / 10, MOST_TIMES, chance, SOON_S) for chance in chances]
+        self.backoffs = [Backoff(AGAIN_S, relays / 10, MOST_TIMES, rng, SOON_S) for rng in chances]
         self.serves_s, self.refusal_s = serves_all_s / relays, refusal_s
         self.called: list[float] = []
         self.told: list[float] = []
         self.free_at = 0.0
 
     def run(self, until: float) -> None:
-        calls = [(one.again_s(False, NEXT_CALL_S), relay) for relay, one in enumerate(self.backoffs)]
+        calls = [(one.retry_delay_s(False, NEXT_CALL_S), relay) for relay, one in enumerate(self.backoffs)]
         heapq.heapify(calls)
         while calls and calls[0][0] < until:
             now, relay = heapq.heappop(calls)
             self.called.append(now)
             if (took_s := self._refused_after(now)) is not None:
-                wait_s = self.backoffs[relay].again_s(True, NEXT_CALL_S - took_s)
+                wait_s = self.backoffs[relay].retry_delay_s(True, NEXT_CALL_S - took_s)
                 heapq.heappush(calls, (now + took_s + wait_s, relay))
 
     def _refused_after(self, now: float) -> float | None:
@@ -122,4 +125,4 @@
     for relay in range(200):
         backoff = Backoff(AGAIN_S, 340.0, MOST_TIMES, random.Random(relay), SOON_S)
         for busy in (True, True, True, False):
-            assert least_s <= backoff.again_s(busy, within_s) <= max(AGAIN_S, within_s)
+            assert least_s <= backoff.retry_delay_s(busy, within_s) <= max(AGAIN_S, within_s)
--- a/tests/rules/test_following_mutants.py
+++ b/tests/rules/test_following_mutants.py
@@ -13,15 +13,15 @@
 from glenfold.rules.replication import Position
 from glenfold.rules.succession import Received, Succession, Verdict
 
-refused = Succession._refused
+rejection = Succession._rejection
 
 
 def takes_any_whole_list(self: Succession, received: Received, position: Position) -> Verdict | None:
-    return None if received.whole else refused(self, received, position)
+    return None if received.whole else rejection(self, received, position)
 
 
 def takes_any_change(self: Succession, received: Received, position: Position) -> Verdict | None:
-    verdict = refused(self, received, position)
+    verdict = rejection(self, received, position)
     return None if verdict is Verdict.INCOMPLETE else verdict
 
 
@@ -49,10 +49,10 @@
 @pytest.mark.parametrize(
     "name, mutant",
     [
-        ("_refused", takes_any_whole_list),
-        ("_refused", takes_any_change),
-        ("_refused", goes_by_revision_alone),
-        ("_leaves", nothing),
+        ("_rejection", takes_any_whole_list),
+        ("_rejection", takes_any_change),
+        ("_rejection", goes_by_revision_alone),
+        ("_record_departure", nothing),
     ],
 )
 def test_a_fault_in_the_succession_is_found(
@@ -64,12 +64,12 @@
 
 
 def test_no_jitter_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ParentChoice, "leave_s", lambda self, children: 0.0)
+    monkeypatch.setattr(ParentChoice, "leave_delay_s", lambda self, children: 0.0)
     with pytest.raises(AssertionError):
         choice.test_250_children_of_a_dead_replica_leave_it_apart_and_in_time(0)
 
 
 def test_jitter_beyond_the_time_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ParentChoice, "leave_s", lambda self, children: self.chance.uniform(0.0, 5.0))
+    monkeypatch.setattr(ParentChoice, "leave_delay_s", lambda self, children: self.rng.uniform(0.0, 5.0))
     with pytest.raises(AssertionError):
         choice.test_250_children_of_a_dead_replica_leave_it_apart_and_in_time(0)
--- a/tests/rules/test_group_parts.py
+++ b/tests/rules/test_group_parts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from glenfold.rules import group_parts
-from glenfold.rules.group_parts import GroupParts, part_key, parts_for
+from glenfold.rules.group_parts import GroupParts, part_count, part_key
 
 TOPIC = 0xABCDEF
 
@@ -18,7 +18,7 @@
 
 
 def taken(parts: GroupParts, clients: list[int], connections: int, servers: int) -> list[int]:
-    return [parts.take(TOPIC, key, connections, servers) for key in clients]
+    return [parts.add_member(TOPIC, key, connections, servers) for key in clients]
 
 
 @pytest.mark.parametrize(
@@ -34,23 +34,29 @@
         (353, 0.25, 8192),
     ],
 )
-def test_a_group_gets_parts_by_its_size(members: int, room: float, expected: int) -> None:
-    assert parts_for(members, room) == expected
+def test_a_group_gets_parts_by_its_size(members: int, connections_per_server: float, expected: int) -> None:
+    assert part_count(members, connections_per_server) == expected
 
 
 @given(st.integers(1, 100_000), st.floats(0.1, 10_000))
-def test_no_part_is_larger_than_a_server_s_mean_and_parts_never_shrink(members: int, room: float) -> None:
-    parts = parts_for(members, room)
-    assert parts_for(members + 1, room) >= parts
-    certain = members - group_parts.DEVIATIONS * members**0.5
-    assert parts == 1 or certain / parts <= room / group_parts.PARTS_A_ROOM
-    assert parts > 1 or certain <= room or room < group_parts.LEAST_ROOM
+def test_no_part_is_larger_than_a_server_s_mean_and_parts_never_shrink(
+    members: int, connections_per_server: float
+) -> None:
+    parts = part_count(members, connections_per_server)
+    assert part_count(members + 1, connections_per_server) >= parts
+    min_members = members - group_parts.STANDARD_DEVIATIONS * members**0.5
+    assert parts == 1 or min_members / parts <= connections_per_server / group_parts.PARTS_PER_SERVER_SHARE
+    assert (
+        parts > 1
+        or min_members <= connections_per_server
+        or connections_per_server < group_parts.MIN_CONNECTIONS_PER_SERVER
+    )
 
 
 def test_a_group_without_a_name_is_left_alone() -> None:
     parts = GroupParts()
-    assert parts.take(0, 7, 1_000_000, 1) == 0
-    parts.release(0)
+    assert parts.add_member(0, 7, 1_000_000, 1) == 0
+    parts.remove_member(0)
     assert len(parts) == 0
 
 
@@ -65,18 +71,18 @@
     taken(other, keys(2, 340), 61_765, 10_240)
     found = set[int]()
     for key in keys(3, 4_000):
-        part = one.take(TOPIC, key, 61_765, 10_240)
-        assert part == other.take(TOPIC, key, 61_765, 10_240)
+        part = one.add_member(TOPIC, key, 61_765, 10_240)
+        assert part == other.add_member(TOPIC, key, 61_765, 10_240)
         found.add(part)
-        one.release(TOPIC)
-        other.release(TOPIC)
+        one.remove_member(TOPIC)
+        other.remove_member(TOPIC)
     assert len(found) == 256
 
 
 def test_a_group_that_doubles_moves_half_of_each_part_and_no_more() -> None:
     clients = keys(4, 4000)
-    few = {key: part_key(TOPIC, group_parts.mixed(TOPIC ^ key) % 8) for key in clients}
-    more = {key: part_key(TOPIC, group_parts.mixed(TOPIC ^ key) % 16) for key in clients}
+    few = {key: part_key(TOPIC, group_parts.mix64(TOPIC ^ key) % 8) for key in clients}
+    more = {key: part_key(TOPIC, group_parts.mix64(TOPIC ^ key) % 16) for key in clients}
     stayed = sum(few[key] == more[key] for key in clients) / len(clients)
     assert 0.45 < stayed < 0.55
     assert set(few.values()) < set(more.values())
@@ -87,24 +93,24 @@
     taken(parts, keys(5, 353), 61_765, 10_240)
     clients = Counter[int]()
     for key in keys(6, 25_600):
-        clients[parts.take(TOPIC, key, 61_765, 10_240)] += 1
-        parts.release(TOPIC)
+        clients[parts.add_member(TOPIC, key, 61_765, 10_240)] += 1
+        parts.remove_member(TOPIC)
     assert len(clients) == 256
     assert max(clients.values()) < 1.4 * 25_600 / 256
 
 
 def test_the_table_is_no_longer_than_what_is_held() -> None:
-    parts, chance = GroupParts(), random.Random(6)
+    parts, rng = GroupParts(), random.Random(6)
     held: list[int] = []
     for _ in range(5_000):
-        if held and chance.random() < 0.5:
-            parts.release(held.pop(chance.randrange(len(held))))
+        if held and rng.random() < 0.5:
+            parts.remove_member(held.pop(rng.randrange(len(held))))
         else:
-            held.append(chance.randrange(1, 200))
-            parts.take(held[-1], chance.getrandbits(64), len(held), 14)
+            held.append(rng.randrange(1, 200))
+            parts.add_member(held[-1], rng.getrandbits(64), len(held), 14)
         assert len(parts) == len(set(held))
     for group in held:
-        parts.release(group)
+        parts.remove_member(group)
     assert len(parts) == 0
 
 
@@ -112,5 +118,5 @@
     parts = GroupParts()
     assert len(set(taken(parts, keys(7, 353), 61_765, 10_240))) > 8
     for _ in range(353):
-        parts.release(TOPIC)
+        parts.remove_member(TOPIC)
     assert set(taken(parts, keys(8, 5), 61_765, 10_240)) == {TOPIC}
--- a/tests/rules/test_replication_admission.py
+++ b/tests/rules/test_replication_admission.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glenfold.rules.replication_admission import LEAST_RETRY_AFTER_S, WholeListAdmission
+from glenfold.rules.replication_admission import MIN_RETRY_AFTER_S, WholeListAdmission
 
 SIZE = 100_000
 RATE = 1_000_000.0  # ten lists a second, and as many at once
@@ -48,7 +48,7 @@
 def test_those_who_wait_are_spread_over_the_time_that_they_all_need():
     one = admission()
     waits = [one.retry_after_s(0.0, SIZE) for _ in range(3400)]
-    assert all(wait >= LEAST_RETRY_AFTER_S for wait in waits)
+    assert all(wait >= MIN_RETRY_AFTER_S for wait in waits)
     assert 300 <= max(waits) <= 341  # 3,400 lists at ten a second
     assert len(set(waits)) > 250
     most = max(waits.count(wait) for wait in set(waits))
@@ -67,12 +67,12 @@
     one = admission()
     for _ in range(500):
         one.retry_after_s(0.0, SIZE)
-    assert one.retry_after_s(1000.0, SIZE) == LEAST_RETRY_AFTER_S
+    assert one.retry_after_s(1000.0, SIZE) == MIN_RETRY_AFTER_S
 
 
 def test_no_storm_is_longer_than_all_children_need():
     one = admission(children=20)
-    assert max(one.retry_after_s(0.0, SIZE) for _ in range(1000)) <= LEAST_RETRY_AFTER_S + 2
+    assert max(one.retry_after_s(0.0, SIZE) for _ in range(1000)) <= MIN_RETRY_AFTER_S + 2
 
 
 def test_a_storm_of_returns_is_over_in_the_time_it_needs():
--- a/tests/rules/test_replication_history.py
+++ b/tests/rules/test_replication_history.py
@@ -133,29 +133,27 @@
 def test_children_that_resume_anywhere_know_what_the_source_knows(seed):
     """Random lists and changes, a child that always watches, and one that is cut and resumes by its revision
     or by a whole list."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     one, truth = history(whole(0, 1), changes=5), {"s-1": server(1)}
     steady, cut = Child(), Child()
     for child in (steady, cut):
         child.take(json.loads(one.whole()))
     index, revision = one.end_index, 0
     for _ in range(60):
-        revision += chance.randint(1, 3)
-        entries = {
-            n: server(n, chance.choice(["in_service", "terminating"])) for n in chance.sample(range(9), 3)
-        }
-        if chance.random() < 0.2:
+        revision += rng.randint(1, 3)
+        entries = {n: server(n, rng.choice(["in_service", "terminating"])) for n in rng.sample(range(9), 3)}
+        if rng.random() < 0.2:
             truth = {entry["host"]: entry for entry in entries.values()}
             one.add(ListDocument(Position(0, revision), True, tuple(entries.values())))
         else:
-            left = server(chance.choice([n for n in range(9) if n not in entries]), "terminated")
+            left = server(rng.choice([n for n in range(9) if n not in entries]), "terminated")
             truth |= {entry["host"]: entry for entry in entries.values()}
             truth.pop(left["host"], None)
             one.add(change(revision, *entries.values(), left))
         chunks, index = one.read(index, MOST)
         for line in lines(chunks):
             steady.take(line)
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             try:
                 chunks, _ = one.read(one.index_after(cut.revision), MOST)
                 documents = lines(chunks)
@@ -169,8 +167,8 @@
 
 def test_a_list_that_begins_anew_is_taken_whatever_its_numbers_and_all_watches_are_past():
     one = history(whole(3, 1), change(4), change(5))
-    anew = replace(whole(2, 7), anew=True)
-    one.add(anew)
+    restarts_history = replace(whole(2, 7), restarts_history=True)
+    one.add(restarts_history)
     assert one.position == Position(0, 2) and json.loads(one.whole())["seq"] == 2
     for index in range(one.end_index):
         with pytest.raises(PastRevision):
@@ -190,7 +188,7 @@
 def test_changes_that_led_to_the_first_list_let_those_resume_who_knew_a_little_less():
     one = history(whole(9, 1), change(10))
     index = one.index_after(9)
-    assert one.lead_in(5, [change(6), change(8), change(9)]) == 3
+    assert one.prepend_changes(5, [change(6), change(8), change(9)]) == 3
     assert [missed(one, revision) for revision in (5, 6, 8, 9)] == [[6, 8, 9, 10], [8, 9, 10], [9, 10], [10]]
     with pytest.raises(PastRevision):
         one.index_after(4)
@@ -201,12 +199,12 @@
 
 def test_of_earlier_changes_the_newest_are_held_as_far_as_the_bounds_allow():
     few = history(whole(9, 1), changes=2)
-    assert few.lead_in(5, [change(6), change(8), change(9)]) == 2
+    assert few.prepend_changes(5, [change(6), change(8), change(9)]) == 2
     assert missed(few, 6) == [8, 9]
     with pytest.raises(PastRevision):
         few.index_after(5)
     small = history(whole(9, 1), most_bytes=250)
-    assert small.lead_in(5, [change(6), change(8), change(9)]) == 2 and small.held_bytes <= 250
+    assert small.prepend_changes(5, [change(6), change(8), change(9)]) == 2 and small.held_bytes <= 250
 
 
 @pytest.mark.parametrize(
@@ -224,8 +222,8 @@
 def test_changes_that_do_not_lead_to_the_first_list_are_not_taken(since, changes):
     one = history(whole(9, 1), change(10))
     with pytest.raises(ValueError):
-        one.lead_in(since, changes)
+        one.prepend_changes(since, changes)
     with pytest.raises(PastRevision):
         one.index_after(8)
     with pytest.raises(ValueError):
-        history().lead_in(since, changes)
+        history().prepend_changes(since, changes)
--- a/tests/rules/test_replication_http.py
+++ b/tests/rules/test_replication_http.py
@@ -7,12 +7,12 @@
 
 from glenfold.rules.replication import Position
 from glenfold.rules.replication_http import (
-    Refusal,
-    Source,
+    ListStatus,
+    RequestError,
     WatchRequest,
     WholeListRequest,
+    error_response,
     read_request,
-    refusal,
     watch_head,
     whole_list_head,
 )
@@ -51,7 +51,7 @@
     ],
 )
 def test_what_is_wrong_with_a_request_has_its_status(asked, status):
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RequestError) as refused:
         read_request(asked)
     assert refused.value.status is status
 
@@ -66,7 +66,7 @@
 
 
 def test_answers_tell_position_age_way_and_children():
-    source = Source(Position(4, 17), 1.2, ("top", "north-1"), 340)
+    source = ListStatus(Position(4, 17), 1.2, ("top", "north-1"), 340)
     told = {
         b"glenfold-incarnation": b"4",
         b"age": b"2",
@@ -82,14 +82,14 @@
 
 
 def test_an_age_that_nobody_knows_is_not_told():
-    assert b"age" not in dict(response(watch_head(Source(Position(0, 1), None, ("a",), 0))).headers)
+    assert b"age" not in dict(response(watch_head(ListStatus(Position(0, 1), None, ("a",), 0))).headers)
 
 
 def test_a_refusal_tells_when_to_ask_again():
-    full = response(refusal(Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "full", 7)))
+    full = response(error_response(RequestError(HTTPStatus.SERVICE_UNAVAILABLE, "full", 7)))
     assert (full.status_code, dict(full.headers)[b"retry-after"]) == (503, b"7")
-    source = Source(Position(2, 41), 0.0, ("r-1",), 3)
-    future = dict(response(refusal(Refusal(HTTPStatus.GONE, "future"), source)).headers)
+    source = ListStatus(Position(2, 41), 0.0, ("r-1",), 3)
+    future = dict(response(error_response(RequestError(HTTPStatus.GONE, "future"), source)).headers)
     assert (future[b"via"], future[b"glenfold-incarnation"]) == (b"1.1 r-1", b"2")
-    wrong = response(refusal(Refusal(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")))
+    wrong = response(error_response(RequestError(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")))
     assert dict(wrong.headers)[b"allow"] == b"GET" and b"retry-after" not in dict(wrong.headers)
--- a/tests/rules/test_replication_lease.py
+++ b/tests/rules/test_replication_lease.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from glenfold.rules.replication_lease import FRESH_S, LEAST_GAP_S, Lease
+from glenfold.rules.replication_lease import FRESH_S, MIN_LINE_INTERVAL_S, Lease
 
 
 def test_an_empty_line_goes_out_once_for_each_renewal():
@@ -20,24 +20,24 @@
 def test_a_renewal_that_a_change_has_told_of_needs_no_empty_line():
     one = Lease()
     one.renew(10.0, 10.0)
-    one.line_went_out(10.0)
+    one.record_line(10.0)
     assert one.due_at_s() is None and not one.take_renewal(11.0)
 
 
 def test_a_renewal_close_behind_a_line_waits_and_is_not_lost():
     one = Lease()
-    one.line_went_out(10.0)
+    one.record_line(10.0)
     one.renew(10.1, 10.1)
-    assert not one.take_renewal(10.1) and one.due_at_s() == 10.0 + LEAST_GAP_S
-    assert one.take_renewal(10.0 + LEAST_GAP_S)
+    assert not one.take_renewal(10.1) and one.due_at_s() == 10.0 + MIN_LINE_INTERVAL_S
+    assert one.take_renewal(10.0 + MIN_LINE_INTERVAL_S)
 
 
 def test_the_renewal_that_came_with_a_change_needs_no_empty_line_unless_it_is_the_first():
     one = Lease()
-    one.line_went_out(10.0)  # of a parent that was not renewed itself
+    one.record_line(10.0)  # of a parent that was not renewed itself
     one.renew(10.01, 10.01)
-    assert one.take_renewal(10.0 + LEAST_GAP_S)
-    one.line_went_out(12.0)
+    assert one.take_renewal(10.0 + MIN_LINE_INTERVAL_S)
+    one.record_line(12.0)
     one.renew(12.01, 12.01)
     assert one.due_at_s() is None
     one.renew(14.0, 14.0)
@@ -78,11 +78,9 @@
 def test_children_hear_the_source_at_its_own_pace_and_never_without_it(seed):
     """A source that speaks at least every 2 s through one or two parents, and then no more: no gap between
     lines is over 2.5 s while it speaks, and no line is without a renewal of its own."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     renewals = sorted(
-        start + 2.0 * n + chance.uniform(0.0, 0.05)
-        for start in (0.0, chance.uniform(0, 2))
-        for n in range(50)
+        start + 2.0 * n + rng.uniform(0.0, 0.05) for start in (0.0, rng.uniform(0, 2)) for n in range(50)
     )
     one, told, now_s = Lease(), [], 0.0
     while now_s < 120.0:
--- a/tests/rules/test_snapshot_form.py
+++ b/tests/rules/test_snapshot_form.py
@@ -9,7 +9,16 @@
 
 from glenfold.destinations import DestinationSet
 from glenfold.rules.history import History
-from glenfold.rules.snapshots import FIRST_LINE, Content, Owner, Refused, Snapshot, TooLarge, decode, encode
+from glenfold.rules.snapshots import (
+    MAX_FIRST_LINE_BYTES,
+    Content,
+    Owner,
+    Snapshot,
+    SnapshotRefused,
+    TooLarge,
+    decode,
+    encode,
+)
 from linnetspread import Balancer
 from linnetspread import interface as i
 from linnetspread.choice import SEEDS, Anchor
@@ -17,8 +26,8 @@
 OWNER = Owner("valleys", "relay-1")
 
 
-def snapshot_file(destinations: DestinationSet, owner: Owner = OWNER, most: int = 1 << 20) -> bytes:
-    return b"".join(encode(Content(owner, 7, 1000.0, destinations.state(), History().section()), most))
+def snapshot_file(destinations: DestinationSet, owner: Owner = OWNER, max_bytes: int = 1 << 20) -> bytes:
+    return b"".join(encode(Content(owner, 7, 1000.0, destinations.state(), History().section()), max_bytes))
 
 
 @pytest.fixture
@@ -51,7 +60,7 @@
 def refusal(data: bytes) -> str | None:
     try:
         decode(data, OWNER)
-    except Refused as refused:
+    except SnapshotRefused as refused:
         return refused.reason
     return None
 
@@ -74,15 +83,15 @@
         "format",
     ]
     with pytest.raises(TooLarge):
-        snapshot_file(heard, most=len(data) - 1)
-    assert len(snapshot_file(heard, most=len(data) + FIRST_LINE)) == len(data)
+        snapshot_file(heard, max_bytes=len(data) - 1)
+    assert len(snapshot_file(heard, max_bytes=len(data) + MAX_FIRST_LINE_BYTES)) == len(data)
 
 
 @pytest.mark.parametrize("now, reason", [(1060.5, "too_old"), (990.0, "from_the_future")])
 def test_the_age_is_bounded_both_ways(now: float, reason: str) -> None:
     snapshot = Snapshot(OWNER, 1, 1000.0, None, None)
     snapshot.check_age(1060.0, 60.0)
-    with pytest.raises(Refused, check=lambda refused: refused.reason == reason):
+    with pytest.raises(SnapshotRefused, check=lambda refused: refused.reason == reason):
         snapshot.check_age(now, 60.0)
 
 
@@ -116,7 +125,7 @@
             for n in draws.sample(range(20), 12)
         ]
         told = destinations.read({"seq": seq, "whole": draws.random() < 0.3, "hosts": hosts})
-        history.heard(told)
+        history.record(told)
         balancer.handle(seq, told)
     section = history.section()
     assert section is not None and balancer.anchor is not None
@@ -129,7 +138,7 @@
         else:
             anchor.add(row[0], buckets)
     assert all(anchor.lookup(key, SEEDS[0]) == balancer.anchor.lookup(key, SEEDS[0]) for key in range(2000))
-    short = History(most=3)
+    short = History(max_changes=3)
     for n in range(6):
-        short.heard(i.ServerList(i.ListKind.FULL, n, (i.ListedServer(n, i.ServerState.READY),)))
+        short.record(i.ServerList(i.ListKind.FULL, n, (i.ListedServer(n, i.ServerState.READY),)))
     assert short.section() is None
--- a/tests/rules/test_source_lease.py
+++ b/tests/rules/test_source_lease.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from glenfold.rules.greeting import MOST_HOPS, BadGreeting, Greeting, read_greeting
+from glenfold.rules.parent_header import MAX_HOPS, ParentHeader, ParentHeaderError, read_parent_header
 from glenfold.rules.source_lease import LEASE_S, SourceLease
 
 
@@ -17,8 +17,8 @@
 
 
 def test_discovery_itself_sends_none_of_the_fields() -> None:
-    greeting = read_greeting([(b"Content-Type", b"application/json")])
-    assert greeting == Greeting() and greeting.source and greeting.incarnation is None
+    greeting = read_parent_header([(b"Content-Type", b"application/json")])
+    assert greeting == ParentHeader() and greeting.is_source and greeting.incarnation is None
 
 
 def test_the_fields_of_a_replica_whatever_their_case() -> None:
@@ -30,16 +30,16 @@
         (b"Glenfold-Children", b"250"),
         (b"Retry-After", b"2"),
     ]
-    assert read_greeting(fields) == Greeting(("root-1", "zone-2", "zone-3"), 7, 3.0, 250, 2.0)
+    assert read_parent_header(fields) == ParentHeader(("root-1", "zone-2", "zone-3"), 7, 3.0, 250, 2.0)
 
 
 def test_a_replica_that_was_never_renewed_tells_no_age_and_is_older_than_all() -> None:
-    greeting = read_greeting([(b"Via", b"1.1 root-1")])
+    greeting = read_parent_header([(b"Via", b"1.1 root-1")])
     assert greeting.age_s == math.inf and greeting.incarnation == 0
 
 
 def test_a_date_to_come_again_at_says_nothing() -> None:
-    assert read_greeting([(b"Retry-After", b"Fri, 31 Dec 1999 23:59:59 GMT")]).retry_after_s is None
+    assert read_parent_header([(b"Retry-After", b"Fri, 31 Dec 1999 23:59:59 GMT")]).retry_after_s is None
 
 
 @pytest.mark.parametrize(
@@ -55,9 +55,9 @@
         ("Glenfold-Children", "9" * 5000),
         ("Via", "root-1"),
         ("Via", "1.1 a,,1.1 b"),
-        ("Via", ", ".join(["1.1 a"] * (MOST_HOPS + 1))),
+        ("Via", ", ".join(["1.1 a"] * (MAX_HOPS + 1))),
     ],
 )
 def test_a_field_that_cannot_be_read_is_a_fault(name: str, value: str) -> None:
-    with pytest.raises(BadGreeting, match=name):
-        read_greeting([(name.encode(), value.encode())])
+    with pytest.raises(ParentHeaderError, match=name):
+        read_parent_header([(name.encode(), value.encode())])
--- a/tests/rules/test_succession.py
+++ b/tests/rules/test_succession.py
@@ -10,7 +10,7 @@
 from glenfold.rules.succession import (
     DRAINING,
     GONE,
-    LEAST_REMEMBERED,
+    MIN_REMEMBERED_SERVERS,
     READY,
     Origin,
     Received,
@@ -67,8 +67,10 @@
 def test_a_change_whose_predecessor_was_missed_asks_for_the_whole_list() -> None:
     made = known(whole(41))
     assert made.judge(change(43, 44)) is Verdict.INCOMPLETE
-    assert made.needs_whole(Origin(A, 0), gone=False) and not made.needs_whole(Origin(B, 0), gone=False)
-    assert made.judge(whole(44)) and not made.needs_whole(Origin(A, 0), gone=False)
+    assert made.needs_whole_list(Origin(A, 0), gone=False) and not made.needs_whole_list(
+        Origin(B, 0), gone=False
+    )
+    assert made.judge(whole(44)) and not made.needs_whole_list(Origin(A, 0), gone=False)
 
 
 def test_an_older_list_is_behind() -> None:
@@ -84,23 +86,27 @@
     taken = made.judge(whole(3, host("s-2"), incarnation=2, at=B))
     assert taken == ListDocument(Position(2, 3), True, (host("s-2"),))
     assert made.judge(change(900, 901, incarnation=1)) is Verdict.BEHIND
-    assert made.behind(Origin(A, 1), gone=False) and not made.behind(Origin(A, 2), gone=False)
-    assert made.behind(Origin(A, 2), gone=True) and not made.behind(Origin(A, 3), gone=True)
+    assert made.is_behind(Origin(A, 1), gone=False) and not made.is_behind(Origin(A, 2), gone=False)
+    assert made.is_behind(Origin(A, 2), gone=True) and not made.is_behind(Origin(A, 3), gone=True)
 
 
 def test_a_change_of_a_later_incarnation_needs_its_list() -> None:
     made = known(whole(41, incarnation=1))
-    assert made.needs_whole(Origin(B, 2), gone=True)
-    assert not made.needs_whole(Origin(B, 2), gone=False)  # the watch itself begins with it, if it is sound
+    assert made.needs_whole_list(Origin(B, 2), gone=True)
+    assert not made.needs_whole_list(
+        Origin(B, 2), gone=False
+    )  # the watch itself begins with it, if it is sound
     assert made.judge(change(41, 42, incarnation=2, at=B)) is Verdict.INCOMPLETE
-    assert made.needs_whole(Origin(B, 2), gone=False)
+    assert made.needs_whole_list(Origin(B, 2), gone=False)
 
 
 def test_a_source_that_counts_anew_begins_the_next_incarnation() -> None:
     made = known(whole(41, incarnation=None), change(41, 42, incarnation=None))
-    assert made.needs_whole(Origin(A, None), gone=True) and not made.needs_whole(Origin(A, None), gone=False)
+    assert made.needs_whole_list(Origin(A, None), gone=True) and not made.needs_whole_list(
+        Origin(A, None), gone=False
+    )
     assert made.judge(change(42, 3, incarnation=None)) is Verdict.INCOMPLETE
-    assert made.needs_whole(Origin(A, None), gone=False)
+    assert made.needs_whole_list(Origin(A, None), gone=False)
     assert isinstance(made.judge(whole(3, incarnation=None)), ListDocument)
     assert made.position == Position(1, 3)
     assert isinstance(made.judge(change(3, 4, incarnation=None)), ListDocument)
@@ -109,7 +115,7 @@
 
 def test_a_lower_number_of_another_source_is_one_that_lags_until_the_first_is_no_longer_followed() -> None:
     made = known(whole(41, incarnation=None))
-    assert made.needs_whole(Origin(B, None), gone=False)
+    assert made.needs_whole_list(Origin(B, None), gone=False)
     assert made.judge(whole(40, incarnation=None, at=B)) is Verdict.BEHIND
     made.release({A, B})
     assert made.judge(whole(40, incarnation=None, at=B)) is Verdict.BEHIND
@@ -121,7 +127,7 @@
 def test_what_an_earlier_process_knew_is_gone_on_from_in_the_parents_incarnation() -> None:
     made = Succession()
     made.resume(41)
-    assert made.incarnation is None and not made.needs_whole(Origin(A, 7), gone=False)
+    assert made.incarnation is None and not made.needs_whole_list(Origin(A, 7), gone=False)
     made.resumed(Origin(A, 7))
     assert made.position == Position(7, 41) and made.incarnation == 7
     assert isinstance(made.judge(change(41, 42, incarnation=7)), ListDocument)
@@ -130,7 +136,7 @@
 def test_what_an_earlier_process_knew_is_given_up_where_no_parent_knows_it() -> None:
     made = Succession()
     made.resume(41)
-    assert made.needs_whole(Origin(A, 7), gone=True) and not made.behind(Origin(A, 7), gone=True)
+    assert made.needs_whole_list(Origin(A, 7), gone=True) and not made.is_behind(Origin(A, 7), gone=True)
     assert isinstance(made.judge(whole(3, incarnation=7)), ListDocument)
 
 
@@ -138,13 +144,13 @@
     made = known(
         whole(900, host("s-1"), incarnation=1), change(900, 901, host("s-1", DRAINING), incarnation=1)
     )
-    made.believe(B)
-    assert not made.behind(Origin(B, 0), gone=True) and made.behind(Origin(A, 0), gone=True)
-    assert made.needs_whole(Origin(B, 0), gone=False)
+    made.trust(B)
+    assert not made.is_behind(Origin(B, 0), gone=True) and made.is_behind(Origin(A, 0), gone=True)
+    assert made.needs_whole_list(Origin(B, 0), gone=False)
     assert made.judge(whole(7, host("s-1"), incarnation=0)) is Verdict.BEHIND  # it is another's
     assert made.judge(change(7, 8, incarnation=0, at=B)) is Verdict.BEHIND
     taken = made.judge(whole(7, host("s-1"), incarnation=0, at=B))
-    assert taken == ListDocument(Position(0, 7), True, (host("s-1", DRAINING),), anew=True)
+    assert taken == ListDocument(Position(0, 7), True, (host("s-1", DRAINING),), restarts_history=True)
     assert made.judge(whole(6, incarnation=0, at=B)) is Verdict.BEHIND  # once only
     assert isinstance(made.judge(change(7, 8, incarnation=0, at=B)), ListDocument)
 
@@ -176,12 +182,12 @@
 def test_who_left_is_remembered_for_as_many_as_the_longest_list_had() -> None:
     for size in (10, 5000):
         made = known(whole(100, *(host(f"s-{n}") for n in range(size))), whole(101))
-        assert len(made._left) == size
+        assert len(made._departed) == size
         for n in range(size, 3 * size):
             made.judge(
                 change(101 + n, 102 + n, host(f"s-{n}", GONE)) if False else whole(102 + n, host(f"s-{n}"))
             )
-        assert len(made._left) <= max(LEAST_REMEMBERED, size + 1)
+        assert len(made._departed) <= max(MIN_REMEMBERED_SERVERS, size + 1)
 
 
 @pytest.mark.parametrize("entry", [{}, {"host": 3}, {"host": "s-1"}, {"host": "s-1", "born_ms": "soon"}])
--- a/tests/test_joined_changes.py
+++ b/tests/test_joined_changes.py
@@ -9,7 +9,7 @@
 
 from glenfold.clock import Clock
 from glenfold.decisions import JOIN_S, MOST_JOIN_S, Closed, Decisions, Message
-from glenfold.rules.list_changes import joined
+from glenfold.rules.list_changes import merge_changes
 from linnetspread import interface as i
 
 READY, DRAINING, GONE = i.ServerState.READY, i.ServerState.DRAINING, i.ServerState.GONE
@@ -34,7 +34,7 @@
 @given(LINES, LINES)
 def test_two_changes_are_the_last_that_was_said_of_each_server(first, second) -> None:
     one, other = change(1, *first), change(2, *second)
-    both = joined(one, other)
+    both = merge_changes(one, other)
     assert both is not None
     assert both.version == 2
     assert {line.server: line for line in both.servers} == last_words(one, other)
@@ -43,9 +43,9 @@
 
 def test_a_whole_list_and_a_failure_are_taken_by_themselves() -> None:
     alone = i.ServerList(i.ListKind.FAILED)
-    assert joined(change(1), whole(2)) is None
-    assert joined(whole(1), change(2)) is None
-    assert joined(change(1), alone) is None
+    assert merge_changes(change(1), whole(2)) is None
+    assert merge_changes(whole(1), change(2)) is None
+    assert merge_changes(change(1), alone) is None
 
 
 class Told:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -35,7 +35,7 @@
     limit, now, passed, told = RateLimit(per_s, burst), 0.0, [], 0
     for gap in gaps:
         now += gap
-        if (left_out := limit.passes(now)) is not None:
+        if (left_out := limit.allow(now)) is not None:
             passed.append(now)
             told += left_out
     for first, start in enumerate(passed):
@@ -47,7 +47,7 @@
 @given(st.floats(0.01, 50), st.integers(1, 20), st.integers(0, 30))
 def test_after_a_pause_long_enough_a_whole_burst_passes(per_s, burst, before):
     limit, pause = RateLimit(per_s, burst), burst / per_s * 1.001
-    passes = [limit.passes(now) is not None for now in [0.0] * before + [pause] * (burst + 1)]
+    passes = [limit.allow(now) is not None for now in [0.0] * before + [pause] * (burst + 1)]
     assert passes[before:] == [True] * burst + [False]
 
 
