--- a/glenfold/rules/backoff.py
+++ b/glenfold/rules/backoff.py
@@ -1,16 +1,19 @@
-"""When many who share nothing may ask one service, at their start and after faults, without I/O."""
+"""Delays before calls of one service by many independent callers, at startup and after faults. No I/O."""
 
 import math
 import random
 
 
 class Backoff:
-    """Waits before calls of one service. All who ask it draw them by seeds of their own, so that together
-    they ask evenly over a span, however many began or failed at the same moment: over `spread_s`, which the
-    service needs for all, but over `soon_s` where that is less and nothing says yet that it can't serve them.
-    With each call in a row that it refuses as one too many the waits double, at the most to `most_times` of
-    the first; a caller that can't wait so long draws them from ever later parts of the time that it has.
-    Spans are in seconds."""
+    """Random delays before the calls of one caller.
+
+    Each caller uses a seed of its own, so that all callers together spread their calls evenly over a span,
+    however many of them started or failed at the same time. The span is `spread_s`, the time that the service
+    needs for all callers, or `initial_spread_s` where that is shorter and the service has not yet refused a
+    call as overloaded. The delays double with each consecutive call that is refused as overloaded, up to
+    `max_factor` times the first. A caller that can't wait so long draws its delays from ever later parts of
+    the time that it has.
+    """
 
     def __init__(
         self,
@@ -28,12 +31,15 @@
         self._factor = 1.0
 
     def first_delay_s(self, within_s: float = math.inf) -> float:
-        """Before the first call of all, or of another service."""
+        """Returns the delay before the first call, or before the first call of another service."""
         return self._rng.uniform(0.0, min(self._spread_s, within_s))
 
     def retry_delay_s(self, busy: bool = True, within_s: float = math.inf) -> float:
-        """Before the next call, after one more fault. `busy`: it was refused as one too many. `within_s`: the
-        longest wait allowed then; the least wait is kept all the same."""
+        """Returns the delay before the next call after a fault.
+
+        `busy` is True if the service refused the call as overloaded. `within_s` is the longest delay allowed;
+        the minimum delay is kept even where that is shorter.
+        """
         min_delay_s = self._min_s * self._rng.uniform(0.5, 1.0)
         if not busy:
             return min_delay_s + self.first_delay_s(
@@ -46,5 +52,5 @@
         return self._rng.uniform(max(min_delay_s, latest_s * (1 - 1 / factor)), latest_s)
 
     def reset(self) -> None:
-        """The next refusal is the first of a row."""
+        """Ends the series of refusals after a successful call."""
         self._factor = 1.0
--- a/glenfold/rules/fleet/context.py
+++ b/glenfold/rules/fleet/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one fleet share: settings, state, last measurement of service, pending effects."""
+"""The context that the parts of one fleet share: options, state, measured service, pending effects."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class Context:
-    """`draw` returns random numbers in [0, 1)."""
+    """The shared objects of one fleet. `draw` returns random numbers in [0, 1)."""
 
     def __init__(self, options: Options, state: State, draw: Callable[[], float]) -> None:
         self.options = options
@@ -19,6 +19,7 @@
         self._effects: list[Effect] = []
 
     def emit(self, effect: Effect) -> None:
+        """Appends the effect to the pending ones."""
         self._effects.append(effect)
 
     def log(self, event: str, **fields: object) -> None:
@@ -31,5 +32,5 @@
         return effects
 
     def is_wanted(self, name: str) -> bool:
-        """Whether the instance is to run: it is in the settings and the fleet is not going down."""
+        """Returns whether the instance should run: it is in the options and the fleet is not going down."""
         return name in self.options.instances and not self.state.down
--- a/glenfold/rules/fleet/effects.py
+++ b/glenfold/rules/fleet/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the supervisor has to do after an incident, in this order."""
+"""Effects: the actions that the supervisor has to carry out after an input, in the order returned."""
 
 from dataclasses import dataclass, field
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Replace:
-    """Start a process that takes over from the running one."""
+    """Start a successor process that takes over from the running one."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Send SIGTERM."""
+    """Send SIGTERM to the process."""
 
     name: str
     process: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """Send SIGKILL."""
+    """Send SIGKILL to the process."""
 
     name: str
     process: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reload:
-    """Have the process read its configuration again."""
+    """Make the process read its configuration again."""
 
     name: str
     process: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """Write a log event. `event` is its stable name."""
+    """Write a log event. `event` is its stable name, and `fields` are the arguments of its function."""
 
     event: str
     fields: dict[str, object] = field(default_factory=dict)
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The command was rejected and has changed nothing."""
+    """Report that the command was rejected and has changed nothing."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class AllDown:
-    """No process is left after `Down`: the supervisor may exit."""
+    """Let the supervisor exit: no process is left after `Down`."""
 
 
 Effect = Start | Replace | Stop | Kill | Reload | Tell | Refuse | AllDown
--- a/glenfold/rules/fleet/fleet.py
+++ b/glenfold/rules/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""The entry point of the decisions: incidents go in, effects come out."""
+"""The entry point of the fleet decisions, which turns each input into a list of effects."""
 
 from collections.abc import Callable
 
@@ -30,13 +30,13 @@
 from glenfold.rules.fleet.state import Instance, Phase, State
 
 RELOAD_DURING_ROLL = (
-    "a roll is running, and each instance that it starts goes by the file as it was when"
+    "a roll is running, and each instance that it starts uses the file as it was when"
     " the roll began; wait for its end or call it off"
 )
 
 
 class Fleet:
-    """`state` is changed in place. `draw` returns random numbers in [0, 1)."""
+    """The decisions for one fleet. `state` is changed in place. `draw` returns random numbers in [0, 1)."""
 
     def __init__(self, options: Options, state: State, draw: Callable[[], float]) -> None:
         self.state = state
@@ -49,18 +49,18 @@
             state.instances.setdefault(name, Instance())
 
     def on(self, event_input: Input, now: float) -> list[Effect]:
-        """Applies the incident, and whatever else is due at `now`; returns the effects in their order."""
+        """Applies the input and all steps that are due at `now`, and returns the effects in order."""
         self._apply(event_input, now)
         self._advance(now)
         return self._context.take_effects()
 
     def next_at(self) -> float:
-        """The time of the next scheduled start, if no incident comes in before; infinity if there is none."""
+        """Returns the time of the next scheduled start if no input comes first; infinity if there is none."""
         due = [one.due_at for one in self.state.instances.values() if one.phase is Phase.DUE]
         return max(min(due), self._earliest_start()) if due else float("inf")
 
     def rejection_reason(self, command: Command) -> str | None:
-        """Why the command would be refused now; None if it would be accepted."""
+        """Returns why the command would be rejected now; None if it would be accepted."""
         roll = self.state.roll
         match command:
             case BeginRoll():
@@ -142,7 +142,7 @@
             self._lifecycle.retire(name, instance, now)
 
     def _apply_options(self, options: Options, now: float) -> None:
-        """Schedules new instances, and stops those that are no longer in the settings."""
+        """Schedules new instances, and stops those that are no longer in the options."""
         self._context.options = options
         for name in options.instances:
             if name not in self.state.instances:
@@ -153,7 +153,7 @@
                 self._lifecycle.remove_unwanted(name, instance)
 
     def _advance(self, now: float) -> None:
-        """Does what is due at `now`: kills, steps of the roll, and starts."""
+        """Performs the kills, the steps of the roll and the starts that are due at `now`."""
         for name, instance in self.state.instances.items():
             self._lifecycle.kill_overdue(name, instance, now)
             self._lifecycle.check_successor(name, instance, now)
--- a/glenfold/rules/fleet/inputs.py
+++ b/glenfold/rules/fleet/inputs.py
@@ -1,4 +1,7 @@
-"""Incidents: what the supervisor reports to the decisions, and the commands of operators."""
+"""Inputs of the fleet decisions: the supervisor's observations and the operators' commands.
+
+The class names of commands appear in the log event `fleet.command`.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,8 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SupervisorStarted:
-    """A supervisor begins. `alive`: those processes named by the state that still run. `answering`: the
-    process that answers on the control socket, by instance. `again`: False if the machine was rebooted."""
+    """A supervisor has started.
+
+    `live_processes` are the processes named in the saved state that still run. `answering` maps each instance
+    to the process that answers on its control socket. `same_boot` is False if the machine was rebooted.
+    """
 
     live_processes: frozenset[str]
     answering: Mapping[str, str]
@@ -26,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStarted:
-    """`Start` or `Replace` was carried out."""
+    """A process was started for `Start` or `Replace`."""
 
     name: str
     process: str
@@ -34,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessAnswered:
-    """A process answered on the control socket of the instance."""
+    """A process answered on the control socket of the instance, and reported whether it is ready."""
 
     name: str
     process: str
@@ -43,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exited:
-    """A process exited. `process` is None if it could not be started."""
+    """A process exited. `process` is None if it could not be started; `how` describes the exit."""
 
     name: str
     process: str | None
@@ -52,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceMeasured:
-    """The current measurement of service."""
+    """The fleet's service was measured."""
 
     shares: Shares
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Only time has passed."""
+    """Time has passed without any other input."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginRoll:
-    """`most_out` None: as in the settings."""
+    """Begin a roll. `most_out` is the number of instances out of service at once, None: as in the options."""
 
     most_out: int | None = None
 
@@ -88,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Start a held instance again. `name` None: all held instances."""
+    """Start a held instance again; all held instances if `name` is None."""
 
     name: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadAll:
-    """Have all instances read their configuration again."""
+    """Make all instances read their configuration again."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenfold/rules/fleet/lifecycle.py
+++ b/glenfold/rules/fleet/lifecycle.py
@@ -6,12 +6,12 @@
 from glenfold.rules.fleet.roll import RollControl
 from glenfold.rules.fleet.state import Instance, Phase
 
-MAX_DOUBLINGS = 60  # keeps the exponential back-off within the range of a float
+MAX_DOUBLINGS = 60  # The limit keeps the exponential back-off within the range of a float.
 RUNNING_PHASES = (Phase.UNREADY, Phase.READY, Phase.STOPPING)
 
 
 class Lifecycle:
-    """Applies incidents that concern one instance to its state."""
+    """Applies the inputs that concern one instance to its state."""
 
     def __init__(self, context: Context, roll: RollControl) -> None:
         self._context = context
@@ -20,6 +20,7 @@
     # ---- start and readiness ----
 
     def start(self, name: str, instance: Instance, now: float) -> None:
+        """Starts the instance, which is not ready until its process says so."""
         self._context.state.last_start = now
         instance.starts += 1
         instance.process = None
@@ -27,6 +28,7 @@
         self._context.emit(Start(name))
 
     def on_started(self, started: ProcessStarted) -> None:
+        """Records the started process, as the successor if the instance is being replaced."""
         instance = self._context.state.instances[started.name]
         if instance.replacing:
             instance.successor = started.process
@@ -34,6 +36,7 @@
             instance.process = started.process
 
     def on_answered(self, answer: ProcessAnswered, now: float) -> None:
+        """Applies the reported readiness, adopts an unknown process, and completes a replacement."""
         instance = self._context.state.instances.get(answer.name)
         if instance is None or answer.process in instance.leaving:
             return
@@ -53,7 +56,7 @@
         instance.enter(Phase.READY if answer.ready else Phase.UNREADY, now)
 
     def adopt(self, name: str, instance: Instance, process: str, now: float) -> None:
-        """Takes in a process that this supervisor did not start."""
+        """Takes a process that this supervisor did not start as the process of the instance."""
         self._retire_process(instance, now)
         instance.process = process
         self._context.log("fleet.found", name=name, process=process)
@@ -76,18 +79,22 @@
             instance.leaving[instance.process] = self._kill_at(now)
 
     def continue_with_successor(self, instance: Instance, now: float) -> None:
-        """The old process has exited, as it may, before its successor was seen to be ready."""
+        """Makes the successor the process of the instance.
+
+        The old process may exit before its successor has reported that it is ready.
+        """
         instance.promote_successor()
         instance.restart_phase(Phase.UNREADY, now)
 
     def abandon_successor(self, name: str, instance: Instance, now: float) -> None:
+        """Kills the successor, if there is one, and ends the replacement."""
         if instance.successor is not None:
             instance.leaving[instance.successor] = self._kill_at(now)
             self._context.emit(Kill(name, instance.successor))
         instance.clear_successor()
 
     def check_successor(self, name: str, instance: Instance, now: float) -> None:
-        """Gives up a successor that takes too long to become ready."""
+        """Abandons a successor that takes too long to become ready, and stops the roll."""
         ready_within_s = self._context.options.ready_within_s
         if instance.replacing and now - instance.since > ready_within_s:
             self.abandon_successor(name, instance, now)
@@ -96,6 +103,7 @@
     # ---- exits ----
 
     def on_exited(self, exited: Exited, now: float) -> None:
+        """Applies the exit of an old process, a successor or the instance's current process."""
         instance = self._context.state.instances.get(exited.name)
         if instance is None:
             return
@@ -171,6 +179,7 @@
     # ---- stop, kill and removal ----
 
     def stop(self, name: str, instance: Instance, now: float) -> None:
+        """Stops the process of the instance; an instance without a process is down at once."""
         if instance.process is None:
             instance.enter(Phase.DOWN, now)
             return
@@ -178,17 +187,21 @@
         self.send_stop(name, instance, instance.process, now)
 
     def send_stop(self, name: str, instance: Instance, process: str, now: float) -> None:
+        """Sends SIGTERM to the process and sets the time of its SIGKILL."""
         instance.kill_at = self._kill_at(now)
         self._context.emit(Stop(name, process))
 
     def retire(self, name: str, instance: Instance, now: float) -> None:
-        """Stops the instance and any successor, unless it is stopping already."""
+        """Stops the instance and its successor, unless the instance is stopping already."""
         if instance.phase is not Phase.STOPPING:
             self.abandon_successor(name, instance, now)
             self.stop(name, instance, now)
 
     def kill_overdue(self, name: str, instance: Instance, now: float) -> None:
-        """Kills processes that did not exit in time; repeated, in case a signal was lost."""
+        """Kills processes that did not exit in time.
+
+        The kill is repeated until the exit is reported, in case a signal was lost.
+        """
         stopping = instance.phase is Phase.STOPPING
         if stopping and instance.process is not None and now >= instance.kill_at:
             instance.kill_at = self._kill_at(now)
@@ -207,7 +220,7 @@
         return now + self._context.options.stop_within_s
 
     def remove_unwanted(self, name: str, instance: Instance) -> None:
-        """Forgets an instance that is no longer in the settings, once none of its processes is left."""
+        """Removes an instance that is no longer in the options once none of its processes remains."""
         configured = name in self._context.options.instances
         if not configured and instance.phase is Phase.DOWN and not instance.leaving:
             del self._context.state.instances[name]
--- a/glenfold/rules/fleet/recovery.py
+++ b/glenfold/rules/fleet/recovery.py
@@ -8,7 +8,7 @@
 
 
 class Recovery:
-    """Applies `Resumed` to all instances."""
+    """Applies `SupervisorStarted` to all instances."""
 
     def __init__(self, context: Context, roll: RollControl, lifecycle: Lifecycle) -> None:
         self._context = context
@@ -16,6 +16,7 @@
         self._lifecycle = lifecycle
 
     def resume(self, found: SupervisorStarted, now: float) -> None:
+        """Reconciles the saved state of each instance with the processes in `found`."""
         state = self._context.state
         state.down = False
         if not found.same_boot:
@@ -28,10 +29,13 @@
             self._resume_instance(name, instance, found, now)
 
     def _discard_times(self, now: float) -> None:
-        """After a reboot: the saved times are on a clock that has started anew, and no process is left."""
+        """Discards the saved times and processes after a reboot.
+
+        The monotonic clock starts again with the machine, and no process survives a reboot.
+        """
         state = self._context.state
         state.last_start = NEVER
-        self._roll.stop("the machine was started anew")
+        self._roll.stop("the machine was rebooted")
         for instance in state.instances.values():
             instance.forget_exits()
             instance.clear_successor()
@@ -71,7 +75,7 @@
         if instance.phase is Phase.HELD:
             return
         if instance.process is not None:
-            exited = Exited(name, instance.process, "while no supervisor looked on")
+            exited = Exited(name, instance.process, "while no supervisor was running")
             self._lifecycle.on_exited(exited, now)
         elif self._context.is_wanted(name):
             due_at = max(instance.due_at, now) if instance.phase is Phase.DUE else now
--- a/glenfold/rules/fleet/roll.py
+++ b/glenfold/rules/fleet/roll.py
@@ -1,4 +1,4 @@
-"""The rolling restart as a record: conditions for its start, and begin, stop, continue and call off."""
+"""The state of a rolling restart: conditions for its start, and begin, stop, continue and call off."""
 
 from collections.abc import Container
 
@@ -6,17 +6,17 @@
 from glenfold.rules.fleet.state import Phase, Roll
 from glenfold.rules.service import Shares
 
-SHARE_DIGITS = 4  # decimal places of shares in log events
+SHARE_DIGITS = 4  # Log events give shares with this number of decimal places.
 
 
 class RollControl:
-    """At most one roll exists at a time, in `State.roll`."""
+    """Control of the roll in `State.roll`; at most one exists at a time."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     def rejection_reason(self, most_out: int) -> str | None:
-        """Why a roll can't begin now; None if it can."""
+        """Returns why a roll can't begin now; None if it can."""
         context, roll = self._context, self._context.state.roll
         count = len(context.options.instances)
         if context.state.down:
@@ -25,7 +25,7 @@
             stopped = "a roll was stopped; continue it or call it off first"
             return "a roll is running" if roll.running else stopped
         if not 1 <= most_out < max(2, count):
-            return f"{most_out} of {count} instances out at once would leave none, or never begin"
+            return f"{most_out} of {count} instances out of service at once would leave none, or never begin"
         unready = self.out_of_service()
         if len(unready) >= most_out:
             return "not ready: " + ", ".join(self._describe(name) for name in unready)
@@ -37,7 +37,7 @@
         return f"{name} ({instance.phase.value}{replacing})"
 
     def out_of_service(self, stepping: Container[str] = ()) -> list[str]:
-        """Instances that are not ready, being replaced or in `stepping`, in the order of the settings."""
+        """Returns the instances that are not ready, being replaced or in `stepping`, in configured order."""
         instances = self._context.state.instances
         return [
             name
@@ -80,8 +80,11 @@
         self._context.state.last_roll = outcome
 
     def stop(self, reason: str) -> None:
-        """Takes no further instance out. Instances that are out come back by themselves, and their steps are
-        repeated when the roll is continued. Does nothing without a running roll."""
+        """Stops a running roll; does nothing without one.
+
+        No further instance is taken out of service. Instances that are out return by themselves, and their
+        steps are repeated when the roll is continued.
+        """
         roll = self._context.state.roll
         if roll is None or not roll.running:
             return
@@ -92,13 +95,13 @@
         self._context.log("fleet.roll_stopped", reason=reason, done=len(roll.done), left=len(roll.todo))
 
     def retry_step(self, name: str) -> None:
-        """Puts an instance whose step was interrupted at the head of the queue."""
+        """Puts an instance whose step was interrupted back at the head of the queue."""
         roll = self._context.state.roll
         if roll and name in roll.out:
             roll.out.remove(name)
             roll.todo.insert(0, name)
 
     def is_stepping(self, name: str) -> bool:
-        """Whether the roll has taken this instance out."""
+        """Returns whether the roll has taken this instance out of service."""
         roll = self._context.state.roll
         return roll is not None and name in roll.out
--- a/glenfold/rules/fleet/roll_progress.py
+++ b/glenfold/rules/fleet/roll_progress.py
@@ -1,4 +1,4 @@
-"""The steps of a rolling restart: which instance is taken out when, and when its step is complete."""
+"""The steps of a rolling restart: which instance is taken out of service, and when its step is complete."""
 
 from glenfold.rules.fleet.context import Context
 from glenfold.rules.fleet.effects import Replace
@@ -8,7 +8,7 @@
 
 
 class RollProgress:
-    """Advances the roll of a fleet whenever an incident comes in."""
+    """Advances the roll of a fleet on every input."""
 
     def __init__(self, context: Context, control: RollControl, lifecycle: Lifecycle) -> None:
         self._context = context
@@ -16,7 +16,7 @@
         self._lifecycle = lifecycle
 
     def advance(self, now: float) -> None:
-        """Completes steps, stops the roll if service has become worse, and begins further steps."""
+        """Completes steps, stops the roll if service has degraded, and begins further steps."""
         context = self._context
         if context.state.roll is not None:
             for name in tuple(context.state.roll.out):
@@ -56,7 +56,7 @@
             self._lifecycle.stop(name, instance, now)
 
     def _limit_wait(self, roll: Roll, now: float) -> None:
-        """Stops the roll if it waits too long for instances that it did not take out itself."""
+        """Stops the roll if it waits too long for instances that it did not take out of service itself."""
         if not roll.todo or roll.out:
             roll.waits_since = None
         elif roll.waits_since is None:
@@ -70,7 +70,7 @@
         instance = self._context.state.instances.get(name)
         if roll is None or name not in roll.out:
             return
-        if instance is None:  # it is no longer in the settings
+        if instance is None:  # The instance is no longer in the options.
             roll.out.remove(name)
             return
         duration_s = now - instance.since
@@ -89,8 +89,10 @@
             self._control.stop(f"service is not as before after {name}: {worse or 'no figures'}")
 
     def _degradation(self, tolerance: float) -> str:
-        """Describes the shares that exceed those before the roll by more than `tolerance`; empty if none
-        does, or if there are too few requests to tell."""
+        """Describes the shares that exceed those before the roll by more than `tolerance`.
+
+        The text is empty if no share does, or if there are too few requests for a comparison.
+        """
         now, roll = self._context.service, self._context.state.roll
         if now is None or roll is None or now.asked < self._context.options.least_asked:
             return ""
--- a/glenfold/rules/history.py
+++ b/glenfold/rules/history.py
@@ -1,19 +1,22 @@
-"""In which order servers became ready and ceased to be: what a map of this process is made of. No I/O."""
+"""The order in which servers became ready and stopped being so, from which a map can be rebuilt. No I/O."""
 
 from dataclasses import dataclass, field
 
-from linnetspread import interface as i
+from linnetspread import interface
 
 FORMAT = 1
 MAX_CHANGES = 4096
 
-Row = tuple[int, float] | tuple[int]  # a server that became ready, with its share; one that ceased to be
+Row = tuple[int, float] | tuple[int]  # A server that became ready, with its share, or one that no longer is.
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """The first `built` rows are those of the first list; the changes follow in the order that all relays
-    apply them in: of one list first who left, then who came, each by number."""
+    """The history as it is stored in a snapshot.
+
+    The first `built` rows are those of the first list. The changes follow in the order in which all relays
+    apply them: for each list first the departed servers, then the new ones, each by number.
+    """
 
     built: int
     rows: tuple[Row, ...]
@@ -21,18 +24,21 @@
 
 @dataclass(slots=True)
 class History:
-    """Over `most` changes since the first list it is given up: it must be bounded."""
+    """The changes of the ready servers since the first list.
+
+    The history must be bounded, so it is abandoned after more than `max_changes` changes.
+    """
 
     max_changes: int = MAX_CHANGES
-    ready: dict[int, float] = field(default_factory=dict)  # with the share that each came with
+    ready: dict[int, float] = field(default_factory=dict)  # The share of each server when it became ready.
     _initial: tuple[Row, ...] | None = None
     _changes: list[Row] = field(default_factory=list)
 
-    def record(self, server_list: i.ServerList) -> bool:
-        """Whether a ready server left with this list, or is not in it."""
-        ready_now = dict(self.ready) if server_list.kind is i.ListKind.DELTA else {}
+    def record(self, server_list: interface.ServerList) -> bool:
+        """Records a list or change, and returns whether a server that was ready no longer is."""
+        ready_now = dict(self.ready) if server_list.kind is interface.ListKind.DELTA else {}
         for line in server_list.servers:
-            if line.state is i.ServerState.READY:
+            if line.state is interface.ServerState.READY:
                 ready_now[line.server] = self.ready.get(line.server, line.weight)
             else:
                 ready_now.pop(line.server, None)
@@ -48,7 +54,7 @@
         return bool(departed)
 
     def section(self) -> Section | None:
-        """None before the first list, and when it was given up."""
+        """Returns the recorded history; None before the first list, and after the history was abandoned."""
         if self._initial is None or len(self._changes) > self.max_changes:
             return None
         return Section(len(self._initial), (*self._initial, *self._changes))
--- a/glenfold/rules/parent_choice.py
+++ b/glenfold/rules/parent_choice.py
@@ -1,6 +1,7 @@
-"""Which parent a replica or relay follows, and when it asks another: without clock or I/O.
+"""The choice of the parent that a replica or relay follows, and of when it asks another. No clock, no I/O.
 
-Moments are of one monotonic clock, in seconds; random numbers come in, another seed at each child.
+Times are in seconds on one monotonic clock. The random generator is passed in, with a different seed at each
+child.
 """
 
 import math
@@ -11,17 +12,17 @@
 
 from glenfold.config.platform import Address, Parent
 
-LEAVE_S_PER_CHILD = 0.008  # of the span over which the children of one parent leave it
-MIN_ASSUMED_CHILDREN = 64  # that are reckoned with: who came early was told of few
-MAX_LEAVE_SPREAD_S = 2.0  # of that span: a change must be in force 4 s later, with a connection to be opened
-MIN_SOUND_S = 10.0  # for so long a nearer parent must have been sound
-NEARER_CHECK_INTERVAL_S = 10.0  # between looks at nearer parents, at the most
-FRESHER_CHECK_INTERVAL_S = 4.0  # between looks round where nobody was fresher, at the most
-MAX_RETRY_AFTER_S = 6.0  # the longest that a parent's Retry-After is heeded for
+LEAVE_S_PER_CHILD = 0.008  # The children of one parent leave it over a span of this length for each child.
+MIN_ASSUMED_CHILDREN = 64  # A child that connected early was told of too few other children.
+MAX_LEAVE_SPREAD_S = 2.0  # A change must be in force within 4 s, including the time to open a connection.
+MIN_SOUND_S = 10.0  # A child returns to a nearer parent once that has answered correctly for this long.
+NEARER_CHECK_INTERVAL_S = 10.0  # Nearer parents are checked at least this often.
+FRESHER_CHECK_INTERVAL_S = 4.0  # If no parent was fresher, the parents are checked again at least this often.
+MAX_RETRY_AFTER_S = 6.0  # A longer Retry-After of a parent is cut to this.
 
 
 class Refusal(Enum):
-    """Why a parent is passed over for a while."""
+    """The reason why a parent is skipped for a while."""
 
     UNREACHABLE = "unreachable"
     BUSY = "busy"
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipTime:
-    """For how long a parent is passed over after its first refusal in a row, and at the most."""
+    """The time for which a parent is skipped: after the first of consecutive refusals, and at most."""
 
     first_s: float
     max_s: float
@@ -50,7 +51,7 @@
 
 
 class Distance(IntEnum):
-    """Of a parent."""
+    """The distance from a child to a parent."""
 
     ZONE = 0
     REGION = 1
@@ -59,18 +60,21 @@
 
 @dataclass(slots=True)
 class _Record:
-    """What was seen of one parent."""
+    """The observations of one parent."""
 
-    order: float  # among parents of one distance, another at each child
-    refusals: int = 0  # in a row
-    skipped_until_s: float = -math.inf  # it is passed over up to then
-    sound_since_s: float | None = None
+    order: float  # Random rank among parents of one distance, different at each child.
+    refusals: int = 0  # Number of consecutive refusals.
+    skipped_until_s: float = -math.inf  # Time until which the parent is skipped.
+    sound_since_s: float | None = None  # Time since which the parent has answered correctly.
 
 
 @dataclass(slots=True)
 class ParentChoice:
-    """Parents in the child's zone go before those in its region, and these before all others. One that was
-    refused is passed over for a while, longer each time in a row."""
+    """The parents of one child, in its order of preference.
+
+    Parents in the child's zone are preferred to those in its region, and these to all others. A refused
+    parent is skipped for a while, which grows with each consecutive refusal.
+    """
 
     parents: tuple[Parent, ...]
     zone: str | None
@@ -82,12 +86,13 @@
         self.replace(self.parents)
 
     def replace(self, parents: Iterable[Parent]) -> None:
-        """What was seen of those that stay holds."""
+        """Replaces the parents; the observations of parents that stay are kept."""
         self.parents, before = tuple(parents), self._records
         addresses = [parent.address for parent in self.parents]
         self._records = {address: before.get(address) or _Record(self.rng.random()) for address in addresses}
 
     def distance(self, parent: Parent) -> Distance:
+        """Returns the distance to the parent, `FAR` if the zones and regions are not known."""
         if self.zone is not None and parent.zone == self.zone:
             return Distance.ZONE
         if self.region is not None and parent.region == self.region:
@@ -95,7 +100,7 @@
         return Distance.FAR
 
     def available(self, now_s: float) -> list[Parent]:
-        """All that are not passed over, the nearest first."""
+        """Returns all parents that are not skipped at `now_s`, the nearest first."""
         available = [
             parent for parent in self.parents if self._records[parent.address].skipped_until_s <= now_s
         ]
@@ -104,17 +109,17 @@
         )
 
     def nearer(self, than: Parent, now_s: float) -> list[Parent]:
-        """Those in turn that are nearer than the one followed."""
+        """Returns the available parents that are nearer than `than`, the one followed."""
         return [parent for parent in self.available(now_s) if self.distance(parent) < self.distance(than)]
 
     def next_available_s(self, now_s: float) -> float:
-        """When the next of those passed over is to be asked again."""
+        """Returns the time at which the next parent is available: `now_s` if one is now."""
         return max(now_s, min(record.skipped_until_s for record in self._records.values()))
 
     def record_refusal(
         self, parent: Parent, why: Refusal, now_s: float, retry_after_s: float | None = None
     ) -> None:
-        """`retry_after_s`: what the parent itself asked for."""
+        """Skips the parent for a while; `retry_after_s` is the delay that the parent itself requested."""
         if (record := self._records.get(parent.address)) is None:
             return
         skip_time = SKIP_TIMES[why]
@@ -128,7 +133,7 @@
         record.sound_since_s = None
 
     def mark_sound(self, parent: Parent, now_s: float) -> bool:
-        """It has answered as it should; whether it has done so for a while."""
+        """Records a correct answer, and returns whether the parent has been sound for `MIN_SOUND_S`."""
         if (record := self._records.get(parent.address)) is None:
             return False
         record.refusals, record.skipped_until_s = 0, -math.inf
@@ -137,15 +142,18 @@
         return now_s - record.sound_since_s >= MIN_SOUND_S
 
     def leave_delay_s(self, children: int) -> float:
-        """How long to go on with a parent that has failed or fallen silent: its other children leave it as
-        well, and are not to fall on another parent in the same moment. 0: it does not tell of any."""
+        """Returns how long to stay with a parent that has failed or fallen silent.
+
+        The parent's other children leave it as well, and must not all turn to another parent at the same
+        time. The delay is 0 if the parent reported no children.
+        """
         assumed_children = max(children, MIN_ASSUMED_CHILDREN) if children else 0
         return self.rng.uniform(0.0, min(MAX_LEAVE_SPREAD_S, LEAVE_S_PER_CHILD * assumed_children))
 
     def nearer_check_delay_s(self) -> float:
-        """Until the next look at parents that are nearer than the one followed."""
+        """Returns the delay before the next check of parents that are nearer than the one followed."""
         return self.rng.uniform(0.5, 1.0) * NEARER_CHECK_INTERVAL_S
 
     def fresher_check_delay_s(self) -> float:
-        """Until the next look round, where nobody was fresher than what is known."""
+        """Returns the delay before the next check of all parents, if none was fresher than the known list."""
         return self.rng.uniform(0.5, 1.0) * FRESHER_CHECK_INTERVAL_S
--- a/glenfold/rules/parent_header.py
+++ b/glenfold/rules/parent_header.py
@@ -1,4 +1,4 @@
-"""What the header of a parent's answer says of that parent, without I/O."""
+"""Parsing of the header fields with which a parent describes itself in its responses, without I/O."""
 
 import math
 from collections.abc import Iterable
@@ -13,19 +13,22 @@
 )
 
 RETRY_AFTER_FIELD = "Retry-After"
-MAX_HOPS = 16  # replicas between the source and a child
-MAX_NUMBER = 1 << 63  # bound of incarnations, counts and ages in a header
+MAX_HOPS = 16  # A chain from the source to a child has at most this many replicas.
+MAX_NUMBER = 1 << 63  # Incarnations and counts in a header field are less than this.
 
 
 class ParentHeaderError(Exception):
-    """A header field of a replica can't be read."""
+    """Raised when a header field of a replica can't be parsed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParentHeader:
-    """`via`: the replicas from the source to the parent; none: the parent is the source. `incarnation`: None
-    if it names none. `age_s`: since the source last renewed, infinite if a replica was never renewed.
-    `retry_after_s`: None if it does not say."""
+    """The header fields of one response of a parent.
+
+    `via` names the replicas from the source to the parent; it is empty if the parent is the source.
+    `incarnation` is None if a source names none. `age_s` is the time since the source last renewed its list,
+    infinite if a replica was never renewed. `retry_after_s` is None if the response has no delay in seconds.
+    """
 
     via: tuple[str, ...] = ()
     incarnation: int | None = None
@@ -35,11 +38,12 @@
 
     @property
     def is_source(self) -> bool:
+        """Returns whether the parent is the source itself."""
         return not self.via
 
 
 def read_parent_header(fields: Iterable[tuple[bytes, bytes]]) -> ParentHeader:
-    """Field names count without their case. Raises BadGreeting."""
+    """Parses the header fields, whose names are case-insensitive. Raises ParentHeaderError."""
     values: dict[str, str] = {}
     for name, value in fields:
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
@@ -67,7 +71,7 @@
     for hop in text.split(","):
         protocol, _, name = hop.strip().partition(" ")
         if protocol != VIA_PROTOCOL or not name.strip():
-            raise ParentHeaderError(f"{VIA_FIELD}: {text[:80]!r} is no chain of replicas")
+            raise ParentHeaderError(f"{VIA_FIELD}: {text[:80]!r} is not a chain of replicas")
         names.append(name.strip())
     if len(names) > MAX_HOPS:
         raise ParentHeaderError(f"{VIA_FIELD}: {len(names)} replicas; at most {MAX_HOPS}")
@@ -79,7 +83,7 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) < MAX_NUMBER):
-        raise ParentHeaderError(f"{field}: {text[:40]!r} is no whole number")
+        raise ParentHeaderError(f"{field}: {text[:40]!r} is not a whole number below 2**63")
     return int(text)
 
 
@@ -90,13 +94,13 @@
     try:
         seconds = float(text)
     except ValueError as error:
-        raise ParentHeaderError(f"{field}: {text[:40]!r} is no number of seconds") from error
+        raise ParentHeaderError(f"{field}: {text[:40]!r} is not a number of seconds") from error
     if not 0.0 <= seconds < math.inf:
-        raise ParentHeaderError(f"{field}: {text[:40]!r} is no number of seconds")
+        raise ParentHeaderError(f"{field}: {text[:40]!r} is not a number of seconds")
     return seconds
 
 
 def _retry_after(values: dict[str, str]) -> float | None:
-    """In its other form, a date, it says nothing here."""
+    """Returns the delay of a Retry-After field in seconds; None for its other form, a date."""
     text = values.get(RETRY_AFTER_FIELD.lower(), "")
     return float(text) if text.isascii() and text.isdigit() and len(text) < 20 else None
--- a/glenfold/rules/rate.py
+++ b/glenfold/rules/rate.py
@@ -1,10 +1,13 @@
-"""How often something may happen: a token bucket, without clock or I/O."""
+"""A rate limit by a token bucket, without clock or I/O."""
 
 
 class RateLimit:
-    """Lets through `burst` at once and `per_s` a second in the long run: in any t seconds at most
-    burst + per_s * t. What it leaves out is counted, and told to the next that it lets through. One that
-    costs more than `burst` goes through when all of that is there, and the others wait for the rest."""
+    """Allows `burst` events at once and `per_s` events a second in the long run.
+
+    In any t seconds at most burst + per_s * t events are allowed. The events left out are counted, and the
+    count is returned with the next event allowed. An event that costs more than `burst` is allowed when the
+    bucket is full, and the events after it wait until its whole cost is covered.
+    """
 
     __slots__ = ("per_s", "burst", "left_out", "_tokens", "_at_s")
 
@@ -16,7 +19,10 @@
         self._at_s = float("-inf")
 
     def allow(self, now_s: float, cost: float = 1.0) -> int | None:
-        """None: left out. Else how many were left out since the last that passed. `now_s` never falls."""
+        """Returns None if the event is left out, else how many were left out since the last allowed one.
+
+        `now_s` must not decrease from call to call.
+        """
         if now_s > self._at_s:
             earned = self.per_s * (now_s - self._at_s)
             self._tokens = min(float(self.burst), self._tokens + earned)
@@ -28,6 +34,6 @@
         return self.take_left_out()
 
     def take_left_out(self) -> int:
-        """How many were left out; from now on they count as told."""
+        """Returns the number of events left out, and resets it to 0."""
         left_out, self.left_out = self.left_out, 0
         return left_out
--- a/glenfold/rules/service.py
+++ b/glenfold/rules/service.py
@@ -1,8 +1,8 @@
-"""How a fleet serves, from the counters of its instances: which share of what was asked for was refused, and
-which was left without an answer, over a window. No I/O; moments in seconds on any one clock.
+"""Measurement of a fleet's service from the counters of its instances, without I/O.
 
-Only what has ended counts: a request that still waits for its answer is in neither share until it has one, or
-until its client has gone.
+The measures are the shares of requests that were refused and that went unanswered over a window. Times are in
+seconds on any one clock. Only finished requests count: a request that still waits for its answer is in
+neither share until it is answered or its client has disconnected.
 """
 
 from collections import deque
@@ -12,11 +12,14 @@
 
 REFUSED_COUNTERS = ("answered_busy", "fail_fast", "crowded_out")
 UNANSWERED_COUNTERS = ("answered_failed", "left")
-RequestCounts = tuple[int, int, int]  # up, refused, unanswered
+RequestCounts = tuple[int, int, int]  # The numbers of requests answered UP, refused and unanswered.
 
 
 class Shares(msgspec.Struct, frozen=True):
-    """`asked`: requests that ended in the window; the shares are of these, 0 to 1."""
+    """The service over a window.
+
+    `asked` is the number of requests that finished in the window; the other fields are shares of it, 0 to 1.
+    """
 
     asked: int = 0
     refused: float = 0.0
@@ -24,7 +27,7 @@
 
 
 def request_counts(counters: Mapping[str, int]) -> RequestCounts:
-    """From the relay's own counters, by their names; a counter that is missing is 0."""
+    """Returns the request counts from the relay's counters by name; a missing counter counts as 0."""
     return (
         counters.get("answered_up", 0),
         sum(counters.get(name, 0) for name in REFUSED_COUNTERS),
@@ -33,8 +36,10 @@
 
 
 class Window:
-    """Counters come in as they are read; a process that was started anew counts from 0, so what it says is
-    told apart by the process that says it."""
+    """Shares of requests over the last `length_s` seconds.
+
+    A restarted process counts from 0, so the counters of an instance are compared only within one process.
+    """
 
     def __init__(self, length_s: float) -> None:
         self.length_s = length_s
@@ -44,8 +49,11 @@
     def read(
         self, now: float, name: str, process: str, counters: Mapping[str, int], *, started_here: bool
     ) -> None:
-        """`started_here`: the process counts from 0 since this window has been looking on, so that its first
-        figures are news; those of a process that was found running are where counting starts."""
+        """Adds the counters that `process` of the instance `name` reported at `now`.
+
+        `started_here` is True if the process was started while this window existed: its first counters are
+        then all recent. Those of a process that was found running are only the base for later ones.
+        """
         new = request_counts(counters)
         before_process, before = self._last.get(name, ("", (0, 0, 0)))
         if before_process != process:
@@ -56,6 +64,7 @@
             self._gains.append((now, gains))
 
     def shares(self, now: float) -> Shares:
+        """Returns the shares over the window that ends at `now`."""
         while self._gains and self._gains[0][0] <= now - self.length_s:
             self._gains.popleft()
         up, refused, unanswered = (sum(gains[n] for _, gains in self._gains) for n in range(3))
--- a/tests/rules/test_fleet_rules.py
+++ b/tests/rules/test_fleet_rules.py
@@ -399,7 +399,7 @@
 def test_on_a_machine_started_anew_a_roll_is_stopped_and_old_moments_mean_nothing() -> None:
     machine = rolling_machine()
     machine.fleet.on(SupervisorStarted(frozenset(), {}, same_boot=False), 5.0)
-    assert machine.stopped() == "the machine was started anew"
+    assert machine.stopped() == "the machine was rebooted"
     assert all(one.starts == 2 for one in machine.fleet.state.instances.values())
 
 
--- a/tests/rules/test_snapshot_form.py
+++ b/tests/rules/test_snapshot_form.py
@@ -19,8 +19,7 @@
     decode,
     encode,
 )
-from linnetspread import Balancer
-from linnetspread import interface as i
+from linnetspread import Balancer, interface
 from linnetspread.choice import SEEDS, Anchor
 
 OWNER = Owner("valleys", "relay-1")
@@ -51,7 +50,7 @@
     again = DestinationSet(relaying.config(tmp_path).names)
     told = again.restore(snapshot.document, snapshot.left)
     assert again.state() == heard.state() and again.faults == []
-    assert (snapshot.generation, snapshot.heard_at, told.kind) == (7, 1000.0, i.ListKind.CACHED)
+    assert (snapshot.generation, snapshot.heard_at, told.kind) == (7, 1000.0, interface.ListKind.CACHED)
     settings = relaying.SETTINGS | {"areas": ["newport", "cardiff", "wrexham"]}
     moved = DestinationSet(relaying.config(tmp_path, settings=settings).names)
     assert [line.zone for line in moved.restore(snapshot.document, snapshot.left).servers] == [2, 0]
@@ -99,9 +98,9 @@
     snapshot = decode(snapshot_file(heard), OWNER)
     heard.read({"seq": 13, "whole": False, "hosts": [entry("s-1", health="terminating", born_ms=5)]})
     told = heard.restore(snapshot.document, snapshot.left)
-    assert {line.state for line in told.servers} == {i.ServerState.DRAINING}
+    assert {line.state for line in told.servers} == {interface.ServerState.DRAINING}
     late = heard.read(whole(*(entry(f"s-{n}", born_ms=5 if n == 1 else 0) for n in (1, 2, 3)), seq=11))
-    assert {line.state for line in late.servers} == {i.ServerState.DRAINING}
+    assert {line.state for line in late.servers} == {interface.ServerState.DRAINING}
 
 
 def test_a_list_with_a_lower_number_hides_not_in_which_version_a_server_left(
@@ -113,7 +112,7 @@
         if destinations is again:
             again.restore(snapshot.document, snapshot.left)
         told = destinations.read(whole(entry("s-2"), seq=8))
-        assert told.servers[0].state is i.ServerState.DRAINING
+        assert told.servers[0].state is interface.ServerState.DRAINING
 
 
 def test_the_history_makes_the_same_map_again(tmp_path: Path) -> None:
@@ -140,5 +139,9 @@
     assert all(anchor.lookup(key, SEEDS[0]) == balancer.anchor.lookup(key, SEEDS[0]) for key in range(2000))
     short = History(max_changes=3)
     for n in range(6):
-        short.record(i.ServerList(i.ListKind.FULL, n, (i.ListedServer(n, i.ServerState.READY),)))
+        short.record(
+            interface.ServerList(
+                interface.ListKind.FULL, n, (interface.ListedServer(n, interface.ServerState.READY),)
+            )
+        )
     assert short.section() is None
