--- a/glenfold/rules/parent_header.py
+++ b/glenfold/rules/parent_header.py
@@ -1,4 +1,4 @@
-"""Parsing of the header fields with which a parent describes itself in its responses, without I/O."""
+"""Parsing of the header fields in which a parent describes itself, without I/O."""
 
 import math
 from collections.abc import Iterable
@@ -23,11 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ParentHeader:
-    """The header fields of one response of a parent.
+    """The header fields of one response.
 
-    `via` names the replicas from the source to the parent; it is empty if the parent is the source.
-    `incarnation` is None if a source names none. `age_s` is the time since the source last renewed its list,
-    infinite if a replica was never renewed. `retry_after_s` is None if the response has no delay in seconds.
+    `via` names the replicas from the source to the parent, none if that is the source. `incarnation` and
+    `retry_after_s` are None if not given. `age_s` is infinite if the source never renewed a replica.
     """
 
     via: tuple[str, ...] = ()
@@ -38,7 +37,6 @@
 
     @property
     def is_source(self) -> bool:
-        """Returns whether the parent is the source itself."""
         return not self.via
 
 
--- a/glenfold/rules/replication.py
+++ b/glenfold/rules/replication.py
@@ -1,24 +1,28 @@
-"""What the two sides of a control replica share: the follower of its parents hands over what it accepted, and
-the publisher serves it to children. No I/O.
+"""The interface between the two sides of a control replica, without I/O.
 
-Both ends of a replica speak discovery's own lists and watches; beside them go only these HTTP header fields.
+The follower of the parents hands over the documents that it accepted, and the publisher serves them to the
+children. Both sides speak discovery's own protocol of lists and watches, with only these HTTP header fields
+added.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-INCARNATION_FIELD = "Glenfold-Incarnation"  # which history of the source the revisions count in
-CHILDREN_FIELD = "Glenfold-Children"  # how many watch the one that answers
-AGE_FIELD = "Age"  # whole seconds since the source last renewed what is known
-VIA_FIELD = "Via"  # the names of the replicas between the source and the child, the source's side first
-VIA_PROTOCOL = "1.1"  # before each name in it
+INCARNATION_FIELD = "Glenfold-Incarnation"  # The history of the source to which the revisions belong.
+CHILDREN_FIELD = "Glenfold-Children"  # The number of children that watch the responding replica.
+AGE_FIELD = "Age"  # The whole seconds since the source last renewed the list.
+VIA_FIELD = "Via"  # The names of the replicas between the source and the child, from the source on.
+VIA_PROTOCOL = "1.1"  # This protocol version precedes each name in the Via field.
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """A moment in the history of a source. `incarnation`: which history of it the revision counts in, 0 if
-    the source names none; a later incarnation is later whatever the revisions say."""
+    """A position in the history of a source.
+
+    `incarnation` is the number of the history to which the revision belongs, 0 if the source names none. A
+    position in a later incarnation is later, whatever the revisions are.
+    """
 
     incarnation: int
     revision: int
@@ -26,9 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListDocument:
-    """A list of servers, or the change that leads to `position`. `entries` are in discovery's form, as they
-    came: `hosts` of its documents. `anew`: a whole list whose position is lower than what is known, by a
-    source that counts anew; it takes the place of all that was before."""
+    """A list of servers, or the change that leads to `position`.
+
+    `entries` are the `hosts` of discovery's document, unchanged. `restarts_history` marks a whole list with a
+    lower position than the known list, from a source that counts from the beginning again: it replaces all
+    earlier documents.
+    """
 
     position: Position
     whole: bool
@@ -37,18 +44,25 @@
 
 
 class Publisher(Protocol):
-    """What a follower tells the side that serves children."""
+    """The interface through which a follower updates the side that serves children."""
 
     def publish(self, document: ListDocument) -> None:
-        """A list or change that the follower has accepted as newer, in order."""
+        """Publishes a list or change that the follower has accepted as newer, in order."""
 
     def renew(self, renewed_at_s: float) -> None:
-        """The source said at that moment, of the local monotonic clock (trio's), that what is known holds; at
-        the root itself, below it through all parents."""
+        """Records that the source confirmed the known list at that time of trio's monotonic clock.
+
+        The root gets the confirmation from the source itself, the replicas below it through all parents.
+        """
 
     def stale(self) -> None:
-        """Nobody renews any more: what is known is served on with its age, and children get no renewals."""
+        """Records that the list is no longer renewed.
+
+        The known list is still served, with its age, but children get no renewals.
+        """
 
     def via(self, names: tuple[str, ...]) -> None:
-        """The replicas between the source and this one, the source's side first and this one's own name left
-        out, from now on: what the present parent named in VIA_FIELD. Empty: it follows the source itself."""
+        """Sets the replicas between the source and this one, from the source on, without this one's own name.
+
+        The present parent named them in VIA_FIELD. They are empty if this replica follows the source itself.
+        """
--- a/glenfold/rules/replication_admission.py
+++ b/glenfold/rules/replication_admission.py
@@ -1,19 +1,24 @@
-"""Which whole lists a replica answers now, and when the others may ask again. No I/O, no clock.
+"""Admission of requests for whole lists at a replica, and delays before rejected ones are retried.
 
-A whole list is some thousand times the size of a change. When all children return at once, those that need
-one are admitted at a bounded rate, so that the watches of the others go on undisturbed.
+The module does no I/O and reads no clock. A whole list is some thousand times the size of a change. When all
+children return at once, those that need a whole list are admitted at a bounded rate, so that the watches of
+the others are not disturbed.
 """
 
 import random
 
 from glenfold.rules.rate import RateLimit
 
-MIN_RETRY_AFTER_S = 1  # of the header field, which counts in whole seconds
+MIN_RETRY_AFTER_S = 1  # The Retry-After header field counts in whole seconds.
 
 
 class WholeListAdmission:
-    """`bytes_per_s`: of whole lists in the long run, and as much at once. `most_at_once`: answers under way.
-    `most_children`: that there can be; no storm is longer than they all need. `chance`: of the jitter."""
+    """Admission of whole lists at a bounded rate.
+
+    `bytes_per_s` is the rate of whole lists in the long run, and also the size of a burst. `max_concurrent`
+    is the number of responses in progress at once. `max_children` is the largest possible number of children;
+    no burst of retries lasts longer than all of them need. `rng` is the random generator for jitter.
+    """
 
     def __init__(
         self, bytes_per_s: float, max_concurrent: int, max_children: int, rng: random.Random
@@ -23,12 +28,12 @@
         self._max_children = max_children
         self._rng = rng
         self._rate = RateLimit(bytes_per_s, max(1, int(bytes_per_s)))
-        self._waiting = 0  # refused since the storm began and not yet admitted
+        self._waiting = 0  # Number of requests rejected since the burst began and not admitted yet.
         self._burst_until_s = float("-inf")
         self.in_progress = 0
 
     def admit(self, now_s: float, size: int) -> bool:
-        """Whether a list of so many bytes may be answered now; if so, `finished` is called at its end."""
+        """Returns whether a list of `size` bytes may be sent now; if so, `finished` has to be called."""
         if self.in_progress >= self._max_concurrent or self._rate.allow(now_s, size) is None:
             return False
         self.in_progress += 1
@@ -36,11 +41,15 @@
         return True
 
     def finished(self) -> None:
+        """Releases the place of an admitted response that has ended."""
         self.in_progress -= 1
 
     def retry_after_s(self, now_s: float, size: int) -> int:
-        """For one that was not admitted: a moment in the time that all who wait need together, by chance, so
-        that they don't return at once."""
+        """Returns the delay in seconds for a request that was not admitted.
+
+        The delay is random within the time that all waiting children need together, so that they don't return
+        at once.
+        """
         if now_s > self._burst_until_s:
             self._waiting = 0
         self._waiting = min(self._max_children, self._waiting + 1)
--- a/glenfold/rules/replication_history.py
+++ b/glenfold/rules/replication_history.py
@@ -1,7 +1,7 @@
-"""The bounded history of a list of servers, from which a watch resumes where it broke off. No I/O.
+"""The bounded history of a list of servers, from which an interrupted watch resumes. No I/O.
 
-Each entry and each change is encoded once; every watcher is sent the same bytes. A change is held as the HTTP
-chunk that carries its line, so nothing is left to be done for each watcher.
+Each entry and each change is encoded once, and every watcher is sent the same bytes. A change is stored as
+the HTTP chunk that carries its line, so it needs no work for each watcher.
 """
 
 import json
@@ -19,16 +19,19 @@
 
 
 class PastRevision(Exception):
-    """The history no longer goes back so far, or never was the one asked for: a whole list is needed."""
+    """Raised when a watch needs a whole list.
+
+    The history no longer reaches back to the requested revision, or that belongs to another history.
+    """
 
 
 class FutureRevision(Exception):
-    """The history has not come so far."""
+    """Raised when the requested revision is later than the history."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """One server in discovery's form, encoded. `gone`: it says that the server has left."""
+    """One encoded server entry in discovery's form. `removed` is True if the entry says the server left."""
 
     encoded: bytes
     removed: bool
@@ -41,8 +44,10 @@
 
 
 def chunk_framing(size: int) -> tuple[bytes, bytes]:
-    """What stands before and behind so many bytes, which are not none, to make them one chunk of a response
-    with Transfer-Encoding: chunked."""
+    """Returns the bytes before and after `size` bytes of data that make the data one HTTP chunk.
+
+    The chunk is part of a response with Transfer-Encoding: chunked; `size` is not 0.
+    """
     return b"%x\r\n" % size, b"\r\n"
 
 
@@ -59,52 +64,58 @@
 
 
 class RevisionHistory:
-    """The list as it is, and the changes that led to it: at most `most_changes` of them, of together at most
-    `most_bytes`. Changes have indexes that only grow, also over the end of a history."""
+    """The current list and the changes that led to it.
+
+    At most `max_changes` changes are stored, with at most `most_bytes` bytes together. The indexes of changes
+    only increase, even when a new history begins.
+    """
 
     def __init__(self, max_changes: int, most_bytes: int) -> None:
         self._max_changes = max_changes
         self._max_bytes = most_bytes
-        self._entries: dict[str, _Entry] = {}  # by host
+        self._entries: dict[str, _Entry] = {}  # The current entry of each host.
         self._changes: deque[_Change] = deque()
         self._bytes = 0
-        self._since = 0  # the revision that the first of the changes leads on from
-        self._earlier_revisions = -1  # the highest that an earlier history has reached
-        self._same_incarnation_revisions = -1  # the highest of those that had the same incarnation
-        self._encoded_list: bytes | None = None  # the list encoded, until it changes
+        self._since = 0  # The revision to which the first stored change applies.
+        self._earlier_revisions = -1  # The highest revision that an earlier history reached.
+        self._same_incarnation_revisions = -1  # The highest of an earlier history with the same incarnation.
+        self._encoded_list: bytes | None = None  # The encoded whole list, discarded when the list changes.
         self.position: Position | None = None
-        self.end_index = 0  # of the change that comes next
+        self.end_index = 0  # The index of the next change.
 
     @property
     def first_index(self) -> int:
-        """Of the oldest change that is still held."""
+        """Returns the index of the oldest change that is still stored."""
         return self.end_index - len(self._changes)
 
     @property
     def held_bytes(self) -> int:
-        """Of the changes."""
+        """Returns the size of all stored changes."""
         return self._bytes
 
     def add(self, document: ListDocument) -> None:
-        """Takes in a list or change that is later than all before. A whole list of the same incarnation is
-        held as the change that it makes. Raises ValueError for one that has no place here."""
+        """Adds a list or change that is later than all before.
+
+        A whole list of the same incarnation is stored as the change that it makes. Raises ValueError for a
+        document that does not continue the history.
+        """
         if document.restarts_history and document.whole:
             self._start_history(document)
-            self.end_index += 1  # past all watches: the revisions of this history do not lead on from theirs
+            self.end_index += 1  # Open watches are past: their revisions do not continue in this history.
             self._encoded_list = None
             return
         if self.position is not None and document.position <= self.position:
-            raise ValueError(f"{document.position} is not later than {self.position}")
+            raise ValueError(f"{document.position} is not later than the known {self.position}")
         if self.position is None or document.position.incarnation != self.position.incarnation:
             if not document.whole:
-                raise ValueError(f"a change to {document.position} has no list to lead on from")
+                raise ValueError(f"a change to {document.position} has no whole list to apply to")
             self._start_history(document)
         else:
             self._apply_document(document)
         self._encoded_list = None
 
     def _start_history(self, document: ListDocument) -> None:
-        """Nobody can resume from an earlier history."""
+        """Begins a new history with a whole list; no watch can resume from an earlier one."""
         if self.position is not None:
             self._earlier_revisions = max(self._earlier_revisions, self.position.revision)
             if document.position.incarnation != self.position.incarnation:
@@ -143,15 +154,18 @@
             self._since = oldest.revision
 
     def prepend_changes(self, since: int, changes: Sequence[ListDocument]) -> int:
-        """Takes in the changes that led from `since` to where this history begins, the newest of them as far
-        as its bounds allow, so that those resume who knew a little less than its first list. How many were
-        taken. Raises ValueError for changes that do not lead there."""
+        """Adds the changes that led from revision `since` to the beginning of this history.
+
+        Children whose revision is a little before the first list can then resume. The newest changes are
+        added as far as the bounds allow, and their number is returned. Raises ValueError for changes that do
+        not lead to the beginning.
+        """
         begin = None if self.position is None else Position(self.position.incarnation, self._since)
         if not changes or changes[-1].position != begin or any(change.whole for change in changes):
-            raise ValueError(f"these changes do not lead to {begin}")
+            raise ValueError(f"the earlier changes do not lead to {begin}")
         revisions = [since, *(change.position.revision for change in changes)]
         if revisions != sorted(set(revisions)):
-            raise ValueError("these changes are not in their order")
+            raise ValueError("the earlier changes are not in ascending order of their revisions")
         taken = 0
         for before, change in zip(reversed(revisions[:-1]), reversed(changes), strict=True):
             made = _change(change.position.revision, _by_host(change).values())
@@ -164,9 +178,11 @@
         return taken
 
     def index_after(self, revision: int, incarnation: int | None = None) -> int:
-        """Of the first change that is later than this revision. `incarnation`: which one it counts in, None
-        if that was not said; a revision that an earlier incarnation has reached too may then be of that one.
-        Raises PastRevision and FutureRevision."""
+        """Returns the index of the first change that is later than this revision.
+
+        `incarnation` is that of the revision, None if the child gave none: a revision that an earlier
+        incarnation has reached too may then belong to that one. Raises PastRevision and FutureRevision.
+        """
         if self.position is None:
             raise PastRevision
         if incarnation is None:
@@ -183,8 +199,11 @@
         return self.first_index + bisect_right(self._changes, revision, key=lambda change: change.revision)
 
     def read(self, index: int, most_bytes: int) -> tuple[bytes, int]:
-        """The chunks from that index on, of together at most so many bytes but at least one, and the index
-        after them. Raises PastRevision."""
+        """Returns the chunks from that index on, and the index after them.
+
+        There is at least one chunk if any is stored, and together they have at most `most_bytes` bytes unless
+        the first one alone is larger. Raises PastRevision.
+        """
         if index < self.first_index:
             raise PastRevision
         chunks: list[bytes] = []
@@ -198,7 +217,7 @@
         return b"".join(chunks), index + len(chunks)
 
     def whole(self) -> bytes:
-        """The whole list as a document. Raises PastRevision before the first."""
+        """Returns the whole list as an encoded document. Raises PastRevision before the first list."""
         if self.position is None:
             raise PastRevision
         if self._encoded_list is None:
@@ -207,8 +226,11 @@
 
 
 def _by_host(document: ListDocument) -> dict[str, _Entry]:
-    """Of a host that stands there twice the first counts, but that it leaves holds wherever it stands, as
-    relays read it. Who has no name can't be told apart, and is left out."""
+    """Returns the encoded entries by host.
+
+    If a host has several entries, the first one counts, but a later one that is not ready replaces it, as
+    relays read the list. Entries without a host name can't be told apart, and are left out.
+    """
     found: dict[str, _Entry] = {}
     for entry in document.entries:
         host = entry.get("host")
--- a/glenfold/rules/replication_lease.py
+++ b/glenfold/rules/replication_lease.py
@@ -1,25 +1,28 @@
-"""How fresh a replica's list is, and when its children are told so. No I/O, no clock.
+"""The freshness of a replica's list, and when its children are notified of it. No I/O, no clock.
 
-A replica makes no freshness up: an empty line goes to children only for a renewal by the source that they
-have not been told of, and only while that renewal is recent.
+A replica never claims freshness of its own: children get an empty line only for a renewal by the source that
+they were not notified of, and only while that renewal is recent.
 """
 
-FRESH_S = 2.5  # a watch that says nothing for longer counts as dead; so does a renewal that is older
-MIN_LINE_INTERVAL_S = 0.5  # between two lines, where the later one says nothing but that the list holds
-SAME_LINE_WINDOW_S = 0.1  # a renewal so soon after a change came with it, and that line has told of it
+FRESH_S = 2.5  # A watch that is silent for longer counts as dead, and an older renewal is not passed on.
+MIN_LINE_INTERVAL_S = 0.5  # An empty line, which only renews the list, follows another line after this time.
+SAME_LINE_WINDOW_S = 0.1  # A renewal this soon after a change came with the change's line.
 
 
 class Lease:
-    """Moments are of one monotonic clock, in seconds."""
+    """The lease on a replica's list. Times are in seconds on one monotonic clock."""
 
     def __init__(self) -> None:
         self._renewed_at_s: float | None = None
-        self._unsent = False  # a renewal that children have not been told of
+        self._unsent = False  # Whether there is a renewal that children were not notified of.
         self._last_line_at_s = float("-inf")
         self.stale = True
 
     def renew(self, renewed_at_s: float, now_s: float) -> bool:
-        """The source said then that the list holds. Whether this is news, be it old news."""
+        """Records that the source confirmed the list at `renewed_at_s`.
+
+        Returns whether this is the latest renewal so far, even if it is too old to be passed on.
+        """
         if self._renewed_at_s is not None and renewed_at_s <= self._renewed_at_s:
             return False
         self._renewed_at_s = renewed_at_s
@@ -30,22 +33,24 @@
         return True
 
     def expire(self) -> None:
-        """Nobody renews any more."""
+        """Marks the list as stale, because it is no longer renewed."""
         self._unsent = False
         self.stale = True
 
     def record_line(self, now_s: float) -> None:
-        """A change or an empty line to all children; it tells them of any renewal before."""
+        """Records a change or an empty line sent to all children, which covers every earlier renewal."""
         self._unsent = False
         self._last_line_at_s = now_s
 
     def due_at_s(self) -> float | None:
-        """When an empty line is due; None: there is nothing to be told."""
+        """Returns the time at which an empty line is due; None if there is no renewal to be sent."""
         return self._last_line_at_s + MIN_LINE_INTERVAL_S if self._unsent else None
 
     def take_renewal(self, now_s: float) -> bool:
-        """Whether an empty line goes out now. Then, and where the renewal has become too old for it, there
-        is nothing to be told until the next one."""
+        """Returns whether an empty line is to be sent now.
+
+        The renewal is then used up, also if it has become too old to be sent.
+        """
         due_at_s = self.due_at_s()
         if due_at_s is None or self._renewed_at_s is None or now_s < due_at_s:
             return False
@@ -53,5 +58,5 @@
         return now_s <= self._renewed_at_s + FRESH_S
 
     def age_s(self, now_s: float) -> float | None:
-        """Since the last renewal; None: there has been none."""
+        """Returns the time since the last renewal; None if there was none."""
         return None if self._renewed_at_s is None else max(0.0, now_s - self._renewed_at_s)
--- a/glenfold/rules/snapshots.py
+++ b/glenfold/rules/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of the destination set: their form, when one is refused, and when the next is due. No I/O.
+"""Snapshots of the destination set: their format, their validation, and the schedule of their writes. No I/O.
 
-A file is one line, `glenfold-snapshot FORMAT LENGTH CHECKSUM`, and LENGTH bytes of JSON, whose BLAKE2b the
-checksum is. Its list is in discovery's form. Unless said otherwise, moments are Unix seconds.
+A file has one line, `glenfold-snapshot FORMAT LENGTH CHECKSUM`, and LENGTH bytes of JSON; the checksum is the
+BLAKE2b hash of the JSON. The list is in discovery's form. Times are in Unix seconds unless stated otherwise.
 """
 
 import hashlib
@@ -17,13 +17,13 @@
 
 FORMAT = 1
 MAGIC = b"glenfold-snapshot"
-MAX_FIRST_LINE_BYTES = 80  # bytes at the most
+MAX_FIRST_LINE_BYTES = 80
 ENCODER = json.JSONEncoder(separators=(",", ":"), allow_nan=False)
-MAX_CLOCK_SKEW_S = 5.0  # that a clock may have been set back by
+MAX_CLOCK_SKEW_S = 5.0  # A snapshot is accepted if the clock was set back by no more than this.
 
 
 class SnapshotRefused(Exception):
-    """A file that is not taken. `reason` is one word, for logs and counts."""
+    """Raised for a file that is not accepted. `reason` is one word, for logs and counters."""
 
     def __init__(self, reason: str, detail: str) -> None:
         super().__init__(f"{reason}: {detail}")
@@ -31,12 +31,12 @@
 
 
 class TooLarge(Exception):
-    """What is to be written is over the bound."""
+    """Raised when the snapshot to be written is larger than allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """Whose snapshot it is."""
+    """The fleet and the name of the relay to which a snapshot belongs."""
 
     fleet: str
     name: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """What is to be written. `heard_at`: when discovery last said that this holds."""
+    """The content of a snapshot to be written. `heard_at` is when discovery last confirmed the state."""
 
     owner: Owner
     generation: int
@@ -53,7 +53,7 @@
     history: Section | None
 
     def pieces(self) -> Iterator[bytes]:
-        """One JSON object, a row a line."""
+        """Yields the pieces of one JSON object, with each row on a line of its own."""
         history, values = (
             self.history,
             {
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What was read. `document` and `left` are for `DestinationSet.restore`."""
+    """A snapshot that was read. `document` and `left` are the arguments of `DestinationSet.restore`."""
 
     owner: Owner
     generation: int
@@ -98,23 +98,28 @@
     left: Any
 
     def has_same_content(self, other: "Snapshot") -> bool:
-        """Of the servers, and of who left."""
+        """Returns whether both snapshots have the same servers and the same departed servers."""
         return bool(self.document == other.document and self.left == other.left)
 
     def check_age(self, now: float, max_age_s: float) -> None:
-        """Raises Refused."""
+        """Raises SnapshotRefused if the snapshot is older than `max_age_s`, or from the future."""
         age_s = now - self.heard_at
         if age_s > max_age_s:
-            raise SnapshotRefused("too_old", f"last heard of {age_s:.0f} s ago, over {max_age_s:.0f} s")
+            raise SnapshotRefused(
+                "too_old", f"last confirmed {age_s:.0f} s ago, over the limit of {max_age_s:.0f} s"
+            )
         if age_s < -MAX_CLOCK_SKEW_S:
             raise SnapshotRefused(
-                "from_the_future", f"heard of {-age_s:.0f} s from now: a clock was set back"
+                "from_the_future", f"confirmed {-age_s:.0f} s in the future: a clock was set back"
             )
 
 
 def encode(content: Content, max_bytes: int) -> Iterator[bytes]:
-    """The file's first line and body, and before them an empty piece for each row: whoever writes it can let
-    others have the processor in between. Raises TooLarge over `most` bytes."""
+    """Yields an empty piece for each row, and then the file's first line and body.
+
+    The caller can yield the processor to others after each empty piece. Raises TooLarge if the file is larger
+    than `max_bytes`.
+    """
     pieces, size = [], MAX_FIRST_LINE_BYTES
     for piece in content.pieces():
         pieces.append(piece)
@@ -128,19 +133,19 @@
 
 
 def decode(data: bytes, owner: Owner) -> Snapshot:
-    """Raises Refused, whatever the bytes are."""
+    """Returns the snapshot in `data`. Raises SnapshotRefused, and nothing else, for any invalid bytes."""
     line, newline, body = data.partition(b"\n")
     words = line.split(b" ")
     if not newline and (MAGIC.startswith(line) or words[0] == MAGIC):
-        raise SnapshotRefused("torn", "its first line is not whole")
+        raise SnapshotRefused("torn", "its first line is incomplete")
     if words[0] != MAGIC:
-        raise SnapshotRefused("foreign", "it does not begin as a snapshot does")
+        raise SnapshotRefused("foreign", "it does not begin with glenfold-snapshot")
     if words[1:2] != [b"%d" % FORMAT]:
-        raise SnapshotRefused("format", f"its format is {words[1:2]}, not {FORMAT}")
+        raise SnapshotRefused("format", f"its format version is {words[1:2]}, not {FORMAT}")
     if words[2:3] != [b"%d" % len(body)]:
-        raise SnapshotRefused("torn", f"{len(body)} bytes follow its first line, not {words[2:3]}")
+        raise SnapshotRefused("torn", f"{len(body)} bytes follow its first line, which states {words[2:3]}")
     if words[3:] != [_checksum(body)]:
-        raise SnapshotRefused("damaged", "its checksum is another")
+        raise SnapshotRefused("damaged", "its checksum does not match its content")
     return _read(body, owner)
 
 
@@ -152,11 +157,11 @@
             found, int(values["generation"]), float(values["heard_at"]), values["list"], values["left"]
         )
     except (KeyError, TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise SnapshotRefused("damaged", f"not what a snapshot says: {error!r}") from error
+        raise SnapshotRefused("damaged", f"its content has not the form of a snapshot: {error!r}") from error
     if found != owner:
-        raise SnapshotRefused("foreign", f"it is that of {found.name} in {found.fleet}")
+        raise SnapshotRefused("foreign", f"it belongs to {found.name} in {found.fleet}")
     if not math.isfinite(snapshot.heard_at):
-        raise SnapshotRefused("damaged", "the moment it was heard is not finite")
+        raise SnapshotRefused("damaged", "its heard_at is not finite")
     return snapshot
 
 
@@ -166,35 +171,42 @@
 
 @dataclass(slots=True)
 class WriteSchedule:
-    """When the next snapshot is due. Moments are on one clock, in seconds.
+    """The schedule of snapshot writes. Times are in seconds on one clock.
 
-    After a server has left, a snapshot is written at once and twice: as there are two generations, one
-    damaged file alone can't bring that server back then. All else waits until `every_s` after the last write
-    began. What still holds is written again each `refresh_s`, or it would seem old. At most half of the time
-    goes into writing, however slow the disk is and however many servers leave."""
+    After a server has left, a snapshot is written at once, and twice: with two generations on disk, a single
+    damaged file then can't bring that server back. Other changes wait until `every_s` after the start of the
+    last write. An unchanged state that is still confirmed is written again every `refresh_s`, since it would
+    otherwise seem old. At most half of the time is spent on writing, however slow the disk is and however
+    many servers leave.
+    """
 
     every_s: float
     refresh_s: float
-    copies: int = 0  # to be written
-    urgent: bool = False  # since a server left
-    started_at: float = -math.inf  # the last write
-    not_before: float = -math.inf
+    copies: int = 0  # Number of copies still to be written.
+    urgent: bool = False  # A server has left, so the copies are due at once.
+    started_at: float = -math.inf  # Start of the last write.
+    not_before: float = -math.inf  # Earliest start of the next write.
 
     def changed(self, urgent: bool) -> None:
+        """Schedules a write after a change, at once and twice if the change is urgent."""
         self.urgent |= urgent
         self.copies = 2 if self.urgent else 1
 
     def due_at(self) -> float:
+        """Returns the time of the next write; infinity if none is due."""
         if not self.copies:
             return self.started_at + self.refresh_s if self.started_at > -math.inf else math.inf
         return max(self.not_before, -math.inf if self.urgent else self.started_at + self.every_s)
 
     def mark_urgent(self) -> None:
-        """What is to be written is due."""
+        """Makes the copies still to be written due at once."""
         self.urgent = self.copies > 0
 
     def begin(self, now: float) -> "WriteSchedule":
-        """What changes from now on is not in the snapshot written now. Returns what `failed` wants."""
+        """Records the start of a write, and returns the schedule before it, for `failed`.
+
+        Changes from now on are not in the snapshot that is being written.
+        """
         before = replace(self)
         self.started_at = now
         self.copies = max(0, self.copies - 1)
@@ -202,14 +214,15 @@
         return before
 
     def ended(self, now: float) -> None:
+        """Records the end of a write."""
         self.not_before = 2 * now - self.started_at
 
     def skipped(self, now: float) -> None:
-        """What is written can't be refreshed, as nothing was heard since."""
+        """Records that a refresh was skipped, because discovery has not confirmed the state since."""
         self.started_at = now
 
     def failed(self, now: float, before: "WriteSchedule") -> None:
-        """All that was to be written still is."""
+        """Records a failed write: all copies of the state `before` it are still to be written."""
         self.urgent |= before.urgent
         self.copies = max(self.copies, before.copies, 1)
         self.not_before = max(now + self.every_s, 2 * now - self.started_at)
--- a/glenfold/rules/source_lease.py
+++ b/glenfold/rules/source_lease.py
@@ -1,32 +1,34 @@
-"""How long what is known may be taken as current, without clock or I/O.
+"""The time for which a known list may be used as current, without clock or I/O.
 
-Moments are of one monotonic clock, in seconds.
+Times are in seconds on one monotonic clock.
 """
 
 import math
 
-SILENCE_S = 2.5  # a watch that is renewed sends a line at least every 2 s
-LEASE_S = 6.0  # what a silent watch misses counts as told so long after it fell silent
+SILENCE_S = 2.5  # A watch that is renewed sends a line at least every 2 s, so a longer silence is a failure.
+LEASE_S = 6.0  # The known list counts as current for this long; a silent watch may miss changes until then.
 
 
 class SourceLease:
-    """What the source itself last said, at once or through replicas: that what is known holds. A replica that
-    answers renews nothing by that; only the moment in which its source did so counts."""
+    """The last renewal by the source itself, received directly or through replicas.
+
+    The response of a replica renews nothing by itself; only the time at which its source did so counts.
+    """
 
     def __init__(self) -> None:
         self.renewed_at_s = -math.inf
 
     def renew(self, renewed_at_s: float) -> bool:
-        """Whether that moment is later than any known before."""
+        """Records a renewal by the source, and returns whether it is later than all before."""
         if renewed_at_s <= self.renewed_at_s:
             return False
         self.renewed_at_s = renewed_at_s
         return True
 
     def age_s(self, now_s: float) -> float:
-        """Since the source last renewed; infinite if it never has."""
+        """Returns the time since the source last renewed; infinite if it never has."""
         return now_s - self.renewed_at_s
 
     def holds(self, now_s: float) -> bool:
-        """Whether what is known may still be taken as current."""
+        """Returns whether the known list may still be used as current."""
         return self.age_s(now_s) <= LEASE_S
--- a/glenfold/rules/succession.py
+++ b/glenfold/rules/succession.py
@@ -1,4 +1,4 @@
-"""Which of the lists and changes that parents send is newer than what is known, without clock or I/O."""
+"""Decides which lists and changes from parents are newer than the known list, without clock or I/O."""
 
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass
@@ -8,21 +8,21 @@
 from glenfold.config.platform import Address
 from glenfold.rules.replication import ListDocument, Position
 
-READY, DRAINING, GONE = "in_service", "terminating", "terminated"  # `health` in discovery's form
-MIN_REMEMBERED_SERVERS = 1024  # servers that have left; more where the list is longer
+READY, DRAINING, GONE = "in_service", "terminating", "terminated"  # Values of `health` in discovery's form.
+MIN_REMEMBERED_SERVERS = 1024  # Departed servers that are remembered, more if the list is longer.
 
 
 class Verdict(Enum):
-    """Why a document is not taken."""
+    """The reason why a document is not accepted."""
 
-    REPEATED = "repeated"  # what is known holds
-    BEHIND = "behind"  # it is older than what is known
-    INCOMPLETE = "incomplete"  # a change on something that is not known: the whole list is needed
+    REPEATED = "repeated"  # The document is known already, and the known list holds.
+    BEHIND = "behind"  # The document is older than the known list.
+    INCOMPLETE = "incomplete"  # The change applies to an unknown revision, so the whole list is needed.
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Who sent a document. `incarnation`: None if it is a source that names none."""
+    """The sender of a document. `incarnation` is None if the sender is a source that names none."""
 
     address: Address
     incarnation: int | None
@@ -30,8 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A document as a parent sent it. `after`: the revision whose successor a change is, which the watch was
-    opened from or sent before; without meaning for a whole list."""
+    """A document as a parent sent it.
+
+    `after` is the revision to which a change applies: the one from which the watch was opened, or the last
+    one that the watch sent. It has no meaning for a whole list.
+    """
 
     origin: Origin
     revision: int
@@ -41,63 +44,79 @@
 
 
 class Succession:
-    """The later document of the source wins, by incarnation, then by revision, whoever passes it on.
+    """The order of the documents from all parents.
+
+    The later document of the source wins, by incarnation, then by revision, whichever parent sends it.
 
-    A source that names no incarnation and whose revisions go back has begun a new history: that gets the
-    next incarnation, so that children know it for newer. Only the parent that told what is known may begin
-    one, or any once that parent is no longer among those to be followed: a lower number from another is that
-    of a source that lags.
+    A source that names no incarnation and whose revisions decrease has begun a new history, which gets the
+    next incarnation, so that children recognise it as newer. Only the parent that sent the known list may
+    begin a new history, or any parent once that one is no longer followed: a lower revision from another
+    parent comes from a source that lags.
 
-    A source that renews lists with lower positions only, and for long, counts anew as well (`believe`): a
-    replica that started again does not know how often its source did so before.
+    A source that for long renews only lists with lower positions has begun to count again as well (`trust`):
+    a restarted replica does not know how often its source did so before.
 
-    Who drained or left does not come back by a history with lower revisions than it left in, unless it has
-    started again since."""
+    A server that drained or left is not ready again because of a history with lower revisions than the one it
+    left in, unless it has restarted since.
+    """
 
     def __init__(self) -> None:
         self.position: Position | None = None
-        self._origin: Address | None = None  # who told what is known
-        self._has_unknown_incarnation = False  # the incarnation of `position` is not known yet
-        self._needs_list_from: Address | None = None  # who has to send the whole list before any change
-        self._trusted: Address | None = None  # whose whole list holds, whatever its position
-        self._started: dict[str, int] = {}  # by the host of each listed server
-        self._departed: dict[str, tuple[Position, int]] = {}  # where it left, and the start it left after
+        self._origin: Address | None = None  # The parent that sent the known list.
+        self._has_unknown_incarnation = False  # The incarnation of `position` is not known yet.
+        self._needs_list_from: Address | None = (
+            None  # This parent has to send the whole list before any change.
+        )
+        self._trusted: Address | None = None  # The whole list of this parent wins, whatever its position is.
+        self._started: dict[str, int] = {}  # Start time of each listed server, by host.
+        self._departed: dict[
+            str, tuple[Position, int]
+        ] = {}  # Position of the departure, and last start time.
         self._max_list_length = 0
 
     @property
     def incarnation(self) -> int | None:
-        """None where it is not known."""
+        """Returns the incarnation of the known list, None if it is not known."""
         return None if self.position is None or self._has_unknown_incarnation else self.position.incarnation
 
     def distrust(self, origin: Origin) -> None:
-        """It sent a change that can't be read, or one on something unknown."""
+        """Requires a whole list from a parent that sent an invalid change or one to an unknown revision."""
         self._needs_list_from = origin.address
 
     def trust(self, address: Address | None) -> None:
-        """The source renews what that parent knows, and for long nothing later: it counts anew, and its whole
-        list is to be taken even if that is behind. None: nobody's is."""
+        """Accepts the next whole list of that parent even if it is behind; None: of no parent.
+
+        The source has for long renewed only the list of that parent and nothing later, so it has begun to
+        count again.
+        """
         self._trusted = address
 
     def resume(self, revision: int) -> None:
-        """An earlier process knew that revision, of a history that the first parent to answer names."""
+        """Continues from the revision that an earlier process knew.
+
+        The first parent that answers names the incarnation to which the revision belongs.
+        """
         self.position, self._has_unknown_incarnation = Position(0, revision), True
 
     def release(self, followed: Collection[Address]) -> None:
-        """These alone are followed from now on."""
+        """Lets any parent begin a new history if the sender of the known list is no longer followed."""
         if self._origin not in followed:
             self._origin = None
 
     def needs_whole_list(self, origin: Origin, gone: bool) -> bool:
-        """Whether a watch from the revision known would not do there. `gone`: it answered 410."""
+        """Returns whether a watch at that parent can't resume from the known revision.
+
+        `gone` is True if the parent answered 410.
+        """
         known = self.position
         if known is None or origin.address in (self._needs_list_from, self._trusted):
             return True
         if origin.incarnation is None:
             return gone or (origin.address != self._origin and not self._has_unknown_incarnation)
-        return gone  # a watch of a later incarnation begins with the whole list
+        return gone  # A watch of a later incarnation begins with the whole list.
 
     def is_behind(self, origin: Origin, gone: bool) -> bool:
-        """Whether the parent is known to have older lists only."""
+        """Returns whether the parent is known to have only older lists."""
         known = self.position
         if known is None or self._has_unknown_incarnation or origin.incarnation is None:
             return False
@@ -106,13 +125,13 @@
         return origin.incarnation < known.incarnation or (gone and origin.incarnation == known.incarnation)
 
     def resumed(self, origin: Origin) -> None:
-        """A watch from the revision known was taken there."""
+        """Records that the parent accepted a watch from the known revision."""
         if self._has_unknown_incarnation and self.position is not None:
             self.position = Position(origin.incarnation or 0, self.position.revision)
             self._has_unknown_incarnation, self._origin = False, origin.address
 
     def judge(self, received: Received) -> ListDocument | Verdict:
-        """The document to be taken and passed on, which is then what is known; or why it is not."""
+        """Returns the document to be published, which is then the known one, or why it is not accepted."""
         position = self._position(received)
         verdict = position if isinstance(position, Verdict) else self._rejection(received, position)
         if verdict is Verdict.INCOMPLETE:
