--- a/glenfold/rules/succession.py
+++ b/glenfold/rules/succession.py
@@ -64,14 +64,10 @@
         self.position: Position | None = None
         self._origin: Address | None = None  # The parent that sent the known list.
         self._has_unknown_incarnation = False  # The incarnation of `position` is not known yet.
-        self._needs_list_from: Address | None = (
-            None  # This parent has to send the whole list before any change.
-        )
+        self._needs_list_from: Address | None = None  # Changes of this parent wait for its whole list.
         self._trusted: Address | None = None  # The whole list of this parent wins, whatever its position is.
         self._started: dict[str, int] = {}  # Start time of each listed server, by host.
-        self._departed: dict[
-            str, tuple[Position, int]
-        ] = {}  # Position of the departure, and last start time.
+        self._departed: dict[str, tuple[Position, int]] = {}  # Position and start time at its departure.
         self._max_list_length = 0
 
     @property
