--- a/tests/replica/test_replica_mutants.py
+++ b/tests/replica/test_replica_mutants.py
@@ -27,8 +27,8 @@
     monkeypatch.setattr(Lease, "due_at_s", lambda self: self._last_line_at_s + 0.5)
     monkeypatch.setattr(Lease, "take_renewal", lambda self, now_s: not self.record_line(now_s))
     caught(
-        lease_tests.test_who_is_stale_tells_nothing_and_ages,
-        lease_tests.test_an_empty_line_goes_out_once_for_each_renewal,
+        lease_tests.test_a_stale_lease_sends_nothing_and_ages,
+        lease_tests.test_an_empty_line_is_sent_once_for_each_renewal,
         test_server.test_an_empty_line_goes_out_only_when_the_source_renewed,
     )
 
@@ -36,7 +36,7 @@
 def test_a_lease_that_is_passed_on_however_old_it_is(monkeypatch):
     monkeypatch.setattr("glenfold.rules.replication_lease.FRESH_S", float("inf"))
     caught(
-        lease_tests.test_one_that_became_old_while_it_waited_is_not_passed_on,
+        lease_tests.test_a_renewal_that_became_old_while_delayed_is_not_passed_on,
         test_server.test_an_empty_line_goes_out_only_when_the_source_renewed,
     )
 
@@ -50,7 +50,7 @@
     monkeypatch.setattr(RevisionHistory, "_append_change", hold)
     caught(
         history_tests.test_the_history_is_bounded_by_count,
-        history_tests.test_the_history_is_bounded_by_bytes_also_where_one_change_is_too_large,
+        history_tests.test_the_history_is_bounded_by_bytes_even_if_one_change_is_too_large,
         test_server.test_a_watch_resumes_from_its_revision_and_a_past_one_begins_with_the_whole_list,
     )
 
@@ -59,7 +59,7 @@
     monkeypatch.setattr(WholeListAdmission, "admit", lambda self, now_s, size: True)
     caught(
         admission_tests.test_no_window_holds_more_bytes_than_the_rate_allows,
-        admission_tests.test_answers_under_way_are_bounded_and_one_that_ends_makes_room,
+        admission_tests.test_responses_in_progress_are_bounded_and_a_finished_one_admits_another,
         test_server.test_in_a_storm_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
         test_server.test_a_past_revision_is_admitted_as_any_whole_list,
     )
@@ -68,14 +68,14 @@
 def test_waits_without_jitter(monkeypatch):
     monkeypatch.setattr(random.Random, "uniform", lambda self, least, most: most)
     caught(
-        admission_tests.test_two_replicas_spread_alike_children_differently,
+        admission_tests.test_replicas_spread_the_same_children_differently,
     )
 
 
 def test_waits_that_are_not_spread(monkeypatch):
     monkeypatch.setattr(WholeListAdmission, "retry_after_s", lambda self, now_s, size: 1)
     caught(
-        admission_tests.test_those_who_wait_are_spread_over_the_time_that_they_all_need,
+        admission_tests.test_rejected_children_are_spread_over_the_time_that_all_of_them_need,
         test_server.test_in_a_storm_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
     )
 
@@ -96,7 +96,7 @@
         return min(self.end_index, 1 + index_after(self, revision, incarnation))
 
     monkeypatch.setattr(RevisionHistory, "index_after", late)
-    caught(history_tests.test_a_watch_resumes_after_its_revision_also_where_revisions_skip)
+    caught(history_tests.test_a_watch_resumes_after_its_revision_even_if_revisions_are_skipped)
 
 
 def test_a_renewal_in_the_middle_of_a_change(monkeypatch):
--- a/tests/rules/test_backoff.py
+++ b/tests/rules/test_backoff.py
@@ -8,58 +8,58 @@
 from glenfold.net.discovery import AGAIN_S, MISSED_S, MOST_TIMES, NEXT_CALL_S, SOON_S
 from glenfold.rules.backoff import Backoff
 
-SERVES_S = 0.125  # discovery's time for one call, also for one that nobody waits for any more
-PATIENCE_S = 2.0
+SERVICE_TIME_S = 0.125  # discovery's time for one call, also for one that nobody waits for any more
+CALL_TIMEOUT_S = 2.0
 
 
-def waits(relay: int, spread_s: float, initial_spread_s: float = float("inf")) -> Backoff:
+def make_backoff(relay: int, spread_s: float, initial_spread_s: float = float("inf")) -> Backoff:
     return Backoff(0.25, spread_s, 4.0, random.Random(relay), initial_spread_s)
 
 
-def until_all_are_told(relays: int, spread_s: float, initial_spread_s: float | None = None) -> float:
+def time_until_all_are_served(relays: int, spread_s: float, initial_spread_s: float | None = None) -> float:
     """All lose discovery at the moment 0; it serves them in turn, and who waits too long has failed.
     `soon_s`: the spread of the first calls, which it has not refused yet."""
-    backoffs = [waits(relay, spread_s, initial_spread_s or spread_s) for relay in range(relays)]
+    backoffs = [make_backoff(relay, spread_s, initial_spread_s or spread_s) for relay in range(relays)]
     calls = [
         (backoff.retry_delay_s(busy=initial_spread_s is None), relay)
         for relay, backoff in enumerate(backoffs)
     ]
     heapq.heapify(calls)
-    free_at, told_at = 0.0, 0.0
+    free_at, served_at = 0.0, 0.0
     while calls and calls[0][0] < 120:
         now, relay = heapq.heappop(calls)
-        free_at = max(free_at, now) + SERVES_S
-        if free_at - now <= PATIENCE_S:
-            told_at = max(told_at, free_at)
+        free_at = max(free_at, now) + SERVICE_TIME_S
+        if free_at - now <= CALL_TIMEOUT_S:
+            served_at = max(served_at, free_at)
         else:
-            heapq.heappush(calls, (now + PATIENCE_S + backoffs[relay].retry_delay_s(), relay))
-    return float("inf") if calls else told_at
+            heapq.heappush(calls, (now + CALL_TIMEOUT_S + backoffs[relay].retry_delay_s(), relay))
+    return float("inf") if calls else served_at
 
 
 @pytest.mark.parametrize("relays", [2, 40, 200])
-def test_a_fleet_that_spreads_its_calls_is_told_within_a_few_times_what_serving_all_takes(relays):
-    assert until_all_are_told(relays, relays / 10) <= 1.0 + 5 * relays * SERVES_S
+def test_a_fleet_that_spreads_its_calls_is_served_within_a_few_times_the_serving_time_of_all(relays):
+    assert time_until_all_are_served(relays, relays / 10) <= 1.0 + 5 * relays * SERVICE_TIME_S
 
 
 @pytest.mark.parametrize("relays", [2, 40])
-def test_calls_that_come_soon_at_first_are_spread_once_they_are_refused(relays):
-    assert until_all_are_told(relays, relays / 10, 0.75) <= 1.0 + 5 * relays * SERVES_S
+def test_calls_with_a_short_initial_spread_are_spread_once_they_are_refused(relays):
+    assert time_until_all_are_served(relays, relays / 10, 0.75) <= 1.0 + 5 * relays * SERVICE_TIME_S
 
 
-def test_forty_that_ask_together_are_never_told():
-    assert until_all_are_told(40, 0.0) == float("inf")
+def test_forty_relays_that_always_call_together_are_never_all_served():
+    assert time_until_all_are_served(40, 0.0) == float("inf")
 
 
 @pytest.mark.parametrize("relays", [2, 40, 200])
 @pytest.mark.parametrize("call", ["first", "again"])
-def test_waits_of_many_relays_do_not_bunch(relays, call):
-    backoffs = [waits(relay, relays / 10) for relay in range(relays)]
-    moments = sorted(one.first_delay_s() if call == "first" else one.retry_delay_s() for one in backoffs)
-    assert max(sum(at <= other < at + 1 for other in moments) for at in moments) <= 10 + 3 * 10**0.5
+def test_delays_of_many_relays_are_spread_evenly(relays, call):
+    backoffs = [make_backoff(relay, relays / 10) for relay in range(relays)]
+    times = sorted(one.first_delay_s() if call == "first" else one.retry_delay_s() for one in backoffs)
+    assert max(sum(at <= other < at + 1 for other in times) for at in times) <= 10 + 3 * 10**0.5
 
 
-def test_success_makes_the_next_fault_the_first_of_a_row():
-    backoff, fresh = waits(3, 4.0), waits(3, 4.0)
+def test_reset_makes_the_next_refusal_the_first_of_a_series():
+    backoff, fresh = make_backoff(3, 4.0), make_backoff(3, 4.0)
     first = [fresh.retry_delay_s(), fresh.retry_delay_s() / 2]
     assert backoff.retry_delay_s() == first[0]
     backoff.reset()
@@ -73,12 +73,12 @@
     """Relays that bound their waits as `Discovery` does. From DOWN_S on discovery serves them in turn, all of
     them within `serves_all_s`. `called`: the moments of all calls. `told`: those of the answers."""
 
-    def __init__(self, relays: int, serves_all_s: float, refusal_s: float) -> None:
-        chances = [random.Random(relay) for relay in range(relays)]
-        self.backoffs = [Backoff(AGAIN_S, relays / 10, MOST_TIMES, rng, SOON_S) for rng in chances]
-        self.serves_s, self.refusal_s = serves_all_s / relays, refusal_s
-        self.called: list[float] = []
-        self.told: list[float] = []
+    def __init__(self, relays: int, total_service_time_s: float, refusal_s: float) -> None:
+        generators = [random.Random(relay) for relay in range(relays)]
+        self.backoffs = [Backoff(AGAIN_S, relays / 10, MOST_TIMES, rng, SOON_S) for rng in generators]
+        self.service_time_s, self.refusal_s = total_service_time_s / relays, refusal_s
+        self.call_times: list[float] = []
+        self.served_times: list[float] = []
         self.free_at = 0.0
 
     def run(self, until: float) -> None:
@@ -86,7 +86,7 @@
         heapq.heapify(calls)
         while calls and calls[0][0] < until:
             now, relay = heapq.heappop(calls)
-            self.called.append(now)
+            self.call_times.append(now)
             if (took_s := self._refused_after(now)) is not None:
                 wait_s = self.backoffs[relay].retry_delay_s(True, NEXT_CALL_S - took_s)
                 heapq.heappush(calls, (now + took_s + wait_s, relay))
@@ -94,35 +94,35 @@
     def _refused_after(self, now: float) -> float | None:
         if now < DOWN_S:
             return self.refusal_s
-        self.free_at = max(self.free_at, now) + self.serves_s
-        if self.free_at - now > PATIENCE_S:
-            return PATIENCE_S
-        self.told.append(self.free_at)
+        self.free_at = max(self.free_at, now) + self.service_time_s
+        if self.free_at - now > CALL_TIMEOUT_S:
+            return CALL_TIMEOUT_S
+        self.served_times.append(self.free_at)
         return None
 
 
 @pytest.mark.parametrize("relays", [2, 40, 230, 3_400])
-@pytest.mark.parametrize("refusal_s", [0.0, PATIENCE_S])
-def test_relays_that_were_refused_for_long_are_told_in_time_where_discovery_can_serve_them(relays, refusal_s):
+@pytest.mark.parametrize("refusal_s", [0.0, CALL_TIMEOUT_S])
+def test_relays_that_were_refused_for_long_are_served_in_time_if_discovery_can_serve_them(relays, refusal_s):
     fleet = BoundedFleet(relays, 3.0, refusal_s)
     fleet.run(DOWN_S + 2 * MISSED_S)
-    assert len(fleet.told) == relays and max(fleet.told) - DOWN_S <= MISSED_S
+    assert len(fleet.served_times) == relays and max(fleet.served_times) - DOWN_S <= MISSED_S
 
 
 @pytest.mark.parametrize("relays", [230, 3_400])
-def test_refused_calls_of_a_bounded_fleet_are_no_more_than_the_time_allowed_needs(relays):
+def test_refused_calls_of_a_bounded_fleet_are_no_more_than_the_allowed_delay_needs(relays):
     fleet = BoundedFleet(relays, 3.0, 0.0)
     fleet.run(DOWN_S)
-    late = [at for at in fleet.called if at >= 2 * NEXT_CALL_S]
-    busiest = max(sum(second <= at < second + 1 for at in late) for second in range(8, int(DOWN_S)))
-    fair = relays / NEXT_CALL_S
-    assert len(late) <= 1.2 * fair * (DOWN_S - 2 * NEXT_CALL_S)
-    assert busiest <= 1.2 * fair + 3 * fair**0.5
+    late_calls = [at for at in fleet.call_times if at >= 2 * NEXT_CALL_S]
+    max_rate = max(sum(second <= at < second + 1 for at in late_calls) for second in range(8, int(DOWN_S)))
+    mean_rate = relays / NEXT_CALL_S
+    assert len(late_calls) <= 1.2 * mean_rate * (DOWN_S - 2 * NEXT_CALL_S)
+    assert max_rate <= 1.2 * mean_rate + 3 * mean_rate**0.5
 
 
-@pytest.mark.parametrize(("within_s", "least_s"), [(3.75, 0.125), (0.0, 0.125), (-2.0, 0.125)])
-def test_a_wait_is_no_longer_than_allowed_and_never_none(within_s, least_s):
+@pytest.mark.parametrize(("within_s", "min_s"), [(3.75, 0.125), (0.0, 0.125), (-2.0, 0.125)])
+def test_a_delay_is_no_longer_than_allowed_and_never_zero(within_s, min_s):
     for relay in range(200):
         backoff = Backoff(AGAIN_S, 340.0, MOST_TIMES, random.Random(relay), SOON_S)
         for busy in (True, True, True, False):
-            assert least_s <= backoff.retry_delay_s(busy, within_s) <= max(AGAIN_S, within_s)
+            assert min_s <= backoff.retry_delay_s(busy, within_s) <= max(AGAIN_S, within_s)
--- a/tests/rules/test_fleet_rules.py
+++ b/tests/rules/test_fleet_rules.py
@@ -35,28 +35,28 @@
 from glenfold.rules.service import Shares, Window
 
 NAMES = ("a", "b", "c", "d")
-WELL, BADLY = Shares(100, 0.01, 0.0), Shares(100, 0.3, 0.0)
+GOOD_SERVICE, BAD_SERVICE = Shares(100, 0.01, 0.0), Shares(100, 0.3, 0.0)
 
 
-class Machine:
+class ModelMachine:
     """Processes, and one supervisor at a time; every effect is checked against what is allowed."""
 
     def __init__(self, options: Options) -> None:
         self.options, self.now = options, 1000.0
         self.running: dict[str, str] = {}  # process: instance
         self.ready: set[str] = set()
-        self.told: set[str] = set()  # to stop
+        self.stop_requested: set[str] = set()  # to stop
         self.answering: dict[str, str] = {}  # instance: process
         self.starts: list[tuple[float, str]] = []
-        self.asked_for: Counter[str] = Counter()  # starts that a command may bring about
-        self.own_out: set[str] = set()
-        self.service = WELL
+        self.allowed_starts: Counter[str] = Counter()  # starts that a command may bring about
+        self.taken_out: set[str] = set()
+        self.service = GOOD_SERVICE
         self.events: list[Tell] = []
         self.refused = ""
         self.fleet = Fleet(options, State(), lambda: 0.5)
-        self.made = 0
+        self.process_count = 0
         self.killed: list[str] = []  # and not yet seen to have ended
-        self.within = 0
+        self.input_depth = 0
 
     def on(self, event_input: Input, carry_out: int = 1000) -> None:
         """`carry_out`: the supervisor is killed after so many effects."""
@@ -64,12 +64,12 @@
         todo = self.fleet.on(event_input, self.now)
         if isinstance(event_input, Release):
             held &= self.held()
-        self.within += 1
+        self.input_depth += 1
         for effect in todo[:carry_out]:
             self.carry_out(effect, held)
-        self.within -= 1
-        while self.killed and not self.within:
-            self.end(self.killed.pop(), "killed")
+        self.input_depth -= 1
+        while self.killed and not self.input_depth:
+            self.end_process(self.killed.pop(), "killed")
 
     def held(self) -> set[str]:
         return {name for name, one in self.fleet.state.instances.items() if one.phase is Phase.HELD}
@@ -82,14 +82,14 @@
                 self.starts.append((self.now, name))
                 self.on(ProcessStarted(name, self.spawn(name)))
             case Replace(name):
-                self.own_out.add(name)
+                self.taken_out.add(name)
                 self.on(ProcessStarted(name, self.spawn(name)))
             case Stop(name, process):
                 assert self.running[process] == name
-                self.told.add(process)
+                self.stop_requested.add(process)
                 self.ready.discard(process)
                 if not self.fleet.state.down:
-                    self.own_out.add(name)
+                    self.taken_out.add(name)
             case Kill(_, process):
                 self.killed.append(process)
             case Tell():
@@ -98,117 +98,117 @@
             case Refuse(reason):
                 self.refused = reason
         roll = self.fleet.state.roll
-        assert not roll or not roll.running or len(self.own_out) <= roll.most_out
+        assert not roll or not roll.running or len(self.taken_out) <= roll.most_out
 
     def spawn(self, name: str) -> str:
-        self.made += 1
-        process = f"{name}{self.made}"
+        self.process_count += 1
+        process = f"{name}{self.process_count}"
         self.running[process] = name
         self.answering.setdefault(name, process)
         return process
 
-    def end(self, process: str, how: str = "1") -> None:
+    def end_process(self, process: str, how: str = "1") -> None:
         name = self.running.pop(process, None)
         if name is None:
             return
         self.ready.discard(process)
-        self.told.discard(process)
+        self.stop_requested.discard(process)
         if self.answering[name] == process:
             del self.answering[name]
             self.answering.update((of, other) for other, of in self.running.items() if of == name)
         self.on(Exited(name, process, how))
 
-    def be_ready(self, process: str) -> None:
-        if process in self.told:
+    def become_ready(self, process: str) -> None:
+        if process in self.stop_requested:
             return
         name = self.running[process]
         self.ready.add(process)
         of_name = sorted((int(other[1:]), other) for other, of in self.running.items() if of == name)
         older = {other for number, other in of_name if number < int(process[1:])}
-        self.told |= older
+        self.stop_requested |= older
         self.ready -= older
         if process == of_name[-1][1]:
             self.answering[name] = process
-            self.own_out.discard(name)
+            self.taken_out.discard(name)
 
-    def look(self, carry_out: int = 1000) -> None:
+    def report_observations(self, carry_out: int = 1000) -> None:
         for name, process in list(self.answering.items()):
             if process in self.running:
                 self.on(ProcessAnswered(name, process, process in self.ready))
         self.on(ServiceMeasured(self.service), carry_out)
 
-    def later(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now += seconds
-        self.look()
+        self.report_observations()
 
-    def supervisor_dies(self) -> None:
+    def restart_supervisor(self) -> None:
         """All that is left of it is what it saved."""
         state = msgspec.json.decode(msgspec.json.encode(self.fleet.state), type=State)
         self.fleet = Fleet(self.options, state, lambda: 0.5)
         self.on(SupervisorStarted(frozenset(self.running), dict(self.answering)))
 
-    def calm(self, seconds: int) -> None:
+    def run_steadily(self, seconds: int) -> None:
         """Everything that starts gets ready, everything that is told to stop does."""
         for _ in range(seconds):
             self.now += 1.0
-            for process in list(self.told):
-                self.end(process, "0")
+            for process in list(self.stop_requested):
+                self.end_process(process, "0")
             for process in list(self.running):
-                self.be_ready(process)
-            self.look()
+                self.become_ready(process)
+            self.report_observations()
 
     def stopped(self) -> str | None:
         """Why the roll was, if it was."""
         roll = self.fleet.state.roll
         return roll.reason if roll and not roll.running else None
 
-    def told_of(self, event: str) -> list[dict[str, object]]:
+    def logged_events(self, event: str) -> list[dict[str, object]]:
         return [one.fields for one in self.events if one.event == event]
 
     def phases(self) -> set[Phase]:
         return {one.phase for one in self.fleet.state.instances.values()}
 
 
-def check_no_storm(machine: Machine) -> None:
+def check_start_rate(machine: ModelMachine) -> None:
     """Starts of one instance within any window, less those that a command asked for."""
     options = machine.options
     for name in NAMES:
-        moments = [at for at, of in machine.starts if of == name]
-        for first in moments:
-            inside = sum(first <= at < first + options.loop_window_s for at in moments)
-            assert inside <= options.loop_ends + machine.asked_for[name]
-    every = sorted(at for at, _ in machine.starts)
-    assert all(b - a >= options.stagger_s for a, b in zip(every, every[1:], strict=False))
+        start_times = [at for at, of in machine.starts if of == name]
+        for first in start_times:
+            inside = sum(first <= at < first + options.loop_window_s for at in start_times)
+            assert inside <= options.loop_ends + machine.allowed_starts[name]
+    all_start_times = sorted(at for at, _ in machine.starts)
+    assert all(b - a >= options.stagger_s for a, b in zip(all_start_times, all_start_times[1:], strict=False))
 
 
 class FleetModel(RuleBasedStateMachine):
     @initialize(take_over=st.booleans(), stagger_s=st.sampled_from([0.0, 0.4]))
     def begin(self, take_over: bool, stagger_s: float) -> None:
-        self.machine = Machine(Options(NAMES, stagger_s=stagger_s, loop_ends=4, take_over=take_over))
-        self.machine.calm(10)
+        self.machine = ModelMachine(Options(NAMES, stagger_s=stagger_s, loop_ends=4, take_over=take_over))
+        self.machine.run_steadily(10)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 6.0, 40.0, 80.0]))
     def time(self, seconds: float) -> None:
-        self.machine.later(seconds)
+        self.machine.advance_time(seconds)
 
     @rule(seconds=st.integers(1, 20))
-    def calm(self, seconds: int) -> None:
-        self.machine.calm(seconds)
+    def run_steadily(self, seconds: int) -> None:
+        self.machine.run_steadily(seconds)
 
     @precondition(lambda self: self.machine.running)
     @rule(data=st.data(), what=st.sampled_from(["die", "stop", "ready", "sicken"]))
     def process(self, data: st.DataObject, what: str) -> None:
         process = data.draw(st.sampled_from(sorted(self.machine.running)))
         if what == "die":
-            self.machine.end(process, "-9")
-        elif what == "stop" and process in self.machine.told:
-            self.machine.end(process, "0")
+            self.machine.end_process(process, "-9")
+        elif what == "stop" and process in self.machine.stop_requested:
+            self.machine.end_process(process, "0")
         elif what == "ready":
-            self.machine.be_ready(process)
+            self.machine.become_ready(process)
         else:
             self.machine.ready.discard(process)
 
-    @rule(shares=st.sampled_from([WELL, BADLY, Shares()]))
+    @rule(shares=st.sampled_from([GOOD_SERVICE, BAD_SERVICE, Shares()]))
     def service(self, shares: Shares) -> None:
         self.machine.service = shares
 
@@ -217,26 +217,26 @@
         | st.builds(BeginRoll, st.integers(1, 3))
     )
     def command(self, command: Command) -> None:
-        self.machine.asked_for.update(NAMES)
+        self.machine.allowed_starts.update(NAMES)
         self.machine.on(command)
 
     @rule(after=st.integers(0, 3))
     def supervisor_killed(self, after: int) -> None:
-        self.machine.asked_for.update(NAMES)
+        self.machine.allowed_starts.update(NAMES)
         self.machine.now += 1.0
-        self.machine.look(after)
-        self.machine.supervisor_dies()
+        self.machine.report_observations(after)
+        self.machine.restart_supervisor()
 
     def teardown(self) -> None:
         if not hasattr(self, "machine"):
             return
-        check_no_storm(self.machine)
-        self.machine.service = WELL
-        self.machine.calm(600)
+        check_start_rate(self.machine)
+        self.machine.service = GOOD_SERVICE
+        self.machine.run_steadily(600)
         assert self.machine.phases() <= {Phase.READY, Phase.HELD}
         assert self.machine.fleet.state.roll is None or self.machine.stopped()
         self.machine.on(Down())
-        self.machine.calm(200)
+        self.machine.run_steadily(200)
         assert not self.machine.running and self.machine.phases() == {Phase.DOWN}
 
 
@@ -246,108 +246,108 @@
 TestFleetModel = FleetModel.TestCase
 
 
-def ready_machine(**options: object) -> Machine:
-    machine = Machine(Options(NAMES, **options))  # type: ignore[arg-type]
-    machine.calm(10)
+def ready_machine(**options: object) -> ModelMachine:
+    machine = ModelMachine(Options(NAMES, **options))  # type: ignore[arg-type]
+    machine.run_steadily(10)
     assert machine.phases() == {Phase.READY}
     return machine
 
 
-def rolling_machine(most_out: int = 1, **options: object) -> Machine:
+def rolling_machine(most_out: int = 1, **options: object) -> ModelMachine:
     machine = ready_machine(**options)
     machine.on(BeginRoll(most_out))
     return machine
 
 
-def test_an_instance_that_keeps_ending_is_held_told_and_started_again_only_when_released() -> None:
+def test_a_crash_looping_instance_is_held_and_logged_and_restarted_only_when_released() -> None:
     machine = ready_machine(loop_ends=3)
     for _ in range(3):
-        machine.end(machine.answering["a"])
+        machine.end_process(machine.answering["a"])
         machine.now += 2
         machine.on(TimePassed())
-    assert [fields["name"] for fields in machine.told_of("fleet.held")] == ["a"]
+    assert [fields["name"] for fields in machine.logged_events("fleet.held")] == ["a"]
     starts = len(machine.starts)
-    machine.calm(500)
+    machine.run_steadily(500)
     assert len(machine.starts) == starts
     machine.on(BeginRoll())
     assert machine.refused == "not ready: a (held)"
     machine.on(Release("a"))
-    machine.calm(2)
+    machine.run_steadily(2)
     assert machine.phases() == {Phase.READY}
 
 
-def test_the_wait_before_a_restart_doubles_and_is_the_shortest_again_after_long_service() -> None:
+def test_the_restart_delay_doubles_and_is_reset_after_a_steady_run() -> None:
     machine = ready_machine(loop_ends=100, jitter=0.0, backoff_s=1.0, most_backoff_s=5.0, steady_s=30.0)
 
     def wait() -> float:
-        machine.end(machine.answering["a"])
+        machine.end_process(machine.answering["a"])
         waited = machine.fleet.next_at() - machine.now
         machine.now = machine.fleet.next_at()
         machine.on(TimePassed())
         return round(waited, 6)
 
     assert [wait() for _ in range(5)] == [1, 2, 4, 5, 5]
-    machine.calm(40)
+    machine.run_steadily(40)
     assert wait() == 1
 
 
 @pytest.mark.parametrize("take_over", [False, True])
-def test_a_roll_goes_on_though_its_supervisor_dies_and_stops_when_service_suffers_until_it_is_continued(
+def test_a_roll_survives_its_supervisor_and_stops_on_degraded_service_until_it_is_continued(
     take_over: bool,
 ) -> None:
     machine = ready_machine(take_over=take_over)
     machine.on(BeginRoll(), carry_out=0)
-    machine.supervisor_dies()
+    machine.restart_supervisor()
     first = {"a1", "b2", "c3", "d4"}
     machine.on(ReloadAll())
     assert "a roll is running" in machine.refused
-    machine.calm(8)
-    machine.service = BADLY
-    machine.look()
+    machine.run_steadily(8)
+    machine.service = BAD_SERVICE
+    machine.report_observations()
     assert "30.0% refused, 1.0% before" in (machine.stopped() or "")
-    machine.service = WELL
-    machine.calm(60)
+    machine.service = GOOD_SERVICE
+    machine.run_steadily(60)
     assert first & set(machine.running)
     machine.on(BeginRoll())
     assert "continue it or call it off" in machine.refused
     machine.on(ContinueRoll())
-    machine.calm(60)
+    machine.run_steadily(60)
     assert machine.fleet.state.roll is None and not first & set(machine.running)
-    assert machine.told_of("fleet.roll_done")[0]["instances"] == 4
+    assert machine.logged_events("fleet.roll_done")[0]["instances"] == 4
 
 
 @pytest.mark.parametrize(
     "before, then, stopped",
     [
-        (WELL, Shares(100, 0.04, 0.0), "service is not as before after a: 4.0% refused, 1.0% before"),
-        (Shares(1, 1.0, 0.0), BADLY, "service suffers: 30.0% refused, 0.0% before"),
-        (WELL, Shares(100, 0.0, 0.07), "service suffers: 7.0% unanswered, 0.0% before"),
-        (WELL, Shares(3, 1.0, 0.0), None),
+        (GOOD_SERVICE, Shares(100, 0.04, 0.0), "service is not as before after a: 4.0% refused, 1.0% before"),
+        (Shares(1, 1.0, 0.0), BAD_SERVICE, "service suffers: 30.0% refused, 0.0% before"),
+        (GOOD_SERVICE, Shares(100, 0.0, 0.07), "service suffers: 7.0% unanswered, 0.0% before"),
+        (GOOD_SERVICE, Shares(3, 1.0, 0.0), None),
     ],
 )
-def test_a_roll_goes_on_only_while_service_is_as_it_was(
+def test_a_roll_proceeds_only_while_service_is_as_before(
     before: Shares, then: Shares, stopped: str | None
 ) -> None:
     machine = ready_machine()
     machine.service = before
-    machine.look()
+    machine.report_observations()
     machine.on(BeginRoll())
     machine.service = then
-    machine.calm(100)
+    machine.run_steadily(100)
     assert machine.stopped() == stopped and bool(machine.fleet.state.roll) == bool(stopped)
 
 
 @pytest.mark.parametrize(
     "backoff_s, stopped", [(20.0, None), (500.0, "waits for instances that it did not take out: a")]
 )
-def test_a_roll_waits_for_an_instance_that_is_out_by_itself_but_not_for_ever_and_rolls_the_others(
+def test_a_roll_waits_for_an_instance_it_did_not_take_out_up_to_a_limit_and_rolls_the_others(
     backoff_s: float, stopped: str | None
 ) -> None:
     machine = ready_machine(backoff_s=backoff_s, most_backoff_s=500.0)
-    machine.end(machine.answering["a"])
+    machine.end_process(machine.answering["a"])
     machine.on(BeginRoll(2))
-    assert [machine.running[process] for process in machine.told] == ["b"]
-    machine.calm(100)
+    assert [machine.running[process] for process in machine.stop_requested] == ["b"]
+    machine.run_steadily(100)
     assert machine.stopped() == stopped and (machine.phases() == {Phase.READY}) == (stopped is None)
     assert all(machine.fleet.state.instances[name].starts == 2 for name in ("b", "c", "d"))
 
@@ -360,50 +360,50 @@
         (True, True, "the successor of a ended"),
     ],
 )
-def test_a_roll_stops_when_who_is_to_come_dies_or_is_late_and_an_old_one_serves_on(
+def test_a_roll_stops_when_a_new_process_exits_or_is_late_and_an_old_process_continues_to_serve(
     take_over: bool, ends: bool, stopped: str
 ) -> None:
     machine = rolling_machine(take_over=take_over)
     if ends:
-        machine.end(*set(machine.running) - machine.ready)
+        machine.end_process(*set(machine.running) - machine.ready)
     for _ in range(4):
-        machine.later(8)
+        machine.advance_time(8)
     assert (machine.stopped() or "").startswith(stopped)
     assert machine.fleet.state.roll and machine.fleet.state.roll.todo == list(NAMES)
     assert machine.ready == ({"a1"} if take_over else set()) | {"b2", "c3", "d4"}
     assert not take_over or machine.ready == set(machine.running) == set(machine.answering.values())
 
 
-def test_a_successor_on_its_way_counts_as_out_after_its_roll_was_called_off() -> None:
+def test_an_instance_with_a_starting_successor_is_out_of_service_after_its_roll_was_called_off() -> None:
     machine = rolling_machine(take_over=True)
     machine.on(CallOffRoll())
     machine.on(BeginRoll(1))
     assert machine.refused == "not ready: a (ready, being replaced)"
 
 
-def test_an_instance_that_does_not_stop_is_killed_and_comes_back() -> None:
+def test_an_instance_that_does_not_stop_is_killed_and_restarted() -> None:
     machine = rolling_machine(stop_within_s=20.0)
-    machine.later(20)
-    machine.calm(60)
+    machine.advance_time(20)
+    machine.run_steadily(60)
     assert machine.fleet.state.roll is None
-    assert [fields["name"] for fields in machine.told_of("fleet.killed")] == ["a"]
+    assert [fields["name"] for fields in machine.logged_events("fleet.killed")] == ["a"]
 
 
-def test_new_terms_start_what_is_new_and_stop_what_is_gone() -> None:
+def test_new_options_start_added_instances_and_stop_removed_ones() -> None:
     machine = ready_machine()
     machine.on(NewOptions(Options(("a", "e"))))
-    machine.calm(5)
+    machine.run_steadily(5)
     assert sorted(machine.running.values()) == ["a", "e"] == sorted(machine.fleet.state.instances)
 
 
-def test_on_a_machine_started_anew_a_roll_is_stopped_and_old_moments_mean_nothing() -> None:
+def test_after_a_reboot_a_roll_is_stopped_and_saved_times_are_ignored() -> None:
     machine = rolling_machine()
     machine.fleet.on(SupervisorStarted(frozenset(), {}, same_boot=False), 5.0)
     assert machine.stopped() == "the machine was rebooted"
     assert all(one.starts == 2 for one in machine.fleet.state.instances.values())
 
 
-def test_service_counts_each_process_from_its_own_start_and_forgets_what_is_older_than_the_window() -> None:
+def test_the_service_window_counts_each_process_from_its_own_start_and_drops_older_counts() -> None:
     window = Window(5.0)
     window.read(0, "a", "a1", {"answered_up": 900, "answered_busy": 100}, started_here=False)
     assert window.shares(0) == Shares()
--- a/tests/rules/test_following_mutants.py
+++ b/tests/rules/test_following_mutants.py
@@ -16,16 +16,16 @@
 rejection = Succession._rejection
 
 
-def takes_any_whole_list(self: Succession, received: Received, position: Position) -> Verdict | None:
+def accept_any_whole_list(self: Succession, received: Received, position: Position) -> Verdict | None:
     return None if received.whole else rejection(self, received, position)
 
 
-def takes_any_change(self: Succession, received: Received, position: Position) -> Verdict | None:
+def accept_any_change(self: Succession, received: Received, position: Position) -> Verdict | None:
     verdict = rejection(self, received, position)
     return None if verdict is Verdict.INCOMPLETE else verdict
 
 
-def goes_by_revision_alone(self: Succession, received: Received, position: Position) -> Verdict | None:
+def compare_revisions_only(self: Succession, received: Received, position: Position) -> Verdict | None:
     if self.position is None or received.revision > self.position.revision:
         return None
     return Verdict.BEHIND
@@ -38,38 +38,38 @@
     report_multiple_bugs=False,
     suppress_health_check=list(HealthCheck),
 )
-def any_history(steps: list[tuple[Any, Any, Any]], at: tuple[str, int]) -> None:
+def check_any_history(steps: list[tuple[Any, Any, Any]], at: tuple[str, int]) -> None:
     succession.check_history(steps, at)
 
 
-def nothing(*given: Any) -> None:
+def do_nothing(*given: Any) -> None:
     return None
 
 
 @pytest.mark.parametrize(
     "name, mutant",
     [
-        ("_rejection", takes_any_whole_list),
-        ("_rejection", takes_any_change),
-        ("_rejection", goes_by_revision_alone),
-        ("_record_departure", nothing),
+        ("_rejection", accept_any_whole_list),
+        ("_rejection", accept_any_change),
+        ("_rejection", compare_revisions_only),
+        ("_record_departure", do_nothing),
     ],
 )
-def test_a_fault_in_the_succession_is_found(
+def test_a_mutant_of_the_succession_fails_its_tests(
     monkeypatch: pytest.MonkeyPatch, name: str, mutant: Callable[..., Any]
 ) -> None:
     monkeypatch.setattr(Succession, name, mutant)
     with pytest.raises(AssertionError):
-        any_history()
+        check_any_history()
 
 
-def test_no_jitter_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_leaving_without_jitter_fails_the_tests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ParentChoice, "leave_delay_s", lambda self, children: 0.0)
     with pytest.raises(AssertionError):
-        choice.test_250_children_of_a_dead_replica_leave_it_apart_and_in_time(0)
+        choice.test_250_children_of_a_dead_replica_leave_it_spread_out_and_in_time(0)
 
 
-def test_jitter_beyond_the_time_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_jitter_beyond_the_deadline_fails_the_tests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ParentChoice, "leave_delay_s", lambda self, children: self.rng.uniform(0.0, 5.0))
     with pytest.raises(AssertionError):
-        choice.test_250_children_of_a_dead_replica_leave_it_apart_and_in_time(0)
+        choice.test_250_children_of_a_dead_replica_leave_it_spread_out_and_in_time(0)
--- a/tests/rules/test_group_parts.py
+++ b/tests/rules/test_group_parts.py
@@ -13,16 +13,16 @@
 TOPIC = 0xABCDEF
 
 
-def keys(seed: int, count: int) -> list[int]:
+def client_keys(seed: int, count: int) -> list[int]:
     return [random.Random(seed * 1_000_003 + n).getrandbits(64) for n in range(count)]
 
 
-def taken(parts: GroupParts, clients: list[int], connections: int, servers: int) -> list[int]:
+def member_parts(parts: GroupParts, clients: list[int], connections: int, servers: int) -> list[int]:
     return [parts.add_member(TOPIC, key, connections, servers) for key in clients]
 
 
 @pytest.mark.parametrize(
-    ("members", "room", "expected"),
+    ("members", "connections_per_server", "expected"),
     [
         (1, 6.0, 1),
         (9, 6.0, 1),  # chance may make it look so large
@@ -34,7 +34,9 @@
         (353, 0.25, 8192),
     ],
 )
-def test_a_group_gets_parts_by_its_size(members: int, connections_per_server: float, expected: int) -> None:
+def test_the_number_of_parts_follows_the_size_of_the_group(
+    members: int, connections_per_server: float, expected: int
+) -> None:
     assert part_count(members, connections_per_server) == expected
 
 
@@ -53,7 +55,7 @@
     )
 
 
-def test_a_group_without_a_name_is_left_alone() -> None:
+def test_connections_without_a_group_are_not_counted() -> None:
     parts = GroupParts()
     assert parts.add_member(0, 7, 1_000_000, 1) == 0
     parts.remove_member(0)
@@ -62,15 +64,15 @@
 
 def test_small_groups_keep_their_own_key() -> None:
     parts = GroupParts()
-    assert set(taken(parts, keys(1, 60), 1000, 14)) == {TOPIC}
+    assert set(member_parts(parts, client_keys(1, 60), 1000, 14)) == {TOPIC}
 
 
-def test_two_relays_with_counts_of_their_own_give_every_client_the_same_part() -> None:
+def test_two_relays_with_different_counts_give_every_client_the_same_part() -> None:
     one, other = GroupParts(), GroupParts()
-    taken(one, keys(1, 353), 61_765, 10_240)
-    taken(other, keys(2, 340), 61_765, 10_240)
+    member_parts(one, client_keys(1, 353), 61_765, 10_240)
+    member_parts(other, client_keys(2, 340), 61_765, 10_240)
     found = set[int]()
-    for key in keys(3, 4_000):
+    for key in client_keys(3, 4_000):
         part = one.add_member(TOPIC, key, 61_765, 10_240)
         assert part == other.add_member(TOPIC, key, 61_765, 10_240)
         found.add(part)
@@ -80,7 +82,7 @@
 
 
 def test_a_group_that_doubles_moves_half_of_each_part_and_no_more() -> None:
-    clients = keys(4, 4000)
+    clients = client_keys(4, 4000)
     few = {key: part_key(TOPIC, group_parts.mix64(TOPIC ^ key) % 8) for key in clients}
     more = {key: part_key(TOPIC, group_parts.mix64(TOPIC ^ key) % 16) for key in clients}
     stayed = sum(few[key] == more[key] for key in clients) / len(clients)
@@ -88,18 +90,18 @@
     assert set(few.values()) < set(more.values())
 
 
-def test_parts_are_even() -> None:
+def test_parts_have_similar_sizes() -> None:
     parts = GroupParts()
-    taken(parts, keys(5, 353), 61_765, 10_240)
+    member_parts(parts, client_keys(5, 353), 61_765, 10_240)
     clients = Counter[int]()
-    for key in keys(6, 25_600):
+    for key in client_keys(6, 25_600):
         clients[parts.add_member(TOPIC, key, 61_765, 10_240)] += 1
         parts.remove_member(TOPIC)
     assert len(clients) == 256
     assert max(clients.values()) < 1.4 * 25_600 / 256
 
 
-def test_the_table_is_no_longer_than_what_is_held() -> None:
+def test_the_table_has_only_groups_with_members() -> None:
     parts, rng = GroupParts(), random.Random(6)
     held: list[int] = []
     for _ in range(5_000):
@@ -114,9 +116,9 @@
     assert len(parts) == 0
 
 
-def test_members_that_left_are_not_counted() -> None:
+def test_removed_members_are_not_counted() -> None:
     parts = GroupParts()
-    assert len(set(taken(parts, keys(7, 353), 61_765, 10_240))) > 8
+    assert len(set(member_parts(parts, client_keys(7, 353), 61_765, 10_240))) > 8
     for _ in range(353):
         parts.remove_member(TOPIC)
-    assert set(taken(parts, keys(8, 5), 61_765, 10_240)) == {TOPIC}
+    assert set(member_parts(parts, client_keys(8, 5), 61_765, 10_240)) == {TOPIC}
--- a/tests/rules/test_replication_http.py
+++ b/tests/rules/test_replication_http.py
@@ -23,7 +23,7 @@
     return h11.Request(method=method, target=target, headers=headers)
 
 
-def test_whole_lists_and_watches_are_asked_for_as_of_discovery():
+def test_whole_lists_and_watches_are_requested_as_from_discovery():
     assert read_request(request("/v1/servers")) == WholeListRequest()
     assert read_request(request("/v1/servers?watch=1&from=17")) == WatchRequest(17, None)
     assert read_request(request("/v1/servers?watch=1")) == WatchRequest(0, None)
@@ -50,7 +50,7 @@
         (request("http://[/v1/servers"), HTTPStatus.BAD_REQUEST),
     ],
 )
-def test_what_is_wrong_with_a_request_has_its_status(asked, status):
+def test_an_invalid_request_is_refused_with_its_status(asked, status):
     with pytest.raises(RequestError) as refused:
         read_request(asked)
     assert refused.value.status is status
@@ -65,9 +65,9 @@
     return found
 
 
-def test_answers_tell_position_age_way_and_children():
+def test_responses_state_position_age_via_and_children():
     source = ListStatus(Position(4, 17), 1.2, ("top", "north-1"), 340)
-    told = {
+    expected = {
         b"glenfold-incarnation": b"4",
         b"age": b"2",
         b"via": b"1.1 top, 1.1 north-1",
@@ -76,16 +76,16 @@
     whole, watch = response(whole_list_head(source, 5)), response(watch_head(source))
     assert whole.status_code == watch.status_code == 200
     for headers in (dict(whole.headers), dict(watch.headers)):
-        assert headers.items() >= told.items()
+        assert headers.items() >= expected.items()
     assert dict(whole.headers)[b"content-length"] == b"5"
     assert dict(watch.headers)[b"transfer-encoding"] == b"chunked"
 
 
-def test_an_age_that_nobody_knows_is_not_told():
+def test_an_unknown_age_is_omitted():
     assert b"age" not in dict(response(watch_head(ListStatus(Position(0, 1), None, ("a",), 0))).headers)
 
 
-def test_a_refusal_tells_when_to_ask_again():
+def test_an_error_response_states_the_retry_delay():
     full = response(error_response(RequestError(HTTPStatus.SERVICE_UNAVAILABLE, "full", 7)))
     assert (full.status_code, dict(full.headers)[b"retry-after"]) == (503, b"7")
     source = ListStatus(Position(2, 41), 0.0, ("r-1",), 3)
--- a/tests/rules/test_source_lease.py
+++ b/tests/rules/test_source_lease.py
@@ -8,7 +8,7 @@
 from glenfold.rules.source_lease import LEASE_S, SourceLease
 
 
-def test_a_lease_goes_by_the_latest_moment_in_which_the_source_renewed() -> None:
+def test_a_lease_counts_from_the_latest_renewal_by_the_source() -> None:
     lease = SourceLease()
     assert not lease.holds(0.0) and lease.age_s(0.0) == math.inf
     assert lease.renew(10.0) and lease.holds(10.0 + LEASE_S) and not lease.holds(10.1 + LEASE_S)
@@ -16,12 +16,12 @@
     assert lease.age_s(13.0) == 3.0
 
 
-def test_discovery_itself_sends_none_of_the_fields() -> None:
-    greeting = read_parent_header([(b"Content-Type", b"application/json")])
-    assert greeting == ParentHeader() and greeting.is_source and greeting.incarnation is None
+def test_a_response_of_discovery_has_none_of_the_fields() -> None:
+    header = read_parent_header([(b"Content-Type", b"application/json")])
+    assert header == ParentHeader() and header.is_source and header.incarnation is None
 
 
-def test_the_fields_of_a_replica_whatever_their_case() -> None:
+def test_the_field_names_of_a_replica_are_case_insensitive() -> None:
     fields = [
         (b"GLENFOLD-incarnation", b"7"),
         (b"age", b"3"),
@@ -33,12 +33,12 @@
     assert read_parent_header(fields) == ParentHeader(("root-1", "zone-2", "zone-3"), 7, 3.0, 250, 2.0)
 
 
-def test_a_replica_that_was_never_renewed_tells_no_age_and_is_older_than_all() -> None:
-    greeting = read_parent_header([(b"Via", b"1.1 root-1")])
-    assert greeting.age_s == math.inf and greeting.incarnation == 0
+def test_a_replica_without_an_age_counts_as_infinitely_old() -> None:
+    header = read_parent_header([(b"Via", b"1.1 root-1")])
+    assert header.age_s == math.inf and header.incarnation == 0
 
 
-def test_a_date_to_come_again_at_says_nothing() -> None:
+def test_a_retry_after_date_is_ignored() -> None:
     assert read_parent_header([(b"Retry-After", b"Fri, 31 Dec 1999 23:59:59 GMT")]).retry_after_s is None
 
 
@@ -58,6 +58,6 @@
         ("Via", ", ".join(["1.1 a"] * (MAX_HOPS + 1))),
     ],
 )
-def test_a_field_that_cannot_be_read_is_a_fault(name: str, value: str) -> None:
+def test_an_invalid_field_is_an_error(name: str, value: str) -> None:
     with pytest.raises(ParentHeaderError, match=name):
         read_parent_header([(name.encode(), value.encode())])
