--- a/tests/replica/test_server.py
+++ b/tests/replica/test_server.py
@@ -6,7 +6,7 @@
 import h11
 import pytest
 import trio
-from rules.listed import change, server, whole
+from rules.list_documents import change, server, whole
 from serving import ChildConnection, Serving, serving, until
 
 from glenfold.replica.watches import Watches
--- a/tests/rules/listed.py
+++ b/tests/rules/list_documents.py
@@ -20,8 +20,8 @@
     return ListDocument(Position(incarnation, revision), False, entries or (server(revision),))
 
 
-def lines(chunks: bytes) -> list[dict[str, Any]]:
-    """The documents in the chunks of a watch, by another's reading of HTTP."""
+def decode_lines(chunks: bytes) -> list[dict[str, Any]]:
+    """Returns the documents in the chunks of a watch, as decoded by the HTTP parser of h11."""
     client = h11.Connection(h11.CLIENT)
     client.send(h11.Request(method="GET", target="/", headers=[("Host", "a")]))
     client.send(h11.EndOfMessage())
@@ -33,13 +33,13 @@
 
 
 class Child:
-    """What a relay knows by the documents that it was sent, in their order."""
+    """The server list of a relay that applies the documents sent to it in order."""
 
     def __init__(self) -> None:
         self.revision = -1
         self.servers: dict[str, dict[str, Any]] = {}
 
-    def take(self, document: dict[str, Any]) -> None:
+    def apply(self, document: dict[str, Any]) -> None:
         assert document["whole"] or document["seq"] > self.revision
         if document["whole"]:
             self.servers = {}
--- a/tests/rules/test_backoff.py
+++ b/tests/rules/test_backoff.py
@@ -1,4 +1,4 @@
-"""Many relays that lose one discovery together, at sizes from 2 to 200."""
+"""Tests of the delays of many relays that lose one discovery service at the same time."""
 
 import heapq
 import random
@@ -8,7 +8,7 @@
 from glenfold.net.discovery import AGAIN_S, MISSED_S, MOST_TIMES, NEXT_CALL_S, SOON_S
 from glenfold.rules.backoff import Backoff
 
-SERVICE_TIME_S = 0.125  # discovery's time for one call, also for one that nobody waits for any more
+SERVICE_TIME_S = 0.125  # Discovery's time for one call, even if the caller has already timed out.
 CALL_TIMEOUT_S = 2.0
 
 
@@ -17,8 +17,11 @@
 
 
 def time_until_all_are_served(relays: int, spread_s: float, initial_spread_s: float | None = None) -> float:
-    """All lose discovery at the moment 0; it serves them in turn, and who waits too long has failed.
-    `soon_s`: the spread of the first calls, which it has not refused yet."""
+    """Returns the time at which the last relay is served, infinity if not all are.
+
+    All relays lose discovery at time 0. Discovery serves their calls in turn, and a call that waits too long
+    fails. `initial_spread_s` is the spread of the first calls, which discovery has not refused yet.
+    """
     backoffs = [make_backoff(relay, spread_s, initial_spread_s or spread_s) for relay in range(relays)]
     calls = [
         (backoff.retry_delay_s(busy=initial_spread_s is None), relay)
@@ -66,12 +69,15 @@
     assert backoff.retry_delay_s() == pytest.approx(first[1])
 
 
-DOWN_S = 30.0  # all calls are refused up to then
+DOWN_S = 30.0  # All calls are refused until this time.
 
 
 class BoundedFleet:
-    """Relays that bound their waits as `Discovery` does. From DOWN_S on discovery serves them in turn, all of
-    them within `serves_all_s`. `called`: the moments of all calls. `told`: those of the answers."""
+    """Relays that bound their delays as `Discovery` does.
+
+    From DOWN_S on discovery serves the calls in turn, all of them within `total_service_time_s`. `call_times`
+    has the times of all calls, `served_times` those of the answers.
+    """
 
     def __init__(self, relays: int, total_service_time_s: float, refusal_s: float) -> None:
         generators = [random.Random(relay) for relay in range(relays)]
--- a/tests/rules/test_fleet_rules.py
+++ b/tests/rules/test_fleet_rules.py
@@ -1,5 +1,8 @@
-"""The decisions of the supervisor against a machine of modelled processes: deaths, slow starts, bad service,
-commands, and the supervisor itself killed between any two of its effects."""
+"""Tests of the fleet decisions against a model of a machine with its processes.
+
+The model has crashes, slow starts, degraded service and commands, and the supervisor itself is killed between
+any two of its effects.
+"""
 
 from collections import Counter
 
@@ -9,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from glenfold.daemon import fleet_events  # noqa: F401  # registers what is told
+from glenfold.daemon import fleet_events  # noqa: F401  # The import registers the log events.
 from glenfold.logs import EVENTS
 from glenfold.rules.fleet.effects import Effect, Kill, Refuse, Replace, Start, Stop, Tell
 from glenfold.rules.fleet.fleet import Fleet
@@ -39,27 +42,30 @@
 
 
 class ModelMachine:
-    """Processes, and one supervisor at a time; every effect is checked against what is allowed."""
+    """A machine with its processes and one supervisor at a time, which checks that each effect is allowed."""
 
     def __init__(self, options: Options) -> None:
         self.options, self.now = options, 1000.0
-        self.running: dict[str, str] = {}  # process: instance
+        self.running: dict[str, str] = {}  # The instance of each running process.
         self.ready: set[str] = set()
-        self.stop_requested: set[str] = set()  # to stop
-        self.answering: dict[str, str] = {}  # instance: process
+        self.stop_requested: set[str] = set()  # The processes that were sent SIGTERM or replaced.
+        self.answering: dict[str, str] = {}  # The process that answers for each instance.
         self.starts: list[tuple[float, str]] = []
-        self.allowed_starts: Counter[str] = Counter()  # starts that a command may bring about
+        self.allowed_starts: Counter[str] = Counter()  # Number of additional starts allowed by commands.
         self.taken_out: set[str] = set()
         self.service = GOOD_SERVICE
         self.events: list[Tell] = []
         self.refused = ""
         self.fleet = Fleet(options, State(), lambda: 0.5)
         self.process_count = 0
-        self.killed: list[str] = []  # and not yet seen to have ended
+        self.killed: list[str] = []  # Killed processes whose exit is not reported yet.
         self.input_depth = 0
 
     def on(self, event_input: Input, carry_out: int = 1000) -> None:
-        """`carry_out`: the supervisor is killed after so many effects."""
+        """Passes the input to the fleet and carries out its effects, at most `carry_out` of them.
+
+        Fewer effects than returned are carried out if the supervisor is killed in between.
+        """
         held = self.held()
         todo = self.fleet.on(event_input, self.now)
         if isinstance(event_input, Release):
@@ -142,13 +148,13 @@
         self.report_observations()
 
     def restart_supervisor(self) -> None:
-        """All that is left of it is what it saved."""
+        """Replaces the supervisor by a new one, which has only the saved state."""
         state = msgspec.json.decode(msgspec.json.encode(self.fleet.state), type=State)
         self.fleet = Fleet(self.options, state, lambda: 0.5)
         self.on(SupervisorStarted(frozenset(self.running), dict(self.answering)))
 
     def run_steadily(self, seconds: int) -> None:
-        """Everything that starts gets ready, everything that is told to stop does."""
+        """Lets time pass; every process becomes ready, and every process that was sent SIGTERM exits."""
         for _ in range(seconds):
             self.now += 1.0
             for process in list(self.stop_requested):
@@ -158,7 +164,7 @@
             self.report_observations()
 
     def stopped(self) -> str | None:
-        """Why the roll was, if it was."""
+        """Returns why the roll was stopped; None if it was not."""
         roll = self.fleet.state.roll
         return roll.reason if roll and not roll.running else None
 
@@ -170,7 +176,10 @@
 
 
 def check_start_rate(machine: ModelMachine) -> None:
-    """Starts of one instance within any window, less those that a command asked for."""
+    """Checks the number of starts in any crash-loop window, and the stagger between all starts.
+
+    Starts that a command requested are allowed in addition.
+    """
     options = machine.options
     for name in NAMES:
         start_times = [at for at, of in machine.starts if of == name]
--- a/tests/rules/test_following_mutants.py
+++ b/tests/rules/test_following_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into the rules of following on purpose: the tests of these rules find each."""
+"""Mutants of the rules by which parents are followed: the tests of these rules must fail on each."""
 
 from collections.abc import Callable
 from typing import Any
--- a/tests/rules/test_group_parts.py
+++ b/tests/rules/test_group_parts.py
@@ -1,4 +1,4 @@
-"""Large groups in parts: as many as needed, alike at every relay, and nothing else split."""
+"""Tests of the division of large groups into parts, which has to be the same at every relay."""
 
 import random
 from collections import Counter
@@ -25,12 +25,12 @@
     ("members", "connections_per_server", "expected"),
     [
         (1, 6.0, 1),
-        (9, 6.0, 1),  # chance may make it look so large
-        (60, 71.0, 1),  # the largest group of a small fleet, under a server's mean
-        (101, 71.0, 1),  # 70.9 for certain
-        (102, 71.0, 8),  # 71.7
-        (353, 6.0, 256),  # 1.2 million listeners among 210 million connections at 10,240 servers
-        (353, 0.24, 1),  # so few of a server here that a count says nothing
+        (9, 6.0, 1),  # The count may exceed 6 by chance.
+        (60, 71.0, 1),  # The largest group of a small fleet is below the mean connections of a server.
+        (101, 71.0, 1),  # The count less three standard deviations is 70.9.
+        (102, 71.0, 8),  # The count less three standard deviations is 71.7.
+        (353, 6.0, 256),  # 1.2 million members among 210 million connections at 10,240 servers.
+        (353, 0.24, 1),  # With so few connections per server, a count says nothing.
         (353, 0.25, 8192),
     ],
 )
--- a/tests/rules/test_parent_choice.py
+++ b/tests/rules/test_parent_choice.py
@@ -1,4 +1,4 @@
-"""Which parent is asked, when, and how many ask one in the same moment."""
+"""Tests of the choice of a parent, its times, and the number of children that choose one at the same time."""
 
 import random
 
@@ -18,8 +18,8 @@
 )
 from glenfold.rules.source_lease import LEASE_S, SILENCE_S
 
-CALL_LIMIT_S = 1.0  # the longest that the call of a parent takes
-CHANGE_DEADLINE_S = 4.0  # a change must be, after the death of a replica
+CALL_LIMIT_S = 1.0  # A call of a parent takes at most this long.
+CHANGE_DEADLINE_S = 4.0  # A change must be in force within this time after a replica has failed.
 
 
 def parent(n: int, zone: str | None = None, region: str | None = None) -> Parent:
@@ -55,31 +55,31 @@
 
 @pytest.mark.parametrize("why", Refusal)
 def test_a_refused_parent_is_skipped_longer_each_time_within_bounds(why: Refusal) -> None:
-    parent_choice, now_s, waits = make_choice(parents=(NEAR,)), 0.0, []
+    parent_choice, now_s, delays = make_choice(parents=(NEAR,)), 0.0, []
     for _ in range(40):
         parent_choice.record_refusal(NEAR, why, now_s)
         assert parent_choice.available(now_s) == []
-        waits.append(parent_choice.next_available_s(now_s) - now_s)
+        delays.append(parent_choice.next_available_s(now_s) - now_s)
         now_s = parent_choice.next_available_s(now_s)
         assert parent_choice.available(now_s) == [NEAR]
-    assert SKIP_TIMES[why].first_s / 2 <= waits[0] <= SKIP_TIMES[why].first_s
-    assert max(waits) <= SKIP_TIMES[why].max_s and min(waits[-5:]) >= SKIP_TIMES[why].max_s / 2
+    assert SKIP_TIMES[why].first_s / 2 <= delays[0] <= SKIP_TIMES[why].first_s
+    assert max(delays) <= SKIP_TIMES[why].max_s and min(delays[-5:]) >= SKIP_TIMES[why].max_s / 2
     parent_choice.mark_sound(NEAR, now_s)
     parent_choice.record_refusal(NEAR, why, now_s)
     assert parent_choice.next_available_s(now_s) - now_s <= SKIP_TIMES[why].first_s
 
 
 def test_children_that_were_refused_together_retry_at_different_times() -> None:
-    waits = []
+    delays = []
     for seed in range(250):
         parent_choice = make_choice(seed, (NEAR,))
         parent_choice.record_refusal(NEAR, Refusal.BUSY, 0.0, retry_after_s=2.0)
-        waits.append(parent_choice.next_available_s(0.0))
-    assert min(waits) >= 2.0 and max(waits) <= 3.0 and max(waits) - min(waits) > 0.9
+        delays.append(parent_choice.next_available_s(0.0))
+    assert min(delays) >= 2.0 and max(delays) <= 3.0 and max(delays) - min(delays) > 0.9
 
 
 def max_within(times: list[float], span_s: float) -> int:
-    """How many fall into the fullest span of that length."""
+    """Returns the largest number of times within any span of that length."""
     times = sorted(times)
     return max(sum(start <= at <= start + span_s for at in times) for start in times)
 
@@ -89,7 +89,7 @@
     times = [make_choice(1000 * run + child).leave_delay_s(250) for child in range(250)]
     assert max(times) + CALL_LIMIT_S <= CHANGE_DEADLINE_S
     assert max(times) + SILENCE_S + CALL_LIMIT_S <= LEASE_S
-    assert max(times) > 1.8 and max_within(times, 0.1) <= 35  # 12.5 on the average
+    assert max(times) > 1.8 and max_within(times, 0.1) <= 35  # The average is 12.5.
 
 
 def test_the_leave_spread_grows_with_the_children_up_to_its_bound() -> None:
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("run", range(5))
 def test_children_that_connected_one_after_the_other_leave_spread_out(run: int) -> None:
-    """Each knows how many were there when it came."""
+    """Each child knows only the number of children that there were when it connected."""
     times = [make_choice(1000 * run + child).leave_delay_s(child + 1) for child in range(250)]
     assert max(times) <= MAX_LEAVE_SPREAD_S and max_within(times, 0.1) <= 50
 
@@ -133,7 +133,7 @@
     parent_choice.record_refusal(NEAR, Refusal.LOOP, 0.0)
     parent_choice.replace((NEAR, NEAR_TOO))
     assert parent_choice.available(0.0) == [NEAR_TOO]
-    parent_choice.record_refusal(FAR, Refusal.LOOP, 0.0)  # its last call ends after the move
+    parent_choice.record_refusal(FAR, Refusal.LOOP, 0.0)  # The last call of a removed parent may end later.
     assert not parent_choice.mark_sound(FAR, 0.0) and parent_choice.available(99.0) != []
 
 
--- a/tests/rules/test_replication_admission.py
+++ b/tests/rules/test_replication_admission.py
@@ -1,4 +1,4 @@
-"""Whole lists at a bounded rate, and those who wait spread over the time that they all need."""
+"""Tests of the admission of whole lists at a bounded rate, and of the spread of the rejected requests."""
 
 import random
 
@@ -8,7 +8,7 @@
 from glenfold.rules.replication_admission import MIN_RETRY_AFTER_S, WholeListAdmission
 
 SIZE = 100_000
-RATE = 1_000_000.0  # ten lists a second, and as many at once
+RATE = 1_000_000.0  # The rate admits ten lists a second, and ten at once.
 
 
 def make_admission(at_once: int = 1000, children: int = 4000, seed: int = 1) -> WholeListAdmission:
@@ -47,12 +47,12 @@
 
 def test_rejected_children_are_spread_over_the_time_that_all_of_them_need():
     admission = make_admission()
-    waits = [admission.retry_after_s(0.0, SIZE) for _ in range(3400)]
-    assert all(wait >= MIN_RETRY_AFTER_S for wait in waits)
-    assert 300 <= max(waits) <= 341  # 3,400 lists at ten a second
-    assert len(set(waits)) > 250
-    most = max(waits.count(wait) for wait in set(waits))
-    assert most < 3400 / 20  # no second has more than a small part of them
+    delays = [admission.retry_after_s(0.0, SIZE) for _ in range(3400)]
+    assert all(delay >= MIN_RETRY_AFTER_S for delay in delays)
+    assert 300 <= max(delays) <= 341  # 3,400 lists at ten a second take 340 s.
+    assert len(set(delays)) > 250
+    max_count = max(delays.count(delay) for delay in set(delays))
+    assert max_count < 3400 / 20  # No second has more than a small part of the retries.
 
 
 def test_replicas_spread_the_same_children_differently():
@@ -76,8 +76,7 @@
 
 
 def test_a_burst_of_returning_children_is_served_in_twice_the_time_it_needs():
-    """3,400 children that come back when they are told to: all have their list within twice the time that
-    the rate needs for them."""
+    """3,400 children that retry after the delay given all have their list within twice the minimum time."""
     admission = make_admission()
     due = dict.fromkeys(range(3400), 0.0)
     now_s = 0.0
--- a/tests/rules/test_replication_history.py
+++ b/tests/rules/test_replication_history.py
@@ -1,11 +1,11 @@
-"""The history of a list: bounded, resumed from, encoded once for all, and ended by another incarnation."""
+"""Tests of the history of a list: its bounds, resumed watches, shared encoding, and new incarnations."""
 
 import json
 import random
 from dataclasses import replace
 
 import pytest
-from rules.listed import Child, change, lines, server, whole
+from rules.list_documents import Child, change, decode_lines, server, whole
 
 from glenfold.rules.replication import ListDocument, Position
 from glenfold.rules.replication_history import FutureRevision, PastRevision, RevisionHistory
@@ -25,7 +25,7 @@
 def missed_revisions(history: RevisionHistory, revision: int, incarnation: int | None = None) -> list[int]:
     chunks, end = history.read(history.index_after(revision, incarnation), MAX_BYTES)
     assert end == history.end_index
-    return [line["seq"] for line in lines(chunks)]
+    return [line["seq"] for line in decode_lines(chunks)]
 
 
 def test_a_watch_resumes_after_its_revision_even_if_revisions_are_skipped():
@@ -59,7 +59,7 @@
     with pytest.raises(PastRevision):
         history.index_after(39)
     with pytest.raises(PastRevision):
-        history.read(39, MAX_BYTES)  # a watcher that fell behind
+        history.read(39, MAX_BYTES)  # The watch fell behind.
 
 
 def test_the_history_is_bounded_by_bytes_even_if_one_change_is_too_large():
@@ -89,7 +89,7 @@
     while index < history.end_index:
         chunks, index = history.read(index, 3 * size)
         assert len(chunks) <= 3 * size
-        read += len(lines(chunks))
+        read += len(decode_lines(chunks))
     assert read == 19
 
 
@@ -117,7 +117,7 @@
 def test_a_whole_list_of_the_same_incarnation_is_a_change_for_watches():
     history = make_history(whole(1, 1, 2, 3), whole(5, 2, 3, 4))
     chunks, _ = history.read(history.index_after(1), MAX_BYTES)
-    assert lines(chunks) == [{"seq": 5, "whole": False, "hosts": [server(4), server(1, "terminated")]}]
+    assert decode_lines(chunks) == [{"seq": 5, "whole": False, "hosts": [server(4), server(1, "terminated")]}]
     assert json.loads(history.whole()) == {
         "seq": 5,
         "whole": True,
@@ -143,13 +143,15 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_children_that_resume_at_any_revision_have_the_list_of_the_source(seed):
-    """Random lists and changes, a child that always watches, and one that is cut and resumes by its revision
-    or by a whole list."""
+    """Random lists and changes reach a child that always watches, and one that is repeatedly disconnected.
+
+    The second child resumes by its revision or by a whole list.
+    """
     rng = random.Random(seed)
     history, truth = make_history(whole(0, 1), changes=5), {"s-1": server(1)}
     steady, cut = Child(), Child()
     for child in (steady, cut):
-        child.take(json.loads(history.whole()))
+        child.apply(json.loads(history.whole()))
     index, revision = history.end_index, 0
     for _ in range(60):
         revision += rng.randint(1, 3)
@@ -163,24 +165,24 @@
             truth.pop(left["host"], None)
             history.add(change(revision, *entries.values(), left))
         chunks, index = history.read(index, MAX_BYTES)
-        for line in lines(chunks):
-            steady.take(line)
+        for line in decode_lines(chunks):
+            steady.apply(line)
         if rng.random() < 0.3:
             try:
                 chunks, _ = history.read(history.index_after(cut.revision), MAX_BYTES)
-                documents = lines(chunks)
+                documents = decode_lines(chunks)
             except PastRevision:
                 documents = [json.loads(history.whole())]
             for document in documents:
-                cut.take(document)
+                cut.apply(document)
             assert cut.servers == truth
         assert steady.servers == truth and steady.revision == revision
 
 
 def test_a_list_that_restarts_the_history_is_accepted_and_all_watches_are_past():
     history = make_history(whole(3, 1), change(4), change(5))
-    restarts_history = replace(whole(2, 7), restarts_history=True)
-    history.add(restarts_history)
+    restart = replace(whole(2, 7), restarts_history=True)
+    history.add(restart)
     assert history.position == Position(0, 2) and json.loads(history.whole())["seq"] == 2
     for index in range(history.end_index):
         with pytest.raises(PastRevision):
@@ -188,7 +190,7 @@
     with pytest.raises(FutureRevision):
         history.index_after(5, 0)
     history.add(change(3))
-    for revision in (2, 3):  # as likely of the history before
+    for revision in (2, 3):  # These may also be revisions of the earlier history.
         with pytest.raises(PastRevision):
             history.index_after(revision, 0)
     history.add(change(6))
@@ -209,7 +211,7 @@
     ]
     with pytest.raises(PastRevision):
         history.index_after(4)
-    assert history.index_after(9) == index  # open watches go on where they were
+    assert history.index_after(9) == index  # Open watches continue at the same index.
     history.add(change(11))
     assert missed_revisions(history, 10) == [11]
 
@@ -228,8 +230,8 @@
     "since, changes",
     [
         (5, []),
-        (5, [change(6), change(8)]),  # they end before
-        (5, [change(6), change(10)]),  # they go beyond
+        (5, [change(6), change(8)]),  # The changes end before the first list.
+        (5, [change(6), change(10)]),  # The changes end after the first list.
         (5, [change(8), change(6), change(9)]),
         (8, [change(6), change(9)]),
         (5, [whole(6, 1), change(9)]),
--- a/tests/rules/test_replication_http.py
+++ b/tests/rules/test_replication_http.py
@@ -1,4 +1,4 @@
-"""Requests to a replica, and what its answers tell of the list."""
+"""Tests of the requests to a replica, and of the header fields of its responses."""
 
 from http import HTTPStatus
 
--- a/tests/rules/test_replication_lease.py
+++ b/tests/rules/test_replication_lease.py
@@ -1,4 +1,4 @@
-"""Renewals: passed on as the source made them, never made up."""
+"""Tests that a replica passes on every renewal of its source, and sends none without one."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 def test_the_renewal_that_came_with_a_change_needs_no_empty_line_unless_it_is_the_first():
     lease = Lease()
-    lease.record_line(10.0)  # of a parent that was not renewed itself
+    lease.record_line(10.0)  # The parent that sent this change was not renewed itself.
     lease.renew(10.01, 10.01)
     assert lease.take_renewal(10.0 + MIN_LINE_INTERVAL_S)
     lease.record_line(12.0)
@@ -76,8 +76,10 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_children_are_renewed_at_the_interval_of_the_source_and_never_without_it(seed):
-    """A source that speaks at least every 2 s through one or two parents, and then no more: no gap between
-    lines is over 2.5 s while it speaks, and no line is without a renewal of its own."""
+    """The source renews at least every 2 s through one or two parents, and then stops.
+
+    No gap between lines is over 2.5 s while the source renews, and each line has a renewal of its own.
+    """
     rng = random.Random(seed)
     renewals = sorted(
         start + 2.0 * n + rng.uniform(0.0, 0.05) for start in (0.0, rng.uniform(0, 2)) for n in range(50)
--- a/tests/rules/test_snapshot_form.py
+++ b/tests/rules/test_snapshot_form.py
@@ -1,4 +1,4 @@
-"""Files that are not whole, not this relay's or not of this form are refused."""
+"""Tests that snapshots restore the state, and that incomplete, foreign or invalid files are refused."""
 
 import random
 from pathlib import Path
@@ -123,7 +123,7 @@
 def test_a_list_with_a_lower_version_keeps_the_version_in_which_a_server_left(
     known_destinations: DestinationSet, tmp_path: Path
 ) -> None:
-    known_destinations.read(whole(entry("s-2"), seq=3))  # from an agent that lags
+    known_destinations.read(whole(entry("s-2"), seq=3))  # The list comes from an agent that lags.
     snapshot = decode(snapshot_file(known_destinations), OWNER)
     for destinations in (known_destinations, again := DestinationSet(relaying.config(tmp_path).names)):
         if destinations is again:
--- a/tests/rules/test_source_lease.py
+++ b/tests/rules/test_source_lease.py
@@ -1,4 +1,4 @@
-"""How long what is known may be taken as current, and what a parent's header says of it."""
+"""Tests of the lease on the known list, and of the header fields of a parent."""
 
 import math
 
@@ -12,7 +12,7 @@
     lease = SourceLease()
     assert not lease.holds(0.0) and lease.age_s(0.0) == math.inf
     assert lease.renew(10.0) and lease.holds(10.0 + LEASE_S) and not lease.holds(10.1 + LEASE_S)
-    assert not lease.renew(9.0) and not lease.renew(10.0)  # told late, by another parent
+    assert not lease.renew(9.0) and not lease.renew(10.0)  # Another parent reports earlier renewals.
     assert lease.age_s(13.0) == 3.0
 
 
--- a/tests/rules/test_succession.py
+++ b/tests/rules/test_succession.py
@@ -1,4 +1,4 @@
-"""Which lists and changes are taken, whoever passes them on, in whatever order."""
+"""Tests of which lists and changes are accepted, from any parent and in any order."""
 
 from typing import Any
 
@@ -53,7 +53,7 @@
 
 
 def test_later_changes_are_accepted_and_earlier_ones_are_repeated() -> None:
-    succession = make_succession(whole(41), change(41, 42), change(42, 47))  # revisions may skip
+    succession = make_succession(whole(41), change(41, 42), change(42, 47))  # Revisions may be skipped.
     assert succession.judge(change(42, 47)) is Verdict.REPEATED
     assert succession.judge(change(41, 44)) is Verdict.REPEATED
     assert succession.judge(whole(47)) is Verdict.REPEATED
@@ -97,7 +97,7 @@
     assert succession.needs_whole_list(Origin(B, 2), gone=True)
     assert not succession.needs_whole_list(
         Origin(B, 2), gone=False
-    )  # the watch itself begins with it, if it is sound
+    )  # A watch of a later incarnation begins with the list.
     assert succession.judge(change(41, 42, incarnation=2, at=B)) is Verdict.INCOMPLETE
     assert succession.needs_whole_list(Origin(B, 2), gone=False)
 
@@ -151,11 +151,15 @@
     succession.trust(B)
     assert not succession.is_behind(Origin(B, 0), gone=True) and succession.is_behind(Origin(A, 0), gone=True)
     assert succession.needs_whole_list(Origin(B, 0), gone=False)
-    assert succession.judge(whole(7, host("s-1"), incarnation=0)) is Verdict.BEHIND  # it is another's
+    assert (
+        succession.judge(whole(7, host("s-1"), incarnation=0)) is Verdict.BEHIND
+    )  # Parent A is not trusted.
     assert succession.judge(change(7, 8, incarnation=0, at=B)) is Verdict.BEHIND
     taken = succession.judge(whole(7, host("s-1"), incarnation=0, at=B))
     assert taken == ListDocument(Position(0, 7), True, (host("s-1", DRAINING),), restarts_history=True)
-    assert succession.judge(whole(6, incarnation=0, at=B)) is Verdict.BEHIND  # once only
+    assert (
+        succession.judge(whole(6, incarnation=0, at=B)) is Verdict.BEHIND
+    )  # B was trusted for one list only.
     assert isinstance(succession.judge(change(7, 8, incarnation=0, at=B)), ListDocument)
 
 
@@ -174,7 +178,7 @@
     again = succession.judge(change(3, 4, host("s-1", born_ms=6), incarnation=2))
     assert isinstance(again, ListDocument) and again.entries[0]["health"] == READY
     later = succession.judge(whole(5, host("s-1", born_ms=5), incarnation=3))
-    assert isinstance(later, ListDocument) and later.entries[0]["health"] == READY  # it had come back
+    assert isinstance(later, ListDocument) and later.entries[0]["health"] == READY  # The server had returned.
 
 
 def test_the_source_may_revert_a_drain_within_a_history() -> None:
@@ -206,7 +210,7 @@
 
 
 class SourceModel:
-    """A source with its history, and who reads it at whatever revision: what any parent may send."""
+    """A source with its history, from which a parent may send the documents of any revision."""
 
     def __init__(self) -> None:
         self.position = Position(0, 10)
@@ -228,7 +232,7 @@
         self.states[self.position] = state
 
     def restart_history(self, position: Position) -> None:
-        """From what it knew there: it has lost what came after, and counts anew."""
+        """Restarts the source with the state of that position and a new count of revisions."""
         state = self.states[position]
         self.position = Position(self.position.incarnation + 1, 1)
         self.states[self.position] = state
@@ -244,9 +248,8 @@
         return change(before.revision, position.revision, *entries, incarnation=position.incarnation, at=at)
 
 
-POSITIONS_BACK = st.one_of(
-    st.just(0), st.integers(0, 9)
-)  # positions of the history, counted back from its end
+# Positions of the history, counted back from its end.
+POSITIONS_BACK = st.one_of(st.just(0), st.integers(0, 9))
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("move"), st.sampled_from(HOSTS), st.sampled_from([DRAINING, GONE, "restart"])),
@@ -267,11 +270,11 @@
 
 def check_history(steps: list[tuple[Any, Any, Any]], at: tuple[str, int]) -> None:
     source, succession = SourceModel(), Succession()
-    seen: dict[str, dict[str, Any]] = {}  # as a child that was told all that was taken
-    left: dict[str, tuple[int, int]] = {}  # of each: the revision it left in, and the start it left after
+    seen: dict[str, dict[str, Any]] = {}  # The list of a child that was sent every accepted document.
+    left: dict[str, tuple[int, int]] = {}  # Revision of its departure and last start, by server.
     last = Position(-1, 0)
     for kind, first, second in steps:
-        positions = list(reversed(source.states))  # the latest first
+        positions = list(reversed(source.states))  # The latest position comes first.
         if kind == "move":
             source.move(first, second)
             continue
@@ -310,7 +313,7 @@
     seen: dict[str, dict[str, Any]],
     left: dict[str, tuple[int, int]],
 ) -> None:
-    """What a child was told of it, against what the source says and whether it has left before."""
+    """Checks a child's entry of the server against the source's, and whether the server has left before."""
     if name not in seen:
         return
     born_ms = truth[name]["born_ms"]
