--- a/glenfold/daemon/supervisor.py
+++ b/glenfold/daemon/supervisor.py
@@ -320,7 +320,7 @@
 
     def _take_look(self, name: str, process: str) -> None:
         status = self._looks[name].status
-        self._window.read(
+        self._window.add_counters(
             time.monotonic(), name, process, status.get("counters", {}), started_here=process in self._started
         )
         self.on(ProcessAnswered(name, process, status.get("state") in ("ready", "reloading")))
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -117,7 +117,7 @@
 
 async def call(parent: Parent, revision: int | None, incarnation: int | None) -> Call:
     """A watch from that revision, None: the whole list. `incarnation`: None if it is not known. Raises
-    OSError, h11.ProtocolError, trio.TooSlowError, trio.BrokenResourceError and BadGreeting."""
+    OSError, h11.ProtocolError, trio.TooSlowError, trio.BrokenResourceError and ParentHeaderError."""
     target = PATH if revision is None else f"{PATH}?watch=1&from={revision}"
     fields = [] if incarnation is None else [(INCARNATION_FIELD, str(incarnation))]
     with trio.fail_at(trio.current_time() + ANSWER_S):
--- a/glenfold/replica/requests.py
+++ b/glenfold/replica/requests.py
@@ -19,7 +19,7 @@
         self._ahead = b""  # read behind the request before
 
     async def next(self) -> h11.Request | None:
-        """None: the child has gone. Raises Refusal for what is no request, or one with a body."""
+        """None: the child has gone. Raises RequestError for what is no request, or one with a body."""
         data = self._ahead or await self._sock.recv(READ_BYTES)
         if not data:
             return None
--- a/glenfold/rules/fleet/lifecycle.py
+++ b/glenfold/rules/fleet/lifecycle.py
@@ -20,7 +20,7 @@
     # ---- start and readiness ----
 
     def start(self, name: str, instance: Instance, now: float) -> None:
-        """Starts the instance, which is not ready until its process says so."""
+        """Starts the instance, which is not ready until its process reports it."""
         self._context.state.last_start = now
         instance.starts += 1
         instance.process = None
--- a/glenfold/rules/replication_history.py
+++ b/glenfold/rules/replication_history.py
@@ -201,8 +201,8 @@
     def read(self, index: int, most_bytes: int) -> tuple[bytes, int]:
         """Returns the chunks from that index on, and the index after them.
 
-        There is at least one chunk if any is stored, and together they have at most `most_bytes` bytes unless
-        the first one alone is larger. Raises PastRevision.
+        The chunks have at most `most_bytes` bytes together, unless the first one alone is larger. Raises
+        PastRevision.
         """
         if index < self.first_index:
             raise PastRevision
--- a/glenfold/rules/service.py
+++ b/glenfold/rules/service.py
@@ -46,7 +46,7 @@
         self._last: dict[str, tuple[str, RequestCounts]] = {}
         self._gains: deque[tuple[float, RequestCounts]] = deque()
 
-    def read(
+    def add_counters(
         self, now: float, name: str, process: str, counters: Mapping[str, int], *, started_here: bool
     ) -> None:
         """Adds the counters that `process` of the instance `name` reported at `now`.
--- a/tests/rules/test_fleet_rules.py
+++ b/tests/rules/test_fleet_rules.py
@@ -414,9 +414,11 @@
 
 def test_the_service_window_counts_each_process_from_its_own_start_and_drops_older_counts() -> None:
     window = Window(5.0)
-    window.read(0, "a", "a1", {"answered_up": 900, "answered_busy": 100}, started_here=False)
+    window.add_counters(0, "a", "a1", {"answered_up": 900, "answered_busy": 100}, started_here=False)
     assert window.shares(0) == Shares()
-    window.read(1, "a", "a1", {"answered_up": 906, "answered_busy": 101, "left": 3}, started_here=False)
-    window.read(2, "a", "a2", {"answered_up": 10}, started_here=True)
+    window.add_counters(
+        1, "a", "a1", {"answered_up": 906, "answered_busy": 101, "left": 3}, started_here=False
+    )
+    window.add_counters(2, "a", "a2", {"answered_up": 10}, started_here=True)
     assert window.shares(2) == Shares(20, 0.05, 0.15)
     assert window.shares(6.5) == Shares(10, 0.0, 0.0)
