--- a/tests/rules/test_parent_choice.py
+++ b/tests/rules/test_parent_choice.py
@@ -114,7 +114,7 @@
         one for one in parent_choice.available(0.0) if one in (NEAR, NEAR_TOO)
     ]
     assert parent_choice.nearer(NEAR, 0.0) == []
-    assert not parent_choice.mark_sound(NEAR, 0.0) and not parent_choice.sound(NEAR, MIN_SOUND_S - 0.1)
+    assert not parent_choice.mark_sound(NEAR, 0.0) and not parent_choice.mark_sound(NEAR, MIN_SOUND_S - 0.1)
     parent_choice.record_refusal(NEAR, Refusal.UNREACHABLE, MIN_SOUND_S)
     assert not parent_choice.mark_sound(NEAR, MIN_SOUND_S + 1)
     assert parent_choice.mark_sound(NEAR, 2 * MIN_SOUND_S + 1)
