--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -18,7 +18,7 @@
 from glenfold.daemon.logfiles import LogFiles
 from glenfold.daemon.state_file import write_atomically
 from glenfold.daemon.supervisor import FileRefused, FleetSettings, SettingsSource, Supervisor, SupervisorPaths
-from glenfold.rules.fleet.terms import Terms
+from glenfold.rules.fleet.options import Options
 from glenfold.toml_file import BadFile, parse, read_text
 
 MAX_LOG_BYTES = 16 << 20  # An instance may use twice as much: its current and its previous log file.
@@ -47,10 +47,10 @@
     return file.parent.absolute() / folder / "supervisor"
 
 
-def _fleet_terms(read: operators.Operators, names: tuple[str, ...]) -> Terms:
+def _fleet_terms(read: operators.Operators, names: tuple[str, ...]) -> Options:
     fleet = msgspec.structs.asdict(read.terms.fleet or Fleet(instances=1))
-    settings = {name: value for name, value in fleet.items() if name in Terms.__struct_fields__}
-    return Terms(**(settings | {"instances": names, "take_over": read.terms.restart.take_over}))
+    settings = {name: value for name, value in fleet.items() if name in Options.__struct_fields__}
+    return Options(**(settings | {"instances": names, "take_over": read.terms.restart.take_over}))
 
 
 class FleetFile:
--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -19,7 +19,7 @@
 from glenfold.daemon.snapshot_files import Files, LockedElsewhere, Store
 from glenfold.destinations import BadList
 from glenfold.rules.history import History
-from glenfold.rules.snapshots import Owner, Pace, Refused, Snapshot, TooLarge
+from glenfold.rules.snapshots import Owner, Snapshot, SnapshotRefused, TooLarge, WriteSchedule
 from linnetspread import interface
 
 READ_TIMEOUT_S = 2.0  # Limits the read at the start.
@@ -60,7 +60,9 @@
         self.options = options
         self._files = files or Files()
         self._wall_clock = wall_clock
-        self._pace = Pace(options.every_s, max(options.every_s, options.max_age_s / REFRESHES_PER_MAX_AGE))
+        self._pace = WriteSchedule(
+            options.every_s, max(options.every_s, options.max_age_s / REFRESHES_PER_MAX_AGE)
+        )
         self._history = History()
         self._wake = trio.Event()
         self._ending = False
@@ -87,20 +89,22 @@
         self._store = Store(self.options.folder, owner, self.options.max_bytes, self._files)
         relay.destinations.list_callbacks.append(self._on_list)
         process.life.watches.append(self._on_life_change)
-        found: list[Snapshot | Refused | None] = []
+        found: list[Snapshot | SnapshotRefused | None] = []
         with trio.move_on_at(trio.current_time() + READ_TIMEOUT_S) as reading:
             found = await trio.to_thread.run_sync(self._store.read, abandon_on_cancel=True)
         if reading.cancelled_caught:
-            self._refuse("", Refused("unreadable", f"the disk did not answer within {READ_TIMEOUT_S:g} s"))
+            self._refuse(
+                "", SnapshotRefused("unreadable", f"the disk did not answer within {READ_TIMEOUT_S:g} s")
+            )
         server_list = self._newest(found)
         if server_list is not None:
             relay.config = replace(relay.config, known={})
             await relay.decisions.submit(server_list)
 
-    def _newest(self, found: list[Snapshot | Refused | None]) -> interface.ServerList | None:
+    def _newest(self, found: list[Snapshot | SnapshotRefused | None]) -> interface.ServerList | None:
         readable: list[tuple[Snapshot, str]] = []
         for path, file in zip(self._store.paths, found, strict=False):
-            if isinstance(file, Refused):
+            if isinstance(file, SnapshotRefused):
                 self._refuse(path.name, file)
             elif file is not None:
                 readable.append((file, path.name))
@@ -109,11 +113,14 @@
             try:
                 snapshot.check_age(self._wall_clock(), self.options.max_age_s)
                 server_list = self._process.relay.destinations.restore(snapshot.document, snapshot.left)
-            except (Refused, BadList) as error:
-                self._refuse(name, error if isinstance(error, Refused) else Refused("damaged", str(error)))
+            except (SnapshotRefused, BadList) as error:
+                self._refuse(
+                    name,
+                    error if isinstance(error, SnapshotRefused) else SnapshotRefused("damaged", str(error)),
+                )
                 continue
             self._on_loaded(snapshot, name)
-            if len(readable) < 2 or not readable[0][0].says_as(readable[1][0]):
+            if len(readable) < 2 or not readable[0][0].has_same_content(readable[1][0]):
                 # Writes a second copy, so that one damaged file brings back no departed server.
                 self._pace.changed(urgent=False)
             return server_list
@@ -127,7 +134,7 @@
             file=name, generation=snapshot.generation, age_s=self._wall_clock() - snapshot.heard_at
         )
 
-    def _refuse(self, name: str, refused: Refused) -> None:
+    def _refuse(self, name: str, refused: SnapshotRefused) -> None:
         self._process.relay.counters.snapshots_refused += 1
         self._refused.append(refused.reason)
         events.snapshot_refused(file=name, error=refused)
@@ -135,7 +142,7 @@
     # ---- tracking changes ----
 
     def _on_list(self, server_list: interface.ServerList) -> None:
-        has_departed = self._history.heard(server_list)
+        has_departed = self._history.record(server_list)
         if server_list.kind is interface.ListKind.CACHED:
             return
         self._list_received_at = trio.current_time()
@@ -151,7 +158,7 @@
 
     def _on_life_change(self, before: Life, now: Life) -> None:
         if now in (Life.DRAINING, Life.STOPPED):
-            self._pace.hurry()
+            self._pace.mark_urgent()
             self._wake.set()
 
     def _departed_starts(self) -> dict[int, int]:
@@ -228,7 +235,7 @@
             events.snapshot_written_again(generation=self.generation)
         return True
 
-    def _failed(self, error: Exception, before: Pace) -> None:
+    def _failed(self, error: Exception, before: WriteSchedule) -> None:
         self._pace.failed(trio.current_time(), before)
         if not isinstance(error, LockedElsewhere):
             self._process.relay.counters.snapshots_failed += 1
--- a/glenfold/daemon/snapshot_files.py
+++ b/glenfold/daemon/snapshot_files.py
@@ -14,7 +14,7 @@
 
 from glenfold.destinations import DestinationState
 from glenfold.rules.history import Section
-from glenfold.rules.snapshots import Content, Owner, Refused, Snapshot, decode, encode
+from glenfold.rules.snapshots import Content, Owner, Snapshot, SnapshotRefused, decode, encode
 
 ROWS_PER_BATCH = 64  # Encoding a batch takes about 0.1 ms.
 BATCH_PAUSE_S = 0.0005  # The pause after a batch lets the event loop run.
@@ -104,21 +104,21 @@
         """The paths of the two generations."""
         return [self._path("a.snapshot"), self._path("b.snapshot")]
 
-    def read(self) -> list[Snapshot | Refused | None]:
+    def read(self) -> list[Snapshot | SnapshotRefused | None]:
         """Returns the snapshot in each path, why it was refused, or None if there is no file."""
         return [self._read(path) for path in self.paths]
 
-    def _read(self, path: Path) -> Snapshot | Refused | None:
+    def _read(self, path: Path) -> Snapshot | SnapshotRefused | None:
         try:
             data = self.files.read(path, self.max_bytes + 1)
             if data is None:
                 return None
             if len(data) > self.max_bytes:
-                return Refused("too_large", f"it is over {self.max_bytes} bytes")
+                return SnapshotRefused("too_large", f"it is over {self.max_bytes} bytes")
             return decode(data, self.owner)
         except OSError as error:
-            return Refused("unreadable", str(error))
-        except Refused as refused:
+            return SnapshotRefused("unreadable", str(error))
+        except SnapshotRefused as refused:
             return refused
 
     def save(self, heard_at: float, state: DestinationState, history: Section | None) -> int:
--- a/glenfold/daemon/supervisor.py
+++ b/glenfold/daemon/supervisor.py
@@ -27,25 +27,25 @@
 from glenfold.logs import EVENTS
 from glenfold.rules.fleet.effects import AllDown, Effect, Kill, Refuse, Reload, Replace, Start, Stop, Tell
 from glenfold.rules.fleet.fleet import Fleet
-from glenfold.rules.fleet.incidents import (
+from glenfold.rules.fleet.inputs import (
     BeginRoll,
     CallOffRoll,
     Command,
     ContinueRoll,
     Down,
-    Ended,
-    Incident,
-    NewTerms,
+    Exited,
+    Input,
+    NewOptions,
+    ProcessAnswered,
+    ProcessStarted,
     Release,
     ReloadAll,
-    Resumed,
-    Seen,
-    Served,
-    Spawned,
-    StateLost,
+    SaveFailed,
+    ServiceMeasured,
+    SupervisorStarted,
 )
+from glenfold.rules.fleet.options import Options
 from glenfold.rules.fleet.state import Phase
-from glenfold.rules.fleet.terms import Terms
 from glenfold.rules.service import Window
 
 POLL_INTERVAL_S = 0.2  # The wait between two status questions to an instance.
@@ -122,7 +122,7 @@
 class FleetSettings:
     """The fleet settings of a checked file. `controls` maps each instance's name to its control socket."""
 
-    terms: Terms
+    terms: Options
     controls: Mapping[str, Path]
     accept: Callable[[], None]
 
@@ -178,11 +178,11 @@
 
     # ---- inputs and effects ----
 
-    def on(self, event_input: Incident) -> str | None:
+    def on(self, event_input: Input) -> str | None:
         """Handles an input and performs the effects. Returns why the input was refused, or None."""
         effects = self._fleet.on(event_input, time.monotonic())
         if problem := self._save():
-            effects += self._fleet.on(StateLost(problem), time.monotonic())
+            effects += self._fleet.on(SaveFailed(problem), time.monotonic())
         refused = None
         for effect in effects:
             if isinstance(effect, Refuse):
@@ -232,11 +232,11 @@
             finally:
                 os.close(output)
         except OSError as error:
-            self.on(Ended(name, None, f"it could not be started: {error}"))
+            self.on(Exited(name, None, f"it could not be started: {error}"))
             return
         self._started_here.add(handle.process)
         self._watch(name, handle)
-        self.on(Spawned(name, handle.process))
+        self.on(ProcessStarted(name, handle.process))
 
     def _watch(self, name: str, handle: ProcessHandle) -> None:
         self._handles[handle.process] = handle
@@ -247,12 +247,12 @@
         how = await handle.wait_for_exit()
         del self._handles[handle.process], self._instance_of[handle.process]
         self._started_here.discard(handle.process)
-        self.on(Ended(name, handle.process, how))
+        self.on(Exited(name, handle.process, how))
 
     async def _run_timer(self) -> None:
         while True:
             now = time.monotonic()
-            self.on(Served(self._window.shares(now)))
+            self.on(ServiceMeasured(self._window.shares(now)))
             self._input_handled = trio.Event()
             with trio.move_on_after(min(POLL_INTERVAL_S, max(0.0, self._fleet.next_at() - now))):
                 await self._input_handled.wait()
@@ -288,7 +288,7 @@
         async with trio.open_nursery() as nursery:
             for name in self._fleet.state.instances:
                 nursery.start_soon(find, name)
-        self.on(Resumed(frozenset(self._handles), answering, same_boot))
+        self.on(SupervisorStarted(frozenset(self._handles), answering, same_boot))
 
     async def _query_status(self, name: str) -> str | None:
         """Asks for the status of an instance; returns the process that answered if it is already monitored.
@@ -344,20 +344,20 @@
 
     def _on_status(self, name: str, process: str) -> None:
         status = self._last_statuses[name].status
-        self._window.read(
+        self._window.add_counters(
             time.monotonic(),
             name,
             process,
             status.get("counters", {}),
             started_here=process in self._started_here,
         )
-        self.on(Seen(name, process, status.get("state") in ("ready", "reloading")))
+        self.on(ProcessAnswered(name, process, status.get("state") in ("ready", "reloading")))
 
     def _on_silence(self, name: str) -> None:
         instance = self._fleet.state.instances.get(name)
         if instance is not None and instance.process is not None and instance.phase is Phase.READY:
             log.silent(name=name)
-            self.on(Seen(name, instance.process, False))
+            self.on(ProcessAnswered(name, instance.process, False))
 
     # ---- commands ----
 
@@ -384,7 +384,7 @@
 
     def _run_command(self, command: Command) -> dict[str, Any]:
         # Updates the service level, as a roll is judged by the current one.
-        self.on(Served(self._window.shares(time.monotonic())))
+        self.on(ServiceMeasured(self._window.shares(time.monotonic())))
         refused = self.on(command)
         log.commanded(command=type(command).__name__, outcome=refused or "done")
         return {"refused": refused} if refused else {"done": True, "rolls": self._fleet.state.rolls}
@@ -394,7 +394,7 @@
 
         A faulty file changes nothing.
         """
-        if self._fleet.why_not(command):
+        if self._fleet.rejection_reason(command):
             return self._run_command(command)
         try:
             settings = self.settings_source.read()
@@ -404,7 +404,7 @@
             return {"refused": str(error), "file": True}
         self._window.length_s = settings.terms.window_s
         self._controls.update(settings.controls)  # Keeps removed instances, which are polled until they stop.
-        self.on(NewTerms(settings.terms))
+        self.on(NewOptions(settings.terms))
         return self._run_command(command)
 
     def reload(self) -> None:
--- a/glenfold/decisions.py
+++ b/glenfold/decisions.py
@@ -11,7 +11,7 @@
 from glenfold import events
 from glenfold.clock import Clock
 from glenfold.dispatch import Dispatch, RequestAction
-from glenfold.rules.list_changes import joined
+from glenfold.rules.list_changes import merge_changes
 from linnetspread import interface
 
 QUEUE_SIZE = 1024  # messages; senders wait while the queue is full
@@ -93,7 +93,7 @@
         """Returns the change joined with those that follow it, each within two turns of the event loop."""
         deadline = trio.current_time() + min(MAX_JOIN_S, max(MIN_JOIN_S, JOIN_FACTOR * self._list_took_s))
         while trio.current_time() < deadline and (following := await self._next_queued()) is not None:
-            both = joined(change, following) if isinstance(following, interface.ServerList) else None
+            both = merge_changes(change, following) if isinstance(following, interface.ServerList) else None
             if both is None:
                 self._pending = following
                 break
--- a/glenfold/logs.py
+++ b/glenfold/logs.py
@@ -202,7 +202,7 @@
     def log(self, event: "Event[...]", fields: dict[str, Any]) -> None:
         """Logs an event within its rate limit. Never raises."""
         now = self._now()
-        left_out = event.rate.passes(now)
+        left_out = event.rate.allow(now)
         if left_out is None:
             return
         if left_out:
@@ -212,7 +212,7 @@
         except Exception:  # a value that can't be formatted must not break the code that logs it
             self.format_errors += 1
         has_room = self.writer is not None and self.writer.queued_bytes < MAX_QUEUED_BYTES // 2
-        if self._newly_lost and has_room and lines_lost.rate.passes(now) is not None:
+        if self._newly_lost and has_room and lines_lost.rate.allow(now) is not None:
             self._report_lost()
 
     @property
@@ -252,7 +252,7 @@
     def finish(self) -> None:
         """Logs the numbers of lines left out and lost, and waits for the last lines to be written."""
         for event in EVENTS.values():
-            if left_out := event.rate.taken_out():
+            if left_out := event.rate.take_left_out():
                 events_left_out(kind=event.name, lines=left_out)
         if self.writer is not None:
             if self._newly_lost:
--- a/glenfold/net/discovery.py
+++ b/glenfold/net/discovery.py
@@ -122,7 +122,7 @@
         wait_s, busy, started_at = 0.0, False, -math.inf
         if self._destinations.has_list:  # a relay that has a list can wait for its turn
             self._version_source = self._address
-            wait_s = self._backoff.first_s(self._first_within_s)
+            wait_s = self._backoff.first_delay_s(self._first_within_s)
         while True:
             address = self._address
             with trio.CancelScope() as self._scope:
@@ -130,10 +130,10 @@
                 started_at = trio.current_time()
                 busy = await self._call()
             if self._address != address:
-                self._backoff.worked()
-                wait_s = self._backoff.first_s(CALL_SPREAD_S)
+                self._backoff.reset()
+                wait_s = self._backoff.first_delay_s(CALL_SPREAD_S)
             else:
-                wait_s = self._backoff.again_s(
+                wait_s = self._backoff.retry_delay_s(
                     busy, max(started_at, self.heard_at) + CALL_INTERVAL_S - trio.current_time()
                 )
 
@@ -192,7 +192,7 @@
                 if has_complete_line:
                     self.heard_at = trio.current_time()
                     self._version_source = address
-                    self._backoff.worked()
+                    self._backoff.reset()
             if objects.size:
                 raise BadList("a watch ended in the middle of a JSON object")
 
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -73,11 +73,11 @@
             yield event
             return
         servers = self.destinations.count
-        part = self.group_parts.take(event.group, event.key, len(self.ids), servers)
+        part = self.group_parts.add_member(event.group, event.key, len(self.ids), servers)
         try:
             yield replace(event, group=part)
         finally:
-            self.group_parts.release(event.group)
+            self.group_parts.remove_member(event.group)
 
     def limit_answers(self, deadline: float) -> None:
         """Ends the wait of all requests at `deadline`: those without an answer get a final one then."""
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -11,7 +11,7 @@
 from glenfold.config.platform import Parent
 from glenfold.destinations import BadList
 from glenfold.net.lists import MAX_LINE_BYTES, HttpExchange, ObjectReader
-from glenfold.rules.greeting import BadGreeting, Greeting, read_greeting
+from glenfold.rules.parent_header import ParentHeader, ParentHeaderError, read_parent_header
 from glenfold.rules.replication import INCARNATION_FIELD
 from glenfold.rules.succession import Origin
 
@@ -27,7 +27,7 @@
     trio.BrokenResourceError,
     trio.ClosedResourceError,
     h11.ProtocolError,
-    BadGreeting,
+    ParentHeaderError,
 )
 
 
@@ -69,7 +69,7 @@
         self.revision = revision  # that its watch goes on from; None: the whole list was asked for
         self.within_object = False  # of a watch: one has begun and not ended
         self.status = response.status_code
-        self.greeting: Greeting = read_greeting(response.headers)
+        self.greeting: ParentHeader = read_parent_header(response.headers)
         self.origin = Origin(parent.address, self.greeting.incarnation)
         self.began_at_s = trio.current_time()
         self._stream = stream
@@ -117,7 +117,7 @@
 
 async def call(parent: Parent, revision: int | None, incarnation: int | None) -> Call:
     """A watch from that revision, None: the whole list. `incarnation`: None if it is not known. Raises
-    OSError, h11.ProtocolError, trio.TooSlowError, trio.BrokenResourceError and BadGreeting."""
+    OSError, h11.ProtocolError, trio.TooSlowError, trio.BrokenResourceError and ParentHeaderError."""
     target = PATH if revision is None else f"{PATH}?watch=1&from={revision}"
     fields = [] if incarnation is None else [(INCARNATION_FIELD, str(incarnation))]
     with trio.fail_at(trio.current_time() + ANSWER_S):
--- a/glenfold/rules/snapshots.py
+++ b/glenfold/rules/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of the destination set: their form, when one is refused, and when the next is due. No I/O.
+"""Snapshots of the destination set: their format, their validation, and the schedule of their writes. No I/O.
 
-A file is one line, `glenfold-snapshot FORMAT LENGTH CHECKSUM`, and LENGTH bytes of JSON, whose BLAKE2b the
-checksum is. Its list is in discovery's form. Unless said otherwise, moments are Unix seconds.
+A file has one line, `glenfold-snapshot FORMAT LENGTH CHECKSUM`, and LENGTH bytes of JSON; the checksum is the
+BLAKE2b hash of the JSON. The list is in discovery's form. Times are in Unix seconds unless stated otherwise.
 """
 
 import hashlib
@@ -17,13 +17,13 @@
 
 FORMAT = 1
 MAGIC = b"glenfold-snapshot"
-FIRST_LINE = 80  # bytes at the most
+MAX_FIRST_LINE_BYTES = 80
 ENCODER = json.JSONEncoder(separators=(",", ":"), allow_nan=False)
-SKEW_S = 5.0  # that a clock may have been set back by
+MAX_CLOCK_SKEW_S = 5.0  # A snapshot is accepted if the clock was set back by no more than this.
 
 
-class Refused(Exception):
-    """A file that is not taken. `reason` is one word, for logs and counts."""
+class SnapshotRefused(Exception):
+    """Raised for a file that is not accepted. `reason` is one word, for logs and counters."""
 
     def __init__(self, reason: str, detail: str) -> None:
         super().__init__(f"{reason}: {detail}")
@@ -31,12 +31,12 @@
 
 
 class TooLarge(Exception):
-    """What is to be written is over the bound."""
+    """Raised when the snapshot to be written is larger than allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """Whose snapshot it is."""
+    """The fleet and the name of the relay to which a snapshot belongs."""
 
     fleet: str
     name: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """What is to be written. `heard_at`: when discovery last said that this holds."""
+    """The content of a snapshot to be written. `heard_at` is when discovery last confirmed the state."""
 
     owner: Owner
     generation: int
@@ -53,8 +53,8 @@
     history: Section | None
 
     def pieces(self) -> Iterator[bytes]:
-        """One JSON object, a row a line."""
-        history, said = (
+        """Yields the pieces of one JSON object, with each row on a line of its own."""
+        history, values = (
             self.history,
             {
                 "fleet": self.owner.fleet,
@@ -63,7 +63,7 @@
                 "heard_at": self.heard_at,
             },
         )
-        yield _dumps(said)[:-1] + b',\n"left":['
+        yield _dumps(values)[:-1] + b',\n"left":['
         yield from _rows((server, *how) for server, how in self.state.departed.items())
         if history is not None:
             yield b'],\n"history":{"format":%d,"built":%d,"rows":[' % (HISTORY_FORMAT, history.built)
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What was read. `document` and `left` are for `DestinationSet.restore`."""
+    """A snapshot that was read. `document` and `left` are the arguments of `DestinationSet.restore`."""
 
     owner: Owner
     generation: int
@@ -97,28 +97,37 @@
     document: Any
     left: Any
 
-    def says_as(self, other: "Snapshot") -> bool:
-        """Of the servers, and of who left."""
+    def has_same_content(self, other: "Snapshot") -> bool:
+        """Returns whether both snapshots have the same servers and the same departed servers."""
         return bool(self.document == other.document and self.left == other.left)
 
-    def check_age(self, now: float, most_s: float) -> None:
-        """Raises Refused."""
+    def check_age(self, now: float, max_age_s: float) -> None:
+        """Raises SnapshotRefused if the snapshot is older than `max_age_s`, or from the future."""
         age_s = now - self.heard_at
-        if age_s > most_s:
-            raise Refused("too_old", f"last heard of {age_s:.0f} s ago, over {most_s:.0f} s")
-        if age_s < -SKEW_S:
-            raise Refused("from_the_future", f"heard of {-age_s:.0f} s from now: a clock was set back")
-
-
-def encode(content: Content, most: int) -> Iterator[bytes]:
-    """The file's first line and body, and before them an empty piece for each row: whoever writes it can let
-    others have the processor in between. Raises TooLarge over `most` bytes."""
-    pieces, size = [], FIRST_LINE
+        if age_s > max_age_s:
+            raise SnapshotRefused(
+                "too_old", f"last confirmed {age_s:.0f} s ago, over the limit of {max_age_s:.0f} s"
+            )
+        if age_s < -MAX_CLOCK_SKEW_S:
+            raise SnapshotRefused(
+                "from_the_future", f"confirmed {-age_s:.0f} s in the future: a clock was set back"
+            )
+
+
+def encode(content: Content, max_bytes: int) -> Iterator[bytes]:
+    """Yields an empty piece for each row, and then the file's first line and body.
+
+    The caller can yield the processor to others after each empty piece. Raises TooLarge if the file is larger
+    than `max_bytes`.
+    """
+    pieces, size = [], MAX_FIRST_LINE_BYTES
     for piece in content.pieces():
         pieces.append(piece)
         size += len(piece)
-        if size > most:
-            raise TooLarge(f"a snapshot of {len(content.state.destinations)} servers is over {most} bytes")
+        if size > max_bytes:
+            raise TooLarge(
+                f"a snapshot of {len(content.state.destinations)} servers is over {max_bytes} bytes"
+            )
         yield b""
     body = b"".join(pieces)
     yield b"%s %d %d %s\n" % (MAGIC, FORMAT, len(body), _checksum(body))
@@ -126,35 +135,35 @@
 
 
 def decode(data: bytes, owner: Owner) -> Snapshot:
-    """Raises Refused, whatever the bytes are."""
-    line, whole, body = data.partition(b"\n")
+    """Returns the snapshot in `data`. Raises SnapshotRefused, and nothing else, for any invalid bytes."""
+    line, newline, body = data.partition(b"\n")
     words = line.split(b" ")
-    if not whole and (MAGIC.startswith(line) or words[0] == MAGIC):
-        raise Refused("torn", "its first line is not whole")
+    if not newline and (MAGIC.startswith(line) or words[0] == MAGIC):
+        raise SnapshotRefused("torn", "its first line is incomplete")
     if words[0] != MAGIC:
-        raise Refused("foreign", "it does not begin as a snapshot does")
+        raise SnapshotRefused("foreign", "it does not begin with glenfold-snapshot")
     if words[1:2] != [b"%d" % FORMAT]:
-        raise Refused("format", f"its format is {words[1:2]}, not {FORMAT}")
+        raise SnapshotRefused("format", f"its format version is {words[1:2]}, not {FORMAT}")
     if words[2:3] != [b"%d" % len(body)]:
-        raise Refused("torn", f"{len(body)} bytes follow its first line, not {words[2:3]}")
+        raise SnapshotRefused("torn", f"{len(body)} bytes follow its first line, which states {words[2:3]}")
     if words[3:] != [_checksum(body)]:
-        raise Refused("damaged", "its checksum is another")
+        raise SnapshotRefused("damaged", "its checksum does not match its content")
     return _read(body, owner)
 
 
 def _read(body: bytes, owner: Owner) -> Snapshot:
     try:
-        said = json.loads(body)
-        found = Owner(str(said["fleet"]), str(said["name"]))
+        values = json.loads(body)
+        found = Owner(str(values["fleet"]), str(values["name"]))
         snapshot = Snapshot(
-            found, int(said["generation"]), float(said["heard_at"]), said["list"], said["left"]
+            found, int(values["generation"]), float(values["heard_at"]), values["list"], values["left"]
         )
     except (KeyError, TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise Refused("damaged", f"not what a snapshot says: {error!r}") from error
+        raise SnapshotRefused("damaged", f"its content has not the form of a snapshot: {error!r}") from error
     if found != owner:
-        raise Refused("foreign", f"it is that of {found.name} in {found.fleet}")
+        raise SnapshotRefused("foreign", f"it belongs to {found.name} in {found.fleet}")
     if not math.isfinite(snapshot.heard_at):
-        raise Refused("damaged", "the moment it was heard is not finite")
+        raise SnapshotRefused("damaged", "its heard_at is not finite")
     return snapshot
 
 
@@ -163,51 +172,59 @@
 
 
 @dataclass(slots=True)
-class Pace:
-    """When the next snapshot is due. Moments are on one clock, in seconds.
+class WriteSchedule:
+    """The schedule of snapshot writes. Times are in seconds on one clock.
 
-    After a server has left, a snapshot is written at once and twice: as there are two generations, one
-    damaged file alone can't bring that server back then. All else waits until `every_s` after the last write
-    began. What still holds is written again each `refresh_s`, or it would seem old. At most half of the time
-    goes into writing, however slow the disk is and however many servers leave."""
+    After a server has left, a snapshot is written at once, and twice: with two generations on disk, a single
+    damaged file then can't bring that server back. Other changes wait until `every_s` after the start of the
+    last write. An unchanged state that is still confirmed is written again every `refresh_s`, since it would
+    otherwise seem old. At most half of the time is spent on writing, however slow the disk is and however
+    many servers leave.
+    """
 
     every_s: float
     refresh_s: float
-    copies: int = 0  # to be written
-    urgent: bool = False  # since a server left
-    began_at: float = -math.inf  # the last write
-    not_before: float = -math.inf
+    copies: int = 0  # Number of copies still to be written.
+    urgent: bool = False  # A server has left, so the copies are due at once.
+    started_at: float = -math.inf  # Start of the last write.
+    not_before: float = -math.inf  # Earliest start of the next write.
 
     def changed(self, urgent: bool) -> None:
+        """Schedules a write after a change, at once and twice if the change is urgent."""
         self.urgent |= urgent
         self.copies = 2 if self.urgent else 1
 
     def due_at(self) -> float:
+        """Returns the time of the next write; infinity if none is due."""
         if not self.copies:
-            return self.began_at + self.refresh_s if self.began_at > -math.inf else math.inf
-        return max(self.not_before, -math.inf if self.urgent else self.began_at + self.every_s)
+            return self.started_at + self.refresh_s if self.started_at > -math.inf else math.inf
+        return max(self.not_before, -math.inf if self.urgent else self.started_at + self.every_s)
 
-    def hurry(self) -> None:
-        """What is to be written is due."""
+    def mark_urgent(self) -> None:
+        """Makes the copies still to be written due at once."""
         self.urgent = self.copies > 0
 
-    def begin(self, now: float) -> "Pace":
-        """What changes from now on is not in the snapshot written now. Returns what `failed` wants."""
+    def begin(self, now: float) -> "WriteSchedule":
+        """Records the start of a write, and returns the schedule before it, for `failed`.
+
+        Changes from now on are not in the snapshot that is being written.
+        """
         before = replace(self)
-        self.began_at = now
+        self.started_at = now
         self.copies = max(0, self.copies - 1)
         self.urgent = self.urgent and self.copies > 0
         return before
 
     def ended(self, now: float) -> None:
-        self.not_before = 2 * now - self.began_at
+        """Records the end of a write."""
+        self.not_before = 2 * now - self.started_at
 
     def skipped(self, now: float) -> None:
-        """What is written can't be refreshed, as nothing was heard since."""
-        self.began_at = now
+        """Records that a refresh was skipped, because discovery has not confirmed the state since."""
+        self.started_at = now
 
-    def failed(self, now: float, before: "Pace") -> None:
-        """All that was to be written still is."""
+    def failed(self, now: float, before: "WriteSchedule") -> None:
+        """Records a failed write: all copies of the state `before` it are still to be written."""
         self.urgent |= before.urgent
         self.copies = max(self.copies, before.copies, 1)
-        self.not_before = max(now + self.every_s, 2 * now - self.began_at)
+        self.not_before = max(now + self.every_s, 2 * now - self.started_at)
--- a/tests/daemon/supervising.py
+++ b/tests/daemon/supervising.py
@@ -16,7 +16,7 @@
 from glenfold.daemon.ask import NoAnswer, ask
 from glenfold.daemon.logfiles import LogFiles
 from glenfold.daemon.supervisor import FleetSettings, SettingsSource, Supervisor, SupervisorPaths
-from glenfold.rules.fleet.terms import Terms
+from glenfold.rules.fleet.options import Options
 
 supervisor_module.POLL_INTERVAL_S = 0.05
 FAKE_INSTANCE = str(Path(__file__).with_name("fake_instance.py"))
@@ -33,7 +33,7 @@
 
 def read_settings(folder: Path, names: tuple[str, ...], terms: dict[str, Any]) -> FleetSettings:
     return FleetSettings(
-        Terms(names, **(FAST_SETTINGS | terms)),
+        Options(names, **(FAST_SETTINGS | terms)),
         {name: folder / f"{name}.control" for name in names},
         lambda: None,
     )
--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -20,7 +20,7 @@
 from glenfold.daemon.snapshot import LAST_WRITE_TIMEOUT_S, SLOW_WRITE_S, SnapshotOptions, Snapshots
 from glenfold.daemon.snapshot_files import Files, LockedElsewhere, Store
 from glenfold.destinations import DestinationSet, server_number
-from glenfold.rules.snapshots import Owner, Refused, Snapshot
+from glenfold.rules.snapshots import Owner, Snapshot, SnapshotRefused
 
 Act = Callable[[Process, Snapshots], Awaitable[None]]
 MockClock = trio.testing.MockClock  # It only advances when a test calls `advance_clock`.
@@ -138,9 +138,9 @@
     assert all(isinstance(found, Snapshot) for found in store.read())
     store.paths[0].unlink()
     store.paths[0].mkdir()
-    assert isinstance(found := store.read()[0], Refused) and found.reason == "unreadable"
+    assert isinstance(found := store.read()[0], SnapshotRefused) and found.reason == "unreadable"
     small = Store(tmp_path, store.owner, 100).read()[1]
-    assert isinstance(small, Refused) and small.reason == "too_large"
+    assert isinstance(small, SnapshotRefused) and small.reason == "too_large"
 
 
 def test_lists_are_written_at_an_interval_and_drains_at_once(tmp_path: Path) -> None:
--- a/tests/test_joined_changes.py
+++ b/tests/test_joined_changes.py
@@ -9,7 +9,7 @@
 
 from glenfold.clock import Clock
 from glenfold.decisions import MAX_JOIN_S, MIN_JOIN_S, Closed, Decisions, Message
-from glenfold.rules.list_changes import joined
+from glenfold.rules.list_changes import merge_changes
 from linnetspread import interface
 
 READY, DRAINING, GONE = (
@@ -38,7 +38,7 @@
 @given(LINES, LINES)
 def test_two_joined_changes_hold_the_last_entry_of_each_server(first, second) -> None:
     one, other = change(1, *first), change(2, *second)
-    both = joined(one, other)
+    both = merge_changes(one, other)
     assert both is not None
     assert both.version == 2
     assert {line.server: line for line in both.servers} == last_entries(one, other)
@@ -47,9 +47,9 @@
 
 def test_a_whole_list_and_a_failure_are_not_joined() -> None:
     failure = interface.ServerList(interface.ListKind.FAILED)
-    assert joined(change(1), full_list(2)) is None
-    assert joined(full_list(1), change(2)) is None
-    assert joined(change(1), failure) is None
+    assert merge_changes(change(1), full_list(2)) is None
+    assert merge_changes(full_list(1), change(2)) is None
+    assert merge_changes(change(1), failure) is None
 
 
 class Recorder:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -37,7 +37,7 @@
     limit, now, passed, reported = RateLimit(per_s, burst), 0.0, [], 0
     for gap in gaps:
         now += gap
-        if (left_out := limit.passes(now)) is not None:
+        if (left_out := limit.allow(now)) is not None:
             passed.append(now)
             reported += left_out
     for first, start in enumerate(passed):
@@ -49,7 +49,7 @@
 @given(st.floats(0.01, 50), st.integers(1, 20), st.integers(0, 30))
 def test_a_full_burst_passes_after_a_long_pause(per_s, burst, before):
     limit, pause = RateLimit(per_s, burst), burst / per_s * 1.001
-    passes = [limit.passes(now) is not None for now in [0.0] * before + [pause] * (burst + 1)]
+    passes = [limit.allow(now) is not None for now in [0.0] * before + [pause] * (burst + 1)]
     assert passes[before:] == [True] * burst + [False]
 
 
