--- a/glenfold/rules/fleet/fleet.py
+++ b/glenfold/rules/fleet/fleet.py
@@ -30,7 +30,7 @@
 from glenfold.rules.fleet.state import Instance, Phase, State
 
 RELOAD_DURING_ROLL = (
-    "a roll is running, and each instance that it starts uses the file as it was when"
+    "a roll is running, and each instance that it starts goes by the file as it was when"
     " the roll began; wait for its end or call it off"
 )
 
--- a/glenfold/rules/fleet/recovery.py
+++ b/glenfold/rules/fleet/recovery.py
@@ -35,7 +35,7 @@
         """
         state = self._context.state
         state.last_start = NEVER
-        self._roll.stop("the machine was rebooted")
+        self._roll.stop("the machine was started anew")
         for instance in state.instances.values():
             instance.forget_exits()
             instance.clear_successor()
@@ -75,7 +75,7 @@
         if instance.phase is Phase.HELD:
             return
         if instance.process is not None:
-            exited = Exited(name, instance.process, "while no supervisor was running")
+            exited = Exited(name, instance.process, "while no supervisor looked on")
             self._lifecycle.on_exited(exited, now)
         elif self._context.is_wanted(name):
             due_at = max(instance.due_at, now) if instance.phase is Phase.DUE else now
--- a/glenfold/rules/fleet/roll.py
+++ b/glenfold/rules/fleet/roll.py
@@ -25,7 +25,7 @@
             stopped = "a roll was stopped; continue it or call it off first"
             return "a roll is running" if roll.running else stopped
         if not 1 <= most_out < max(2, count):
-            return f"{most_out} of {count} instances out of service at once would leave none, or never begin"
+            return f"{most_out} of {count} instances out at once would leave none, or never begin"
         unready = self.out_of_service()
         if len(unready) >= most_out:
             return "not ready: " + ", ".join(self._describe(name) for name in unready)
--- a/glenfold/rules/replication_http.py
+++ b/glenfold/rules/replication_http.py
@@ -56,16 +56,16 @@
 def read_request(request: h11.Request) -> WholeListRequest | WatchRequest:
     """Parses a request. Raises RequestError."""
     if request.method != b"GET":
-        raise RequestError(HTTPStatus.METHOD_NOT_ALLOWED, "the method must be GET")
+        raise RequestError(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
     if request.http_version != b"1.1":
-        raise RequestError(HTTPStatus.BAD_REQUEST, "the version must be HTTP/1.1")
+        raise RequestError(HTTPStatus.BAD_REQUEST, "HTTP/1.1 only")
     try:
         target = urlsplit(request.target.decode("ascii"))
         query = parse_qs(target.query, keep_blank_values=True, max_num_fields=8)
     except ValueError as error:
         raise RequestError(HTTPStatus.BAD_REQUEST, f"target: {error}") from error
     if target.path != PATH:
-        raise RequestError(HTTPStatus.NOT_FOUND, f"the only path is {PATH}")
+        raise RequestError(HTTPStatus.NOT_FOUND, f"there is {PATH} only")
     if query.get("watch", ["0"]) == ["0"]:
         return WholeListRequest()
     if query["watch"] != ["1"]:
--- a/tests/rules/test_fleet_rules.py
+++ b/tests/rules/test_fleet_rules.py
@@ -408,7 +408,7 @@
 def test_after_a_reboot_a_roll_is_stopped_and_saved_times_are_ignored() -> None:
     machine = rolling_machine()
     machine.fleet.on(SupervisorStarted(frozenset(), {}, same_boot=False), 5.0)
-    assert machine.stopped() == "the machine was rebooted"
+    assert machine.stopped() == "the machine was started anew"
     assert all(one.starts == 2 for one in machine.fleet.state.instances.values())
 
 
