--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -1,4 +1,4 @@
-"""The clients' side: first lines in, one request each, and its final answer out."""
+"""The client side: accepts connections, reads a first line from each, and sends the final answer to it."""
 
 import errno
 import math
@@ -11,58 +11,64 @@
 
 import trio
 
-from glenfold import events, lines
-from glenfold import request as r
+from glenfold import events, lines, request
 from glenfold.clock import SECOND_US, Clock
 from glenfold.config import Config, Room
 from glenfold.counters import Counters
 from glenfold.decisions import Closed, Decisions, Taken
 from glenfold.destinations import DestinationSet
-from glenfold.net.outbound import OutboundCall, Unsent
-from glenfold.net.passing import Passage
-from glenfold.net.sockets import SocketType, finish, hung_up, receive_now, send, unread, without_delay
-from linnetspread import interface as i
+from glenfold.net.outbound import CallFailure, OutboundCall
+from glenfold.net.passing import StandingConnection
+from glenfold.net.sockets import SocketType, hung_up, receive_now, send, send_fin, unread_bytes, without_delay
+from linnetspread import interface
 
 if TYPE_CHECKING:
-    from glenfold.rules.group_parts import GroupParts  # loaded only where it is switched on
+    from glenfold.rules.group_parts import GroupParts  # imported at run time only where the feature is on
 
-BACKLOG = 1024
-INBOX = 16  # incidents of one request
-FIRST_LINE_S = 2.0  # from the accept to a whole first line, PING included; 3 s are promised
-LOOK_S = 0.05  # between two looks for the end of a client of whom no more is read before its answer
-MOST_UNREAD = 1 << 15  # bytes of such a client: with some more the kernel takes none, nor the end behind them
-PARTING_S = 0.3  # for a client to take an answer before its connection closes
-PARTING_BYTES = 1 << 16  # read from it meanwhile: one that floods must not cost more
-OUT_OF_SOCKETS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+LISTEN_BACKLOG = 1024
+INBOX_CAPACITY = 16  # Inputs of one request that wait to be processed.
+# From the accept to a complete first line, PING included. Clients are promised 3 s.
+FIRST_LINE_TIMEOUT_S = 2.0
+HANGUP_POLL_S = 0.05  # Between checks for a hang-up of a client that is not read any more.
+# Unread bytes of a client above which a flood is assumed. With somewhat more the kernel's buffer is full, and
+# the end of the stream behind them can't be seen.
+MAX_UNREAD_BYTES = 1 << 15
+CLOSING_TIMEOUT_S = 0.3  # Time for a client to take an answer before its connection closes.
+MAX_CLOSING_BYTES = 1 << 16  # Read from the client in that time; limits the cost of a client that floods.
+OUT_OF_SOCKETS_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 @dataclass(slots=True)
 class Relay:
-    """What every inbound connection of a relay shares."""
+    """State that all inbound connections of a relay share."""
 
     config: Config
     clock: Clock
     decisions: Decisions
     destinations: DestinationSet
     counters: Counters
-    unheard: int = 0  # accepted, or being accepted, and no request yet; it may be told why it becomes none
-    unanswered: int = 0
-    ids: Counter[bytes] = field(default_factory=Counter)  # of the requests and connections open here
-    standing: dict[Passage, float] = field(default_factory=dict)  # oldest first; the worth of each
-    ready: trio.Event = field(default_factory=trio.Event)  # to go at the usual pace: PING waits for it
-    answers_end: float = math.inf  # finite once it has been told to stop
-    group_parts: "GroupParts | None" = None  # None: every group is placed as one
-    _patience: set[trio.CancelScope] = field(default_factory=set)  # of the requests without their answer
+    # Clients accepted or being accepted that have sent no request yet, or are being refused.
+    awaiting_first_line: int = 0
+    unanswered: int = 0  # requests without a final answer
+    ids: Counter[bytes] = field(default_factory=Counter)  # ids of the open requests and connections
+    # Worth of each standing connection, oldest first.
+    standing: dict[StandingConnection, float] = field(default_factory=dict)
+    ready: trio.Event = field(default_factory=trio.Event)  # set once ready for full load; PONG waits for it
+    answers_end: float = math.inf  # deadline of all answers, finite once the relay has been told to stop
+    group_parts: "GroupParts | None" = None  # None if large groups are not split into parts
+    _time_limits: set[trio.CancelScope] = field(default_factory=set)  # scopes of the unanswered requests
 
     @property
-    def owes(self) -> bool:
-        """Some client has not had its answer yet, or stands and has not been told to move."""
-        return bool(self.standing or self.unanswered or self.unheard)
+    def has_pending_clients(self) -> bool:
+        """Whether some client still waits for its answer, or is connected and has not been sent MOVE."""
+        return bool(self.standing or self.unanswered or self.awaiting_first_line)
 
     @contextmanager
-    def grouped(self, event: i.Request) -> Iterator[i.Request]:
-        """The request as the decisions are told of it: a member of a part, where its group is a large one. It
-        counts as a member of its group until the end of the block."""
+    def grouped(self, event: interface.Request) -> Iterator[interface.Request]:
+        """Yields the request for the decisions, with a large group replaced by one of its parts.
+
+        The request counts as a member of its group until the end of the block.
+        """
         if self.group_parts is None:
             yield event
             return
@@ -73,48 +79,52 @@
         finally:
             self.group_parts.release(event.group)
 
-    def end_by(self, moment: float) -> None:
-        """Who still waits by then gets a final answer, however much longer it would."""
-        self.answers_end = moment
-        for scope in self._patience:
-            scope.deadline = min(scope.deadline, moment)
+    def limit_answers(self, deadline: float) -> None:
+        """Ends the wait of all requests at `deadline`: those without an answer get a final one then."""
+        self.answers_end = deadline
+        for scope in self._time_limits:
+            scope.deadline = min(scope.deadline, deadline)
 
     @contextmanager
-    def patience(self, deadline: float) -> Iterator[None]:
-        """Of one request, for its next incident."""
+    def time_limit(self, deadline: float) -> Iterator[None]:
+        """Limits the wait of one request for its next input to `deadline` and the end of all answers."""
         with trio.move_on_at(min(deadline, self.answers_end)) as scope:
-            self._patience.add(scope)
+            self._time_limits.add(scope)
             try:
                 yield
             finally:
-                self._patience.discard(scope)
+                self._time_limits.discard(scope)
 
 
 class Inbound:
+    """Accepts clients, reads their first lines within the room of the relay, and runs their exchanges."""
+
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
         self._names = relay.config.names
         self._counters = relay.counters
-        self._most_wait_ms = max(
+        self._max_wait_ms = max(
             lines.MOST_WAIT_MS, *(kind.deadline_us // 1000 for kind in relay.config.settings.classes)
         )
-        self._waiting: dict[SocketType, trio.CancelScope] = {}  # without a whole first line, oldest first
-        self._taken = 0  # with one: two sides each
+        # Clients without a complete first line, oldest first.
+        self._waiting: dict[SocketType, trio.CancelScope] = {}
+        self._taken = 0  # clients with a complete first line; each takes two sockets
         self._refusing = 0
-        self._spare: int | None = os.open(os.devnull, os.O_RDONLY)
+        self._spare_descriptor: int | None = os.open(os.devnull, os.O_RDONLY)
         self.last_arrival = float("-inf")
 
     @property
     def _room(self) -> Room:
-        """SIGHUP may have changed it."""
+        """The current limits, which SIGHUP may change."""
         return self._relay.config.room
 
     async def serve(self, listener: SocketType, nursery: trio.Nursery) -> None:
+        """Accepts clients until cancelled or the listener is closed; each runs as a task in `nursery`."""
         while True:
             try:
                 sock, _ = await listener.accept()
             except OSError as error:
-                if error.errno in OUT_OF_SOCKETS:
+                if error.errno in OUT_OF_SOCKETS_ERRNOS:
                     await self._refuse_without_socket(listener)
                 elif error.errno == errno.EBADF:
                     raise
@@ -122,25 +132,32 @@
             self.last_arrival = trio.current_time()
             self._counters.accepted += 1
             self._make_room()
-            line_by = min(self.last_arrival + FIRST_LINE_S, self._relay.answers_end)
+            line_by = min(self.last_arrival + FIRST_LINE_TIMEOUT_S, self._relay.answers_end)
             scope = self._waiting[sock] = trio.CancelScope(deadline=line_by)
-            self._relay.unheard += 1
+            self._relay.awaiting_first_line += 1
             nursery.start_soon(self._connection, sock, scope)
 
     def _make_room(self) -> None:
-        """Clients that connect by the hundred and say nothing crowd out each other, never those that speak:
-        a usual client's line is here when it is accepted, so the oldest without one gives way."""
+        """Cancels the oldest client without a first line when too many wait.
+
+        Clients that connect in large numbers and send nothing displace only each other: the first line of a
+        normal client has arrived by the time the client is accepted.
+        """
         if len(self._waiting) >= self._room.waiting:
             self._waiting.pop(next(iter(self._waiting))).cancel()
             self._counters.crowded_out += 1
 
     async def _refuse_without_socket(self, listener: SocketType) -> None:
-        """With no descriptor left, accept fails over and over: one kept spare lets a client be told."""
-        if self._spare is not None:
-            os.close(self._spare)
-            self._spare = None  # its number may be another's by the time that there is a spare again
-        # Whoever pauses the accepting does not cut this client off, nor lose the spare.
-        with trio.move_on_at(trio.current_time() + PARTING_S, shield=True):
+        """Answers BUSY to one client when no descriptor is left.
+
+        Without a descriptor `accept` fails again and again. Closing a spare descriptor makes room to accept
+        one client and refuse it.
+        """
+        if self._spare_descriptor is not None:
+            os.close(self._spare_descriptor)
+            self._spare_descriptor = None  # its number may be reused before a new spare is opened
+        # Shielded: a pause of the listener must neither cut off this client nor lose the spare descriptor.
+        with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S, shield=True):
             try:
                 sock, _ = await listener.accept()
                 self._counters.fail_fast += 1
@@ -149,25 +166,25 @@
             except (OSError, trio.ClosedResourceError):
                 pass
         try:
-            self._spare = os.open(os.devnull, os.O_RDONLY)
+            self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
         except OSError as error:
             events.sockets_exhausted(error=error)
-            await trio.sleep_until(trio.current_time() + PARTING_S)
+            await trio.sleep_until(trio.current_time() + CLOSING_TIMEOUT_S)
 
     def _busy(self) -> bytes:
         settings = self._relay.config.settings
         return lines.busy(settings.max_retry_after_us if settings.may_retry_after else 0)
 
     async def _connection(self, sock: SocketType, scope: trio.CancelScope) -> None:
-        """One connection's fault ends that connection, and is logged."""
+        """Handles one connection to its end; an error ends only this connection and is logged."""
         try:
             try:
                 without_delay(sock)
-                exchange = await self._talk(sock, scope)
+                exchange = await self._read_request(sock, scope)
             finally:
-                self._relay.unheard -= 1
+                self._relay.awaiting_first_line -= 1
             if exchange is not None:
-                await self._exchanged(exchange)
+                await self._run_exchange(exchange)
         except OSError as error:
             events.client_broke(error=error)
         except Exception as error:
@@ -177,71 +194,77 @@
             self._waiting.pop(sock, None)
             sock.close()
 
-    async def _talk(self, sock: SocketType, scope: trio.CancelScope) -> "Exchange | None":
-        """None: the client has gone, or been told why it is no request."""
+    async def _read_request(self, sock: SocketType, scope: trio.CancelScope) -> "Exchange | None":
+        """Reads the first line; returns None if the client disconnected or was refused."""
         buffer = lines.LineBuffer()
         end = None
         try:
             with scope:
                 end = await self._first_line(sock, buffer)
             self._waiting.pop(sock, None)
-            if scope.cancelled_caught:  # its line may have come just as it was given up
+            if scope.cancelled_caught:  # the line may have arrived as the wait was cancelled
                 buffer.wrote(receive_now(sock, buffer.room()))
                 end = buffer.line_end()
             if end is None:
                 if scope.cancelled_caught:
                     self._counters.silent_clients += 1
-                    await self._say(sock, lines.FAILED)
+                    await self._send_answer(sock, lines.FAILED)
                 return None
-            exchange = self._exchange(sock, buffer, end)
+            exchange = self._make_exchange(sock, buffer, end)
         except lines.Malformed as error:
             self._waiting.pop(sock, None)
             self._counters.malformed += 1
             events.client_malformed(count=self._counters.malformed, error=error)
             more = buffer.filled > (end or 0)
-            await self._turn_away(sock, lines.FAILED, more)
+            await self._refuse(sock, lines.FAILED, more)
             return None
         if self._taken >= self._room.taken:
             self._counters.fail_fast += 1
-            await self._turn_away(sock, self._busy(), False)
+            await self._refuse(sock, self._busy(), False)
             return None
         return exchange
 
-    async def _exchanged(self, exchange: "Exchange") -> None:
+    async def _run_exchange(self, exchange: "Exchange") -> None:
         self._taken += 1
         try:
             await exchange.run()
         finally:
             self._taken -= 1
 
-    async def _turn_away(self, sock: SocketType, answer: bytes, more: bool) -> None:
-        """Closing on unread bytes resets the connection and may take the answer with it. So where there are
-        `more`, some are read, but never a flood to its end."""
-        await self._say(sock, answer)
+    async def _refuse(self, sock: SocketType, answer: bytes, more: bool) -> None:
+        """Sends the refusal `answer`; if the client has sent `more` data, also reads some of it.
+
+        Closing a socket with unread data resets the connection, which may discard the answer. The time and
+        the bytes read are limited, so that a client that floods can't hold the connection.
+        """
+        await self._send_answer(sock, answer)
         if not more or self._refusing >= self._room.refusing:
             return
         self._refusing += 1
         try:
-            finish(sock)
-            left = PARTING_BYTES
-            with trio.move_on_at(trio.current_time() + PARTING_S):
+            send_fin(sock)
+            left = MAX_CLOSING_BYTES
+            with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S):
                 while left > 0 and (data := await sock.recv(left)):
                     left -= len(data)
         finally:
             self._refusing -= 1
 
-    async def _say(self, sock: SocketType, answer: bytes) -> None:
-        """A client that reads nothing must not hold its descriptor by that."""
-        with trio.move_on_at(trio.current_time() + PARTING_S):
+    async def _send_answer(self, sock: SocketType, answer: bytes) -> None:
+        """Sends `answer` with a time limit, as a client that reads nothing must not hold its descriptor."""
+        with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S):
             await send(sock, answer)
 
     async def _first_line(self, sock: SocketType, buffer: lines.LineBuffer) -> int | None:
-        """Where it ends in the buffer; None when the client has gone without one."""
+        """Returns the end of the first line in the buffer, or None if the client closed without sending data.
+
+        Answers PING lines on the way.
+        """
         while True:
             while (end := buffer.line_end()) is None:
                 count = await sock.recv_into(buffer.room())
                 if not count and buffer.filled:
-                    raise lines.Malformed("a first line is cut short")
+                    raise lines.Malformed("the connection ended before the first line was complete")
                 if not count:
                     return None
                 buffer.wrote(count)
@@ -252,24 +275,25 @@
             await self._relay.ready.wait()
             await send(sock, lines.PONG)
 
-    def _exchange(self, sock: SocketType, buffer: lines.LineBuffer, end: int) -> "Exchange":
-        first = lines.parse_open(buffer.data, end, self._most_wait_ms)
+    def _make_exchange(self, sock: SocketType, buffer: lines.LineBuffer, end: int) -> "Exchange":
+        first = lines.parse_open(buffer.data, end, self._max_wait_ms)
         exchange = Exchange(
-            self._relay, sock, first, self._event(first), buffer.after(end), self._standing_at(first)
+            self._relay, sock, first, self._request(first), buffer.after(end), self._existing_server_of(first)
         )
-        if exchange.goes_on:  # its client need not wait, and it may not be over yet where it was
+        if exchange.is_continuation:
+            # Its client may send early, and its id may still be in use by its former connection.
             return exchange
         if buffer.filled > end:
-            raise lines.Malformed("a client did not wait for its answer")
+            raise lines.Malformed("the client sent data before its request was answered")
         if first.id in self._relay.ids:
-            raise lines.Malformed("the id is that of another open request")
+            raise lines.Malformed("the id belongs to another open request")
         return exchange
 
-    def _event(self, first: lines.OpenLine) -> i.Request:
+    def _request(self, first: lines.OpenLine) -> interface.Request:
         request_class = self._names.classes.get(first.text(b"c"))
         if request_class is None:
-            raise lines.Malformed("the class is unknown")
-        return i.Request(
+            raise lines.Malformed("the class of the first line is unknown")
+        return interface.Request(
             request=self._relay.decisions.new_request(),
             expires_in_us=self._expires_in_us(first),
             key=first.key,
@@ -283,131 +307,141 @@
         )
 
     def _expires_in_us(self, first: lines.OpenLine) -> int:
-        """A relay that ends has less time than its client: the decisions are to know."""
+        """Returns the client's time limit in microseconds, capped at the time that a stopping relay has."""
         left_s = max(0.0, self._relay.answers_end - trio.current_time())
         return int(min(first.wait_ms * 1000, left_s * SECOND_US))
 
-    def _standing_at(self, first: lines.OpenLine) -> int | None:
-        """The server of a connection that stood before this relay did."""
+    def _existing_server_of(self, first: lines.OpenLine) -> int | None:
+        """Returns the server named by a client whose connection stood before this relay started, or None."""
         if b"at" not in first.figures:
             return None
         server = self._relay.destinations.numbered(first.text(b"at"))
         if server is None:
-            raise lines.Malformed("a connection stands at an unknown server")
+            raise lines.Malformed("the server of an existing connection is unknown")
         return server
 
 
 class Exchange:
-    """One request from its first line to its end. Everything that happens to it comes through its inbox,
-    one incident at a time, so that `RequestState` alone says what follows."""
+    """One request from its first line to its end.
+
+    Everything that happens to the request passes through its inbox, one input at a time, so that
+    `RequestState` alone decides what follows.
+    """
 
     def __init__(
         self,
         relay: Relay,
         sock: SocketType,
         first: lines.OpenLine,
-        event: i.Request,
+        event: interface.Request,
         early: bytes,
-        stands_at: int | None,
+        existing_server: int | None,
     ) -> None:
         self._relay = relay
         self._sock = sock
         self._first = first
-        self._event = event
+        self._request = event
         self._early = early
-        self._stands_at = stands_at
-        self.goes_on = event.mid_flow or stands_at is not None  # open already, and not begun here
+        self._existing_server = existing_server
+        self.is_continuation = event.mid_flow or existing_server is not None  # its connection began elsewhere
         self._deadline_us = relay.clock.now_us() + event.expires_in_us
-        self._state = r.RequestState(event.request, self._deadline_us)
-        self._send, self._receive = trio.open_memory_channel[r.Incident](INBOX)
+        self._state = request.RequestState(event.request, self._deadline_us)
+        self._inbox_sender, self._inbox_receiver = trio.open_memory_channel[request.Incident](INBOX_CAPACITY)
         self._call: OutboundCall | None = None
 
     async def run(self) -> None:
-        with self._relay.grouped(self._event) as self._event:
+        """Runs the request, and the connection that comes of it, to the end."""
+        with self._relay.grouped(self._request) as self._request:
             await self._run()
 
     async def _run(self) -> None:
         relay = self._relay
         relay.ids[self._first.id] += 1
         relay.counters.taken += 1
-        relay.counters.existing += self._stands_at is not None
+        relay.counters.existing += self._existing_server is not None
         relay.unanswered += 1
         try:
             try:
-                receipt = await self._until_answered()
+                receipt = await self._run_until_answered()
             finally:
                 relay.unanswered -= 1
             if receipt is not None and self._call is not None and self._call.sock is not None:
-                await self._stand(self._call.sock, receipt)
+                await self._pass_lines(self._call.sock, receipt)
         finally:
             relay.ids[self._first.id] -= 1
             if not relay.ids[self._first.id]:
                 del relay.ids[self._first.id]
             if self._call is not None:
                 self._call.close()
-            for effect in self._state.on(r.ClientGone(), relay.clock.now_us()):
-                if isinstance(effect, r.Report):
+            for effect in self._state.on(request.ClientGone(), relay.clock.now_us()):
+                if isinstance(effect, request.Report):
                     await relay.decisions.tell(effect.event)
-            await relay.decisions.tell(Closed(self._event.request))
+            await relay.decisions.tell(Closed(self._request.request))
 
-    async def _until_answered(self) -> bytes | None:
-        """The receipt of the server that took it, once the client has it; None after any other end."""
-        server = self._stands_at
-        taken = self._event if server is None else i.Existing(self._event, server)
-        await self._relay.decisions.tell(Taken(taken, self._send.clone()))
+    async def _run_until_answered(self) -> bytes | None:
+        """Returns the receipt of the server that accepted the request, after it was sent to the client.
+
+        Returns None if the request ended in any other way.
+        """
+        server = self._existing_server
+        taken = self._request if server is None else interface.Existing(self._request, server)
+        await self._relay.decisions.tell(Taken(taken, self._inbox_sender.clone()))
         receipt = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_client)
             if server is not None:
                 await self._carry_out(self._state.resume(server, self._relay.clock.now_us()), nursery)
-            while self._state.phase in (r.Phase.TAKEN, r.Phase.CALLING):
-                incident: r.Incident = r.DeadlinePassed()
-                with self._relay.patience(self._relay.clock.to_trio(self._deadline_us)):
-                    incident = await self._receive.receive()
-                self._relay.counters.left += isinstance(incident, r.ClientGone)
-                effects = self._state.on(incident, self._relay.clock.now_us())
+            while self._state.phase in (request.Phase.TAKEN, request.Phase.CALLING):
+                step_input: request.Incident = request.DeadlinePassed()
+                with self._relay.time_limit(self._relay.clock.to_trio(self._deadline_us)):
+                    step_input = await self._inbox_receiver.receive()
+                self._relay.counters.left += isinstance(step_input, request.ClientGone)
+                effects = self._state.on(step_input, self._relay.clock.now_us())
                 await self._carry_out(effects, nursery)
-                if isinstance(incident, r.CallUp) and self._state.phase is r.Phase.STANDING:
-                    receipt = incident.receipt
+                if isinstance(step_input, request.CallUp) and self._state.phase is request.Phase.STANDING:
+                    receipt = step_input.receipt
             nursery.cancel_scope.cancel()
         return receipt
 
-    async def _carry_out(self, effects: list[r.Effect], nursery: trio.Nursery) -> None:
+    async def _carry_out(self, effects: list[request.Effect], nursery: trio.Nursery) -> None:
         counters = self._relay.counters
         for effect in effects:
             match effect:
-                case r.StartCall(server, deadline_us):
+                case request.StartCall(server, deadline_us):
                     counters.calls += 1
-                    # Made here and not in its task, which a drop might come before.
+                    # Created here and not in its task, because DropCall may come before that task starts.
                     self._call = self._new_call(server, deadline_us)
-                    nursery.start_soon(self._outbound, self._call)
-                case r.DropCall():
+                    nursery.start_soon(self._run_call, self._call)
+                case request.DropCall():
                     if self._call is not None:
                         self._call.close()
-                case r.AnswerUp(receipt):
+                case request.AnswerUp(receipt):
                     counters.answered_up += 1
                     await self._answer(receipt)
-                case r.AnswerRefused(wait_us):
+                case request.AnswerRefused(wait_us):
                     counters.answered_busy += 1
                     await self._answer(lines.busy(wait_us))
-                case r.AnswerFailed():
+                case request.AnswerFailed():
                     counters.answered_failed += 1
                     await self._answer(lines.FAILED)
-                case r.Report(event):
+                case request.Report(event):
                     await self._relay.decisions.tell(event)
-                case r.MoveClient():
-                    pass  # only a standing connection is moved, and that one has its own task
+                case request.MoveClient():
+                    pass  # applies to standing connections only, which have a task of their own
 
     async def _answer(self, line: bytes) -> None:
         try:
             await send(self._sock, line)
-        except OSError as error:  # the client has just gone: its end is seen where it is read from
+        except OSError as error:  # the client disconnected; the task that reads from it sees that
             events.client_unanswered(request=self._state.number, error=error)
 
     async def _watch_client(self) -> None:
-        """A client that goes before its answer is not worth a call, nor is one that does not wait for it.
-        What it sends is kept: a connection that goes on here may send early, and any other when it has its
-        answer, which it may have before this task is told to stop."""
+        """Reports a client that disconnects, or sends data too early, before its answer.
+
+        Neither is worth a call to a server. The data is kept: a connection that continues from elsewhere may
+        send early, and any other client may send once it has its answer, possibly before this task is
+        cancelled.
+        """
         while len(self._early) < lines.MAX_LINE:
             try:
                 data = await self._sock.recv(lines.MAX_LINE)
@@ -415,33 +449,40 @@
                 data = b""
             self._early += data
             if not data:
-                return await self._send.send(r.ClientGone())
-            if not self.goes_on:
-                return await self._send.send(r.ClientSpoke())
-        while not hung_up(self._sock):  # no more is read before it is up: its end stands behind that
-            await trio.sleep_until(trio.current_time() + LOOK_S)
-        await self._send.send(r.ClientGone())
-
-    def _last_look(self, server: int, drained_after: float) -> Unsent | None:
-        """drained_after: the server was ready then, as far as the decisions knew."""
-        if (left := self._client_left()) is not None:
+                return await self._inbox_sender.send(request.ClientGone())
+            if not self.is_continuation:
+                return await self._inbox_sender.send(request.ClientSpoke())
+        while not hung_up(self._sock):  # no more is read before UP, and the end is behind unread data
+            await trio.sleep_until(trio.current_time() + HANGUP_POLL_S)
+        await self._inbox_sender.send(request.ClientGone())
+
+    def _check_before_send(self, server: int, drained_after: float) -> CallFailure | None:
+        """Returns why the line must not be sent to `server`, or None.
+
+        `drained_after` is the time at which the server was ready as far as the decisions knew.
+        """
+        if (left := self._departed_client()) is not None:
             self._relay.counters.left_unsent += 1
             return left
-        if self._stands_at is not None or self._relay.destinations.ready(server):
+        if self._existing_server is not None or self._relay.destinations.ready(server):
             return None
-        # What is new it would turn away; a connection in mid flow goes on there, as long as it may be sent.
+        # A draining server refuses new connections. It accepts one in mid-flow during the drain grace, of
+        # which half is used here.
         grace_s = self._relay.config.settings.drain_grace_us / 2 / SECOND_US
-        if self.goes_on and trio.current_time() < drained_after + grace_s:
+        if self.is_continuation and trio.current_time() < drained_after + grace_s:
             return None
-        return r.CallEnded(i.Outcome.CONNECT_FAILED)
+        return request.CallEnded(interface.Outcome.CONNECT_FAILED)
+
+    def _departed_client(self) -> request.ClientGone | request.ClientSpoke | None:
+        """Returns why the client is not worth an attempt, or None.
 
-    def _client_left(self) -> r.ClientGone | r.ClientSpoke | None:
-        """Whether it is worth no attempt. Behind a flood its end can't be seen, so a flood counts as one, but
-        for who stands already and has no other attempt."""
+        The end of a client's stream can't be seen behind a flood of data, so a flood counts as an end. A
+        client whose connection stands already at a server is exempt: it has no other attempt.
+        """
         if hung_up(self._sock):
-            return r.ClientGone()
-        floods = len(self._early) >= lines.MAX_LINE and unread(self._sock) > MOST_UNREAD
-        return r.ClientSpoke() if floods and self._stands_at is None else None
+            return request.ClientGone()
+        floods = len(self._early) >= lines.MAX_LINE and unread_bytes(self._sock) > MAX_UNREAD_BYTES
+        return request.ClientSpoke() if floods and self._existing_server is None else None
 
     def _new_call(self, server: int, deadline_us: int) -> OutboundCall | None:
         address = self._relay.destinations.address(server)
@@ -450,43 +491,52 @@
         now = trio.current_time()
         connect_by = now + self._relay.config.settings.connect_timeout_us / SECOND_US
         answer_by = min(self._relay.clock.to_trio(deadline_us), self._relay.answers_end)
-        return OutboundCall(address, self._first, connect_by, answer_by, lambda: self._last_look(server, now))
+        return OutboundCall(
+            address, self._first, connect_by, answer_by, lambda: self._check_before_send(server, now)
+        )
+
+    async def _run_call(self, call: OutboundCall | None) -> None:
+        """Runs `call` and puts its result into the inbox.
 
-    async def _outbound(self, call: OutboundCall | None) -> None:
-        """A server that has just left the list has no address: the same as one that can't be reached."""
-        ended = r.CallEnded(i.Outcome.CONNECT_FAILED)
-        await self._send.send(ended if call is None else await call.run())
+        `call` is None if the server has just left the list: that counts as a failed connection.
+        """
+        ended = request.CallEnded(interface.Outcome.CONNECT_FAILED)
+        await self._inbox_sender.send(ended if call is None else await call.run())
 
-    async def _stand(self, server: SocketType, receipt: bytes) -> None:
+    async def _pass_lines(self, server: SocketType, receipt: bytes) -> None:
         relay, state = self._relay, self._state
-        passage = Passage(self._sock, server, self._load_heard)
-        relay.standing[passage] = relay.config.settings.classes[self._event.request_class].worth
+        standing_connection = StandingConnection(self._sock, server, self._on_load)
+        relay.standing[standing_connection] = relay.config.settings.classes[self._request.request_class].worth
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._move_when_told, passage)
-                await passage.run(self._early, receipt)
+                nursery.start_soon(self._move_on_request, standing_connection)
+                await standing_connection.run(self._early, receipt)
                 nursery.cancel_scope.cancel()
         finally:
-            relay.standing.pop(passage, None)  # it is gone already if its client was told to move
+            relay.standing.pop(standing_connection, None)  # already removed if its client was sent MOVE
             relay.counters.ended += 1
-            relay.counters.silent += passage.silent
-            relay.counters.moved += passage.moved
-            relay.counters.not_moved += passage.cut_off
-        if passage.outcome in (i.Outcome.RESET, i.Outcome.ERROR):
+            relay.counters.silent += standing_connection.silent
+            relay.counters.moved += standing_connection.moved
+            relay.counters.not_moved += standing_connection.cut_off
+        if standing_connection.outcome in (interface.Outcome.RESET, interface.Outcome.ERROR):
             relay.counters.broken += 1
-            events.connection_broke(request=state.number, server=state.server, outcome=passage.outcome)
-        for effect in state.on(r.ConnectionEnded(passage.outcome), relay.clock.now_us()):
-            if isinstance(effect, r.Report):
+            events.connection_broke(
+                request=state.number, server=state.server, outcome=standing_connection.outcome
+            )
+        for effect in state.on(request.ConnectionEnded(standing_connection.outcome), relay.clock.now_us()):
+            if isinstance(effect, request.Report):
                 await relay.decisions.tell(effect.event)
 
-    async def _load_heard(self, load: float) -> None:
-        await self._relay.decisions.tell(self._state.notice(i.NoticeKind.LOAD, load))
+    async def _on_load(self, load: float) -> None:
+        await self._relay.decisions.tell(self._state.notice(interface.NoticeKind.LOAD, load))
 
-    async def _move_when_told(self, passage: Passage) -> None:
+    async def _move_on_request(self, standing_connection: StandingConnection) -> None:
         while True:
-            incident = await self._receive.receive()
-            for effect in self._state.on(incident, self._relay.clock.now_us()):
-                if isinstance(effect, r.MoveClient):
-                    await passage.move()
-                elif isinstance(effect, r.Report):  # its end had been seen while it came up
+            step_input = await self._inbox_receiver.receive()
+            for effect in self._state.on(step_input, self._relay.clock.now_us()):
+                if isinstance(effect, request.MoveClient):
+                    await standing_connection.move()
+                elif isinstance(
+                    effect, request.Report
+                ):  # the end of the client was seen while the call came up
                     await self._relay.decisions.tell(effect.event)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -24,10 +24,10 @@
 from glenfold.net import sockets
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import Relay
-from linnetspread import interface as i
+from linnetspread import interface
 from linnetspread.choice import SEEDS
 
-Client = Callable[[Relay, int], Awaitable[None]]
+ClientScript = Callable[[Relay, int], Awaitable[None]]
 
 
 @pytest.fixture
@@ -35,54 +35,54 @@
     return relaying.config(tmp_path)
 
 
-def play(
-    conf: Config, handler: relaying.Handler, client: Client, clock: trio.abc.Clock | None = None
+def run_relay(
+    conf: Config, handler: relaying.Handler, client: ClientScript, clock: trio.abc.Clock | None = None
 ) -> Relay:
-    seen: list[Relay] = []
+    relays_started: list[Relay] = []
 
     async def main() -> None:
         async with relay(conf, handler) as (shared, _, port):
-            seen.append(shared)
+            relays_started.append(shared)
             await client(shared, port)
 
     trio.run(main, clock=clock)
-    return seen[0]
+    return relays_started[0]
 
 
 async def up_and_echo(stream: trio.SocketStream) -> None:
     first = await read_line(stream)
     assert first.startswith(b"OPEN 9b1f03aa 7f3a9c21e0b4d655 c=watch,t=valleys,d=")
-    assert first.endswith(b",zz=1,g=5c0f\r\n")  # what means nothing to the relay goes on unchanged
+    assert first.endswith(b",zz=1,g=5c0f\r\n")  # fields unknown to the relay are forwarded unchanged
     await stream.send_all(b"UP r1\r\nLOAD 50.5\r\n")
     while line := await read_line(stream):
         await stream.send_all(line)
 
 
-async def opened(port: int) -> trio.SocketStream:
+async def open_connection(port: int) -> trio.SocketStream:
     stream = await trio.open_tcp_stream("127.0.0.1", port)
     await stream.send_all(OPEN)
     return stream
 
 
-def test_lines_pass_both_ways_and_a_half_close_is_carried_over(conf: Config) -> None:
+def test_lines_pass_both_ways_and_a_half_close_is_forwarded(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(b"PING\r\n" + OPEN)
-        got = [await read_line(stream) for _ in range(3)]
-        assert got == [b"PONG\r\n", b"UP r1\r\n", b"LOAD 50.5\r\n"]
+        received_lines = [await read_line(stream) for _ in range(3)]
+        assert received_lines == [b"PONG\r\n", b"UP r1\r\n", b"LOAD 50.5\r\n"]
         await stream.send_all(b"M 1\r\n")
         assert await read_line(stream) == b"M 1\r\n"
         await stream.send_eof()
         assert await read_line(stream) == b""
 
-    # The clock stands still, so that no time limit can end what the half-close should.
-    shared = play(conf, up_and_echo, client, trio.testing.MockClock())
+    # The clock stands still, so that only the half-close can end the connection, not a timeout.
+    shared = run_relay(conf, up_and_echo, client, trio.testing.MockClock())
     assert (shared.counters.answered_up, shared.counters.ended, shared.counters.faults) == (1, 1, 0)
 
 
-@pytest.mark.parametrize("wait", [b"2000", b"4294967"])  # it has no deadline: 2 ** 32 us stand for none
+@pytest.mark.parametrize("wait", [b"2000", b"4294967"])  # 2 ** 32 us stands for no deadline
 @pytest.mark.parametrize("answer", [b"UP r1\r\n", b"BUSY\r\n"])
-def test_a_connection_that_stood_before_goes_to_its_server_and_no_other(
+def test_an_existing_connection_goes_to_its_server_and_no_other(
     conf: Config, answer: bytes, wait: bytes
 ) -> None:
     async def server(stream: trio.SocketStream) -> None:
@@ -95,11 +95,11 @@
         await stream.send_all(OPEN.replace(b",zz=1", b",at=s-0,zz=1").replace(b"2000", wait))
         assert await read_line(stream) == (answer if answer.startswith(b"UP") else lines.FAILED)
 
-    counters = play(conf, server, client).counters
+    counters = run_relay(conf, server, client).counters
     assert (counters.existing, counters.calls, counters.faults) == (1, 1, 0)
 
 
-def test_a_connection_that_stood_before_may_name_any_time(conf: Config) -> None:
+def test_an_existing_connection_may_give_any_wait_time(conf: Config) -> None:
     async def server(stream: trio.SocketStream) -> None:
         _, _, wait = (await read_line(stream)).partition(b",d=")
         assert 50_000 < int(wait.split(b",")[0]) <= lines.MOST_WAIT_MS
@@ -108,13 +108,13 @@
 
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
-        await stream.send_all(b"OPEN 9b1f 7f3a c=watch,d=4294967,at=s-0\r\n")  # 2**32 us: no end
+        await stream.send_all(b"OPEN 9b1f 7f3a c=watch,d=4294967,at=s-0\r\n")  # 2 ** 32 us: no deadline
         assert await read_line(stream) == b"UP r1\r\n"
 
-    assert play(conf, server, client).counters.malformed == 0
+    assert run_relay(conf, server, client).counters.malformed == 0
 
 
-def test_a_reset_is_carried_over_while_both_directions_are_read(conf: Config) -> None:
+def test_a_reset_is_forwarded_while_both_directions_are_read(conf: Config) -> None:
     async def reset(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"UP r1\r\n")
@@ -122,7 +122,7 @@
         sockets.reset_on_close(stream.socket)
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await read_line(stream)
         await stream.send_all(b"M 1\r\n")
         with pytest.raises(trio.BrokenResourceError):
@@ -130,10 +130,10 @@
         while shared.standing:
             await trio.lowlevel.checkpoint()
 
-    assert play(conf, reset, client).counters.faults == 0
+    assert run_relay(conf, reset, client).counters.faults == 0
 
 
-def test_a_silent_server_ends_in_a_move_before_the_client_has_asked_twice(conf: Config) -> None:
+def test_the_client_of_a_silent_server_is_moved_before_it_asks_twice(conf: Config) -> None:
     clock = trio.testing.MockClock()
 
     async def silent(stream: trio.SocketStream) -> None:
@@ -144,16 +144,16 @@
         await trio.sleep_forever()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await read_line(stream)
         await stream.send_all(b"M 1\r\n")
         assert await read_line(stream) == b"MOVE\r\n"
         assert await read_line(stream) == b""
 
-    assert play(conf, silent, client, clock).counters.silent == 1
+    assert run_relay(conf, silent, client, clock).counters.silent == 1
 
 
-def test_a_client_that_does_not_read_is_not_the_servers_silence(conf: Config) -> None:
+def test_a_client_that_does_not_read_does_not_count_as_a_silent_server(conf: Config) -> None:
     clock = trio.testing.MockClock()
 
     async def flood(stream: trio.SocketStream) -> None:
@@ -163,7 +163,7 @@
             await stream.send_all(b"N" * 4000 + b"\r\n")
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await read_line(stream)
         for _ in range(3):
             await trio.testing.wait_all_tasks_blocked(0.05)
@@ -172,47 +172,47 @@
         await trio.testing.wait_all_tasks_blocked()
         assert len(shared.standing) == 1
 
-    assert play(conf, flood, client, clock).counters.silent == 0
+    assert run_relay(conf, flood, client, clock).counters.silent == 0
 
 
-def test_a_move_waits_for_a_whole_line_also_with_a_slow_client(conf: Config) -> None:
+def test_a_move_waits_for_a_complete_line_even_with_a_slow_client(conf: Config) -> None:
     async def flood(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"UP r1\r\n")
-        with suppress(trio.BrokenResourceError):  # the relay ends it with the move
+        with suppress(trio.BrokenResourceError):  # the relay closes it after MOVE
             while True:
                 await stream.send_all(b"N" * 3000 + b"\r\n")
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await trio.testing.wait_all_tasks_blocked(0.05)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(next(iter(shared.standing)).move)
             await trio.testing.wait_all_tasks_blocked(0.05)
-            got = b"".join([part async for part in stream])
-        *whole_lines, last, rest = got.split(b"\r\n")
+            received_lines = b"".join([part async for part in stream])
+        *whole_lines, last, rest = received_lines.split(b"\r\n")
         assert (last, rest) == (b"MOVE", b"") and set(whole_lines) == {b"UP r1", b"N" * 3000}
 
-    play(conf, flood, client, trio.testing.MockClock())
+    run_relay(conf, flood, client, trio.testing.MockClock())
 
 
 @pytest.mark.parametrize("load", [b"nan", b"inf", b"-1", b"much", b"1e300"])
-def test_a_load_that_is_no_load_never_reaches_the_decisions(load: bytes) -> None:
+def test_an_invalid_load_never_reaches_the_decisions(load: bytes) -> None:
     assert lines.read_load(load) is None
     assert lines.read_load(b"20205.057") == 20205.057
 
 
-def test_a_refusal_comes_at_once_and_says_when_to_come_again(conf: Config) -> None:
+def test_a_refusal_is_sent_at_once_with_a_retry_time(conf: Config) -> None:
     async def busy(stream: trio.SocketStream) -> None:
         await read_line(stream)
         await stream.send_all(b"BUSY\r\n")
 
     async def client(shared: Relay, port: int) -> None:
-        word, wait_ms = (await read_line(await opened(port))).split()
+        word, wait_ms = (await read_line(await open_connection(port))).split()
         assert word == b"BUSY" and 233 <= int(wait_ms) <= 700
 
-    # With the clock standing still, an answer held back would never come.
-    play(conf, busy, client, trio.testing.MockClock())
+    # The clock stands still, so a delayed answer would never arrive.
+    run_relay(conf, busy, client, trio.testing.MockClock())
 
 
 @pytest.mark.parametrize(
@@ -246,11 +246,11 @@
         assert await read_line(stream) == lines.FAILED
         assert await read_line(stream) == b""
 
-    counters = play(conf, never, client).counters
+    counters = run_relay(conf, never, client).counters
     assert (counters.malformed, counters.calls) == (1, 0)
 
 
-def test_a_class_may_wait_longer_than_any_here(tmp_path: Path) -> None:
+def test_the_longest_class_limits_the_wait_time_of_a_request(tmp_path: Path) -> None:
     classes = [{**relaying.SETTINGS["classes"][0], "hard_limit_us": 90_000_000}]
     conf = relaying.config(tmp_path, settings={**relaying.SETTINGS, "classes": classes})
 
@@ -261,7 +261,7 @@
             await stream.send_all(OPEN.replace(b"2000", wait))
             assert await read_line(stream) == word
 
-    play(conf, up_and_echo, client, trio.testing.MockClock())
+    run_relay(conf, up_and_echo, client, trio.testing.MockClock())
 
 
 @pytest.mark.parametrize("up", [True, False])
@@ -272,67 +272,67 @@
         assert await read_line(stream) == b""
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await (read_line(stream) if up else trio.testing.wait_all_tasks_blocked(0.05))
-        assert await read_line(await opened(port)) == lines.FAILED
+        assert await read_line(await open_connection(port)) == lines.FAILED
         await stream.aclose()
         while shared.ids:
             await trio.lowlevel.checkpoint()
 
-    # Once it is over the id is free, and nothing of it is kept.
-    assert play(conf, server, client, trio.testing.MockClock()).counters.calls == 1
+    # After the end of the request its id is free again, and no state of it is left.
+    assert run_relay(conf, server, client, trio.testing.MockClock()).counters.calls == 1
 
 
 def test_a_client_that_does_not_wait_for_its_answer_gets_a_failure(conf: Config) -> None:
-    called, over = trio.Event(), trio.Event()
+    called, call_ended = trio.Event(), trio.Event()
 
     async def server(stream: trio.SocketStream) -> None:
         await read_line(stream)
         called.set()
-        assert await read_line(stream) == b""  # nothing more of such a client, and the call is over
-        over.set()
+        assert await read_line(stream) == b""  # no more data of this client arrives and the call ends
+        call_ended.set()
 
     async def client(shared: Relay, port: int) -> None:
-        stream = await opened(port)
+        stream = await open_connection(port)
         await called.wait()
         await stream.send_all(b"frob\r\n" * 300)
         assert await read_line(stream) == lines.FAILED
-        await over.wait()
+        await call_ended.wait()
 
-    play(conf, server, client, trio.testing.MockClock())
+    run_relay(conf, server, client, trio.testing.MockClock())
 
 
-def test_silent_clients_crowd_out_each_other_and_no_usual_one(tmp_path: Path) -> None:
+def test_silent_clients_displace_each_other_and_no_normal_client(tmp_path: Path) -> None:
     clock = trio.testing.MockClock()
-    conf = relaying.config(tmp_path, limits={"sockets": 40})  # three may wait at once
+    conf = relaying.config(tmp_path, limits={"sockets": 40})  # allows three clients without a first line
 
     async def client(shared: Relay, port: int) -> None:
         silent = []
         for _ in range(5):
             silent.append(await trio.open_tcp_stream("127.0.0.1", port))
             await trio.testing.wait_all_tasks_blocked(0.01)
-        for stream in silent[:2]:  # the oldest give way, at once
+        for stream in silent[:2]:  # the oldest clients are refused at once
             assert await read_line(stream) == lines.FAILED
-        usual = await opened(port)
-        assert await read_line(usual) == b"UP r1\r\n"
+        normal_client = await open_connection(port)
+        assert await read_line(normal_client) == b"UP r1\r\n"
         await silent[-1].send_all(lines.PING + lines.END)
         assert await read_line(silent[-1]) == lines.PONG
-        clock.jump(2.5)  # the rest in time, whatever they sent short of a whole first line
+        clock.jump(2.5)  # the others time out, whatever they sent before a complete first line
         for stream in silent[3:]:
             assert await read_line(stream) == lines.FAILED
 
-    counters = play(conf, up_and_echo, client, clock).counters
+    counters = run_relay(conf, up_and_echo, client, clock).counters
     assert (counters.silent_clients, counters.crowded_out) == (5, 3)
 
 
-def test_a_client_that_floods_is_cut_off_without_being_read_to_its_end(conf: Config) -> None:
+def test_a_client_that_floods_is_cut_off_before_all_its_data_is_read(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         with pytest.raises(trio.BrokenResourceError):
-            while True:  # with the clock standing still, only the count of bytes can end it
+            while True:  # the clock stands still, so only the limit on bytes can end it
                 await stream.send_all(b"k" * 65536)
 
-    assert play(conf, up_and_echo, client, trio.testing.MockClock()).counters.malformed == 1
+    assert run_relay(conf, up_and_echo, client, trio.testing.MockClock()).counters.malformed == 1
 
 
 @pytest.mark.parametrize(
@@ -343,7 +343,7 @@
     assert relaying.config(tmp_path, limits=limits).room.taken == taken
 
 
-def test_without_descriptors_a_client_is_refused_fail_fast(conf: Config) -> None:
+def test_a_client_is_refused_at_once_when_no_descriptor_is_left(conf: Config) -> None:
     class NoneLeft:
         def __init__(self, inner: trio.socket.SocketType) -> None:
             self.inner, self.calls = inner, 0
@@ -361,14 +361,14 @@
                 listener.listen()
                 nursery.start_soon(inbound.serve, NoneLeft(listener), nursery)  # type: ignore[arg-type]
                 port = listener.getsockname()[1]
-                assert await read_line(await opened(port)) == b"BUSY 700\r\n"
-                assert await read_line(await opened(port)) == b"UP r1\r\n"
+                assert await read_line(await open_connection(port)) == b"BUSY 700\r\n"
+                assert await read_line(await open_connection(port)) == b"UP r1\r\n"
                 nursery.cancel_scope.cancel()
 
     trio.run(main)
 
 
-def test_at_sigterm_connections_stand_for_a_while_and_are_then_moved_one_by_one(conf: Config) -> None:
+def test_at_sigterm_connections_stay_for_a_while_and_are_then_moved_one_by_one(conf: Config) -> None:
     clock = trio.testing.MockClock()
 
     async def client(shared: Relay, port: int) -> None:
@@ -380,7 +380,7 @@
             nursery.start_soon(finish_taken, Leaving(trio.current_time(), conf.settings), shared)
             for passed, standing in ((1.5, 4), (0.2, 3), (0.4, 2), (1.2, 0)):
                 clock.jump(passed)
-                for _ in range(3):  # a loopback socket may need a moment to show its end
+                for _ in range(3):  # the end of a loopback socket may take several turns to arrive
                     await trio.testing.wait_all_tasks_blocked(0.01)
                 assert len(shared.standing) == standing
         for stream in streams:
@@ -391,19 +391,19 @@
         await stream.send_all(b"UP r1\r\n")
         await read_line(stream)
 
-    play(conf, server, client, clock)
+    run_relay(conf, server, client, clock)
 
 
-def test_a_relay_that_holds_nothing_ends_at_once(conf: Config) -> None:
+def test_a_relay_without_clients_ends_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
-        began = trio.current_time()
-        await finish_taken(Leaving(began, conf.settings, 30.0), shared)
-        assert trio.current_time() - began < 1.0
+        started_at = trio.current_time()
+        await finish_taken(Leaving(started_at, conf.settings, 30.0), shared)
+        assert trio.current_time() - started_at < 1.0
 
-    play(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
+    run_relay(conf, up_and_echo, client, trio.testing.MockClock(autojump_threshold=0.05))
 
 
-def test_partial_gathered_writes_go_on_where_they_stopped() -> None:
+def test_partial_gathered_writes_continue_where_they_stopped() -> None:
     data = bytearray(OPEN)
     pieces = lines.parse_open(data, len(data)).with_wait(7)
     text = b"".join(pieces)
@@ -412,11 +412,11 @@
         assert b"".join(lines.unsent(pieces, sent)) == text[sent:]
 
 
-def test_numbers_do_not_depend_on_process_or_order() -> None:
+def test_server_numbers_do_not_depend_on_process_or_order() -> None:
     assert server_number("s-5be2a07c") == 386416519
 
 
-def test_a_bad_list_changes_nothing_and_gone_servers_leave(conf: Config) -> None:
+def test_an_invalid_list_changes_nothing_and_terminated_servers_are_removed(conf: Config) -> None:
     destinations = DestinationSet(conf.names)
     destinations.read(whole(entry("s-1"), entry("s-2"), seq=2))
     for bad in ([], {"seq": 2}, {"seq": 1, "whole": False, "hosts": [entry("s-1", health="terminated")]}):
@@ -424,7 +424,7 @@
             destinations.read(bad)
     assert destinations.address(server_number("s-1")) == ("127.0.0.1", 1)
     change = destinations.read({"seq": 3, "whole": False, "hosts": [entry("s-1", health="terminated")]})
-    assert (change.kind, change.servers[0].zone) == (i.ListKind.DELTA, 1)
+    assert (change.kind, change.servers[0].zone) == (interface.ListKind.DELTA, 1)
     assert destinations.address(server_number("s-1")) is None
     assert destinations.address(server_number("s-2")) == ("127.0.0.1", 1)
 
@@ -442,24 +442,26 @@
         7,
     ],
 )
-def test_a_bad_entry_costs_neither_the_others_nor_what_was_known_of_it(conf: Config, bad: object) -> None:
+def test_an_invalid_entry_affects_neither_other_entries_nor_the_earlier_record(
+    conf: Config, bad: object
+) -> None:
     destinations = DestinationSet(conf.names)
     destinations.read(whole(entry("s-1"), entry("s-3")))
-    told = destinations.read({"seq": 2, "whole": True, "hosts": [bad, entry("s-2")]})
-    named = {line.server for line in told.servers if line.state is i.ServerState.READY}
-    held = {
+    server_list = destinations.read({"seq": 2, "whole": True, "hosts": [bad, entry("s-2")]})
+    ready_servers = {line.server for line in server_list.servers if line.state is interface.ServerState.READY}
+    addressed = {
         server_number(host)
         for host in ("s-1", "s-2", "s-3")
         if destinations.address(server_number(host)) is not None
     }
     known = {server_number("s-1"), server_number("s-2")} if bad != 7 else {server_number("s-2")}
-    assert named == held == known and len(destinations.faults) == 1
+    assert ready_servers == addressed == known and len(destinations.faults) == 1
 
 
-def test_an_older_whole_list_holds_but_brings_back_no_server_that_left(conf: Config) -> None:
-    """An agent may lag behind the one before it, or count anew; no new work may go to what drains."""
+def test_an_older_whole_list_is_applied_but_restores_no_departed_server(conf: Config) -> None:
+    """An agent may be behind the previous one or number anew; draining servers get no new connections."""
     destinations = DestinationSet(conf.names)
-    heard = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-3"), seq=40))
+    first_list = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-3"), seq=40))
     destinations.read(
         {
             "seq": 41,
@@ -467,15 +469,17 @@
             "hosts": [entry("s-1", health="terminating"), entry("s-2", health="terminated")],
         }
     )
-    again = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-4"), seq=7))
-    drains, ready = i.ServerState.DRAINING, i.ServerState.READY
-    assert [line.state for line in again.servers] == [drains, drains, ready]
-    assert again.version > heard.version and destinations.address(server_number("s-3")) is None
-    back = destinations.read({"seq": 8, "whole": False, "hosts": [entry("s-2", born_ms=5)]})
-    assert back.servers[0].state is i.ServerState.READY
+    repeated_list = destinations.read(whole(entry("s-1"), entry("s-2"), entry("s-4"), seq=7))
+    drains, ready = interface.ServerState.DRAINING, interface.ServerState.READY
+    assert [line.state for line in repeated_list.servers] == [drains, drains, ready]
+    assert repeated_list.version > first_list.version and destinations.address(server_number("s-3")) is None
+    restored = destinations.read({"seq": 8, "whole": False, "hosts": [entry("s-2", born_ms=5)]})
+    assert restored.servers[0].state is interface.ServerState.READY
 
 
-def test_two_hosts_with_one_number_are_not_mixed_up(conf: Config, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_two_hosts_with_the_same_number_are_not_mixed_up(
+    conf: Config, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("glenfold.destinations.server_number", lambda host: 5)
     destinations = DestinationSet(conf.names)
     assert len(destinations.read(whole(entry("s-1"), entry("s-2"))).servers) == 1
@@ -484,22 +488,22 @@
 
 def test_a_request_whose_decision_fails_is_answered_at_once(conf: Config) -> None:
     async def client(shared: Relay, port: int) -> None:
-        def fail(now: int, event: i.Event) -> list[i.Action]:
+        def fail(now: int, event: interface.Event) -> list[interface.Action]:
             raise KeyError(0)
 
         shared.decisions.dispatch.balancer.handle = fail  # type: ignore[method-assign]
-        assert await read_line(await opened(port)) == lines.FAILED
+        assert await read_line(await open_connection(port)) == lines.FAILED
 
-    play(conf, up_and_echo, client, trio.testing.MockClock())
+    run_relay(conf, up_and_echo, client, trio.testing.MockClock())
 
 
 class Agent:
-    """A discovery agent on an ephemeral port: one list, then a watch that says nothing."""
+    """A discovery agent on an ephemeral port that answers with one list, then a watch without changes."""
 
-    def __init__(self, watched: Callable[[], None], *entries: dict[str, object], seq: int = 41) -> None:
-        self.asked: list[bytes] = []
+    def __init__(self, on_watch: Callable[[], None], *entries: dict[str, object], seq: int = 41) -> None:
+        self.requests: list[bytes] = []
         self.body = json.dumps(whole(*entries, seq=seq)).encode()
-        self.watched = watched
+        self.on_watch = on_watch
         self.address = ("", 0)
 
     async def start(self, nursery: trio.Nursery) -> None:
@@ -509,28 +513,28 @@
     async def answer(self, stream: trio.SocketStream) -> None:
         while line := await read_line(stream):
             if line.startswith(b"GET"):
-                self.asked.append(line.split()[1])
+                self.requests.append(line.split()[1])
             if line != b"\r\n":
                 continue
-            if b"watch" in self.asked[-1]:
+            if b"watch" in self.requests[-1]:
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n\r\n\r\n")
-                self.watched()
+                self.on_watch()
                 await trio.sleep_forever()
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.body)
             await stream.send_all(head + self.body)
 
 
 @pytest.mark.parametrize("text", [b"{", b"[" * 200_000, b'{"seq":"x"}', b"\xff"])
-def test_what_is_no_list_never_ends_the_relay(conf: Config, text: bytes) -> None:
-    async def heard(servers: i.ServerList) -> None:
-        raise AssertionError("it was taken for a list")
+def test_an_invalid_list_never_ends_the_relay(conf: Config, text: bytes) -> None:
+    async def on_list(servers: interface.ServerList) -> None:
+        raise AssertionError("an invalid document was accepted as a list")
 
-    discovery = Discovery(("127.0.0.1", 9), DestinationSet(conf.names), heard, Counters())
+    discovery = Discovery(("127.0.0.1", 9), DestinationSet(conf.names), on_list, Counters())
     with pytest.raises(BadList):
-        trio.run(discovery._take, text)
+        trio.run(discovery._apply, text)
 
 
-def test_sighup_moves_discovery_and_keeps_what_is_known_through_a_faulty_file(tmp_path: Path) -> None:
+def test_sighup_switches_discovery_and_a_faulty_file_changes_nothing(tmp_path: Path) -> None:
     watched = [trio.Event(), trio.Event()]
     agents = [Agent(watched[0].set, entry("s-1")), Agent(watched[1].set, entry("s-1"), entry("s-2"))]
 
@@ -545,16 +549,16 @@
             shared, destinations = process.relay, process.relay.destinations
             nursery.start_soon(process.discovery.follow)
             await watched[0].wait()
-            for fault in ({"discovery": "nowhere"}, {"discovery": new, "settings": {}}):
-                relaying.write(tmp_path, **fault)
+            for faulty_changes in ({"discovery": "nowhere"}, {"discovery": new, "settings": {}}):
+                relaying.write_config(tmp_path, **faulty_changes)
                 process.reload()
             assert shared.config == conf and not watched[1].is_set()
-            relaying.write(tmp_path, discovery=new, limits={"sockets": 300}, name="other")
+            relaying.write_config(tmp_path, discovery=new, limits={"sockets": 300}, name="other")
             with trio.open_signal_receiver(signal.SIGHUP) as signals:
-                os.kill(os.getpid(), signal.SIGHUP)  # unheeded, it would end the process
+                os.kill(os.getpid(), signal.SIGHUP)  # without a handler it would end the process
                 nursery.start_soon(heed, signals, {signal.SIGHUP: process.reload})
                 await watched[1].wait()
-            # The file's address wins now, though the environment went before it at the start.
+            # On reload the address in the file applies, although the environment overrides it at the start.
             assert (shared.config.room.waiting, shared.config.name) == (35, "relay")
             assert (shared.counters.reloads, shared.counters.reloads_refused) == (1, 2)
             assert destinations.address(server_number("s-1")) == ("127.0.0.1", 1)
@@ -580,28 +584,30 @@
         relaying.config(tmp_path, **change)
 
 
-def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
     assert relaying.config(tmp_path, {"LB_LISTEN": "127.9.9.9:1"}).listen == ("127.9.9.9", 1)
 
 
-@pytest.mark.parametrize(("weight", "stays"), [(2.0, True), (0.8, False)])
-def test_a_weak_server_is_full_sooner_where_no_delay_is_told(weight: float, stays: bool) -> None:
-    """On sockets nothing tells that messages take long: the load and the listed weight must show it."""
+@pytest.mark.parametrize(("weight", "stays_at_home"), [(2.0, True), (0.8, False)])
+def test_a_weak_server_is_full_sooner_without_delay_reports(weight: float, stays_at_home: bool) -> None:
+    """On sockets no message delays are reported, so only load and listed weight show a weak server."""
     gateway = Gateway(servers=0, weighted=True)
-    gateway.servers(i.ListKind.CACHED, *(listed(100 + n, weight=weight if n == 0 else 2.0) for n in range(4)))
+    gateway.servers(
+        interface.ListKind.CACHED, *(listed(100 + n, weight=weight if n == 0 else 2.0) for n in range(4))
+    )
     keys: dict[int, list[int]] = {100 + n: [] for n in range(4)}
-    opened: dict[int, list[int]] = {server: [] for server in keys}
+    requests_by_server: dict[int, list[int]] = {server: [] for server in keys}
     anchor = gateway.balancer.anchor
     assert anchor is not None
     for key in range(1, 400):
         keys[anchor.lookup(key, SEEDS[0]) or 0].append(key)
-    for turn in range(12):  # the same load everywhere
+    for turn in range(12):  # the same load on every server
         for server in keys:
-            opened[server].append(gateway.open(keys[server][turn]))
-    at_home = sum(gateway.server_of[number] == 100 for number in opened[100])
-    # 12 connections are within a strong server's part of 48, and far beyond a weak one's.
-    assert (at_home == 12) == stays
+            requests_by_server[server].append(gateway.open(keys[server][turn]))
+    at_home = sum(gateway.server_of[number] == 100 for number in requests_by_server[100])
+    # 12 connections are within a strong server's share of 48 and far beyond a weak server's.
+    assert (at_home == 12) == stays_at_home
 
 
-def test_the_kinds_names_come_from_the_settings(conf: Config) -> None:
+def test_the_names_of_kinds_come_from_the_settings(conf: Config) -> None:
     assert conf.settings.kinds == ("m",)
