--- a/glenfold/cli/fleet/__init__.py
+++ b/glenfold/cli/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""`glenfold fleet ...`: the instances of one operators' file on this machine.
+"""`glenfold fleet ...`: manages the instances of one operators' file on this machine.
 
-Exit status: 0 done; 1 refused or failed, with the reason; 2 the words or the file are at fault, nothing was
-changed; 3 no supervisor answers. `status` gives 1 if an instance is not ready or a roll was stopped.
+Exit status: 0 done; 1 refused or failed, with the reason; 2 the arguments or the file are invalid, nothing
+was changed; 3 no supervisor answers. `status` exits with 1 if an instance is not ready or a roll was stopped.
 """
 
 import click
@@ -9,13 +9,13 @@
 from glenfold.cli.lazy import LazyGroup
 
 COMMANDS = {
-    name: (f"glenfold.cli.fleet.{name}", line)
-    for name, line in (
-        ("up", "supervise: start the instances, or take over those that run"),
-        ("roll", "restart one after the other, and stop when service suffers"),
-        ("status", "tell how each instance and a roll stand"),
-        ("reload", "have all instances read the file again"),
-        ("release", "start again what is held for ending too often"),
+    name: (f"glenfold.cli.fleet.{name}", summary)
+    for name, summary in (
+        ("up", "start a supervisor, which starts the instances or adopts those that run"),
+        ("roll", "restart one instance after the other; stop if service degrades"),
+        ("status", "show the state of each instance and of a roll"),
+        ("reload", "have all instances reload the file"),
+        ("release", "restart instances that are held because they exited too often"),
         ("down", "stop all instances and the supervisor"),
     )
 }
@@ -23,8 +23,8 @@
 
 @click.group("fleet", cls=LazyGroup, lazy_commands=COMMANDS)
 def command() -> None:
-    """The instances of one operators' file on this machine, and their supervisor.
+    """Manage the instances of one operators' file on this machine, and their supervisor.
 
-    Exit status: 0 done; 1 refused or failed, with the reason; 2 the words or the file are at fault; 3 no
+    Exit status: 0 done; 1 refused or failed, with the reason; 2 the arguments or the file are invalid; 3 no
     supervisor answers.
     """
--- a/glenfold/cli/fleet/down.py
+++ b/glenfold/cli/fleet/down.py
@@ -1,4 +1,4 @@
-"""`glenfold fleet down FILE`."""
+"""`glenfold fleet down FILE`: stops all instances and their supervisor."""
 
 import time
 from pathlib import Path
@@ -20,14 +20,14 @@
 
 @click.command("down")
 @file_argument
-@click.option("--no-wait", is_flag=True, help="Do not wait until all have stopped.")
+@click.option("--no-wait", is_flag=True, help="Do not wait until all instances have stopped.")
 @json_option
 def command(file: Path, no_wait: bool, as_json: bool) -> None:
-    """Stop all instances, each once it has finished what it has taken, and then the supervisor.
+    """Stop all instances after they have finished the work they have accepted, and then the supervisor.
 
-    A roll is called off. Who has not stopped within `fleet.stop_within_s` is killed.
+    A roll is called off. An instance that has not stopped within `fleet.stop_within_s` is killed.
 
-    Exit status: 0 done (with --no-wait: begun), 1 refused, 2 the words or the file are at fault, 3 no
+    Exit status: 0 done (with --no-wait: started), 1 refused, 2 the arguments or the file are invalid, 3 no
     supervisor answers.
     """
     location = supervisor_location(file)
@@ -38,6 +38,7 @@
 
 
 def _is_running(location: Place) -> bool:
+    """Whether the supervisor still answers."""
     try:
         ask_supervisor(location, "status")
     except NoSupervisor:
--- a/glenfold/cli/fleet/release.py
+++ b/glenfold/cli/fleet/release.py
@@ -1,4 +1,4 @@
-"""`glenfold fleet release FILE [NAME]`."""
+"""`glenfold fleet release FILE [NAME]`: restarts instances that are held."""
 
 from pathlib import Path
 
@@ -18,9 +18,9 @@
 @click.argument("name", required=False)
 @json_option
 def command(file: Path, name: str | None, as_json: bool) -> None:
-    """Start the instance NAME again, or all, that are held because they ended too often.
+    """Restart the held instance NAME, or all instances that are held because they exited too often.
 
-    Exit status: 0 done, 1 refused, 2 the words or the file are at fault, 3 no supervisor answers.
+    Exit status: 0 done, 1 refused, 2 the arguments or the file are invalid, 3 no supervisor answers.
     """
     print_answer(
         ask_supervisor(supervisor_location(file), "release", name=name), as_json, lambda _: "released"
--- a/glenfold/cli/fleet/reload.py
+++ b/glenfold/cli/fleet/reload.py
@@ -1,4 +1,4 @@
-"""`glenfold fleet reload FILE`."""
+"""`glenfold fleet reload FILE`: has all instances reload the file."""
 
 from pathlib import Path
 
@@ -17,13 +17,13 @@
 @file_argument
 @json_option
 def command(file: Path, as_json: bool) -> None:
-    """Check FILE and have all instances read it; start those it adds and stop those it no longer names.
+    """Check FILE and have all instances reload it; start the instances it adds and stop those it removes.
 
-    Exit status: 0 done, 1 refused, as while a roll runs, 2 the words or the file are at fault (nothing has
-    changed), 3 no supervisor answers.
+    Exit status: 0 done, 1 refused, such as during a roll, 2 the arguments or the file are invalid (nothing
+    has changed), 3 no supervisor answers.
     """
     print_answer(
         ask_supervisor(supervisor_location(file), "reload"),
         as_json,
-        lambda _: "told all instances to read the file again",
+        lambda _: "all instances were told to reload the file",
     )
--- a/glenfold/cli/fleet/status.py
+++ b/glenfold/cli/fleet/status.py
@@ -1,4 +1,4 @@
-"""`glenfold fleet status FILE`."""
+"""`glenfold fleet status FILE`: shows the state of a fleet and of its roll."""
 
 from pathlib import Path
 from typing import Any
@@ -23,49 +23,49 @@
 @file_argument
 @json_option
 def command(file: Path, as_json: bool) -> None:
-    """Tell how each instance and a roll stand.
+    """Show the state of each instance and of a roll.
 
-    Exit status: 0 all are ready, 1 one is not or a roll was stopped, 2 the words or the file are at fault, 3
-    no supervisor answers.
+    Exit status: 0 all instances are ready, 1 an instance is not ready or a roll was stopped, 2 the arguments
+    or the file are invalid, 3 no supervisor answers.
     """
     status = ask_supervisor(supervisor_location(file), "status")
     if as_json:
         print_answer(status, True, str)
     else:
-        _print_tables(status)
-    well = all(one["phase"] == "ready" for one in status["instances"])
-    if not well or (status["roll"] and not status["roll"]["running"]):
+        _print_status(status)
+    all_ready = all(instance["phase"] == "ready" for instance in status["instances"])
+    if not all_ready or (status["roll"] and not status["roll"]["running"]):
         raise SystemExit(Failed.exit_code)
 
 
-def _print_tables(status: dict[str, Any]) -> None:
-    table = Table("instance", "stands", "its life", "pid", "for s", "starts", *SHOWN_COUNTERS, "last end")
-    for one in status["instances"]:
-        counted = (str(one["counters"].get(name, "")) for name in SHOWN_COUNTERS)
-        stands = one["phase"] + (", being replaced" if one["replacing"] else "")
-        stands += f", {one['leaving']} leaving" if one["leaving"] else ""
+def _print_status(status: dict[str, Any]) -> None:
+    table = Table("instance", "phase", "state", "pid", "for s", "starts", *SHOWN_COUNTERS, "last exit")
+    for instance in status["instances"]:
+        counters = (str(instance["counters"].get(name, "")) for name in SHOWN_COUNTERS)
+        phase = instance["phase"] + (", being replaced" if instance["replacing"] else "")
+        phase += f", {instance['leaving']} leaving" if instance["leaving"] else ""
         table.add_row(
-            one["name"],
-            stands,
-            one["state"] or "",
-            str(one["pid"] or ""),
-            f"{one['for_s']:.0f}",
-            str(one["starts"]),
-            *counted,
-            one["last_end"],
+            instance["name"],
+            phase,
+            instance["state"] or "",
+            str(instance["pid"] or ""),
+            f"{instance['for_s']:.0f}",
+            str(instance["starts"]),
+            *counters,
+            instance["last_end"],
         )
     console = Console()
     console.print(table)
     service = status["service"]
     console.print(
-        f"service: {service['asked']} requests ended lately, {service['refused']:.1%} refused, "
+        f"service: {service['asked']} requests ended recently, {service['refused']:.1%} refused, "
         f"{service['unanswered']:.1%} unanswered"
     )
     if roll := status["roll"]:
-        stands = "runs" if roll["running"] else f"was stopped: {roll['reason']}"
+        roll_state = "is running" if roll["running"] else f"was stopped: {roll['reason']}"
         console.print(
-            f"roll {stands}; {len(roll['done'])} done, out: {', '.join(roll['out']) or 'none'}, "
-            f"to come: {', '.join(roll['todo']) or 'none'}",
+            f"roll {roll_state}; {len(roll['done'])} done, out: {', '.join(roll['out']) or 'none'}, "
+            f"pending: {', '.join(roll['todo']) or 'none'}",
             markup=False,
             highlight=False,
         )
--- a/glenfold/cli/fleet/supervisor_client.py
+++ b/glenfold/cli/fleet/supervisor_client.py
@@ -1,4 +1,4 @@
-"""What the commands share: asking the supervisor of a file, and their exit statuses."""
+"""Functions that the fleet commands share: they ask a file's supervisor and define the exit statuses."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -12,42 +12,48 @@
 from glenfold.daemon.fleet_orders import folder_of
 from glenfold.daemon.supervisor import FileRefused, Place
 
-ANSWER_TIMEOUT_S = 10.0  # a roll's file is checked meanwhile
+ANSWER_TIMEOUT_S = 10.0  # The supervisor checks the file of a roll before it answers.
 
 file_argument = click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 
 
 class Failed(click.ClickException):
-    """Refused, or it did not come to the end that was asked for."""
+    """Raised when the supervisor refused a command, or when a roll was stopped."""
 
     exit_code = 1
 
 
 class InvalidFile(click.ClickException):
-    """The file is; nothing was changed."""
+    """Raised when the operators' file is invalid; nothing was changed."""
 
     exit_code = 2
 
 
 class NoSupervisor(click.ClickException):
-    """No supervisor answers."""
+    """Raised when no supervisor answers."""
 
     exit_code = 3
 
 
 def supervisor_location(file: Path) -> Place:
+    """Returns where the supervisor of `file` has its socket. Raises InvalidFile."""
     try:
         return Place(folder_of(file))
     except FileRefused as error:
         raise InvalidFile(str(error)) from error
 
 
-def ask_supervisor(location: Place, word: str, **more: Any) -> dict[str, Any]:
-    """Raises Nobody if none answers, Failed or Faulty if what was asked for is refused."""
+def ask_supervisor(location: Place, word: str, **fields: Any) -> dict[str, Any]:
+    """Sends the command `word` with `fields` to the supervisor, and returns its answer.
+
+    Raises NoSupervisor if none answers, and Failed or InvalidFile if the supervisor refuses.
+    """
 
     async def main() -> dict[str, Any]:
-        _, answer = await ask(location.socket, {"ask": word, **more}, trio.current_time() + ANSWER_TIMEOUT_S)
+        _, answer = await ask(
+            location.socket, {"ask": word, **fields}, trio.current_time() + ANSWER_TIMEOUT_S
+        )
         return answer
 
     try:
@@ -62,5 +68,6 @@
     return answer
 
 
-def print_answer(answer: dict[str, Any], as_json: bool, words: Callable[[dict[str, Any]], object]) -> None:
-    click.echo(msgspec.json.encode(answer).decode() if as_json else words(answer))
+def print_answer(answer: dict[str, Any], as_json: bool, to_text: Callable[[dict[str, Any]], object]) -> None:
+    """Prints the answer as JSON, or as `to_text` phrases it."""
+    click.echo(msgspec.json.encode(answer).decode() if as_json else to_text(answer))
--- a/glenfold/cli/fleet/up.py
+++ b/glenfold/cli/fleet/up.py
@@ -1,4 +1,4 @@
-"""`glenfold fleet up FILE`."""
+"""`glenfold fleet up FILE`: runs the supervisor of a fleet."""
 
 import signal
 from collections.abc import AsyncIterator
@@ -16,12 +16,12 @@
 @click.command("up")
 @file_argument
 def command(file: Path) -> None:
-    """Supervise the instances of FILE: start them, or take over those that run, until `fleet down`.
+    """Supervise the instances of FILE: start them, or adopt those that run, until `fleet down`.
 
-    SIGTERM and SIGINT end the supervisor alone, and the relays serve on; SIGHUP is `fleet reload`.
+    SIGTERM and SIGINT end only the supervisor, and the relays keep serving; SIGHUP acts as `fleet reload`.
 
-    Exit status: 0 the fleet went down or the supervisor was told to end, 1 another supervisor runs or the
-    machine refused something, 2 the words or the file are at fault.
+    Exit status: 0 the fleet was stopped or the supervisor was told to end, 1 another supervisor is running or
+    the operating system reported an error, 2 the arguments or the file are invalid.
     """
     logs.begin(logs.Terms(), "supervisor")
     try:
@@ -35,10 +35,11 @@
 
 
 def _joined_messages(group: BaseExceptionGroup[BaseException]) -> str:
-    leaves: list[str] = []
+    """Returns the messages of all exceptions in a group and its nested groups."""
+    messages: list[str] = []
     for inner in group.exceptions:
-        leaves.append(_joined_messages(inner) if isinstance(inner, BaseExceptionGroup) else str(inner))
-    return "; ".join(leaves)
+        messages.append(_joined_messages(inner) if isinstance(inner, BaseExceptionGroup) else str(inner))
+    return "; ".join(messages)
 
 
 async def _supervise(supervisor: Supervisor) -> None:
@@ -52,8 +53,8 @@
 async def _handle_signals(
     signals: AsyncIterator[int], supervisor: Supervisor, scope: trio.CancelScope
 ) -> None:
-    async for number in signals:
-        if number == signal.SIGHUP:
+    async for signal_number in signals:
+        if signal_number == signal.SIGHUP:
             supervisor.reload()
         else:
             scope.cancel()
