--- a/glenfold/cli/__init__.py
+++ b/glenfold/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module a command, each imported only when it is called."""
+"""The command line. Each command has a module of its own, which is imported only when it is called."""
--- a/glenfold/cli/check.py
+++ b/glenfold/cli/check.py
@@ -1,4 +1,4 @@
-"""`glenfold check`: whether operators' files are sound, before anything starts."""
+"""`glenfold check`: validates operators' files before anything is started."""
 
 import click
 
@@ -9,19 +9,19 @@
 @click.command("check")
 @click.argument("files", nargs=-1, required=True, type=click.Path(), metavar="FILE...")
 def command(files: tuple[str, ...]) -> None:
-    """Tell all that is amiss with operators' files, by line and key, and with this machine for them.
+    """Report every error in operators' files by line and key, also where a file does not fit this machine.
 
-    Nothing is started and nothing written. Exit status: 0 all are sound, 2 one is not.
+    Nothing is started and nothing is written. Exit status: 0 all files are valid, 2 a file is invalid.
     """
-    bad = False
+    any_invalid = False
     for file in files:
         try:
             operators = read(file)
         except Faults as error:
-            bad = True
+            any_invalid = True
             error.show()
         else:
             count = len(operators.numbers)
             click.echo(f"{file}: sound, {count} instance{'s' * (count > 1)}")
-    if bad:
+    if any_invalid:
         raise SystemExit(Faults.exit_code)
--- a/glenfold/cli/config.py
+++ b/glenfold/cli/config.py
@@ -1,4 +1,4 @@
-"""`glenfold config show`: what holds, and where each value came from."""
+"""`glenfold config show`: prints the effective values of an operators' file and the origin of each."""
 
 import json
 from typing import Any
@@ -11,25 +11,31 @@
 
 @click.group("config")
 def command() -> None:
-    """What an operators' file amounts to.
+    """Show the effective configuration of an operators' file.
 
-    Exit status: 0 done, 2 the words or the file are at fault.
+    Exit status: 0 done, 2 the arguments or the file are invalid.
     """
 
 
 @command.command("show")
 @click.argument("file", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="For machines: values with origins, and all instances.")
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="Print one JSON object with the values, their origins and all instances.",
+)
 def show(file: str, as_json: bool) -> None:
-    """Print every value that holds with where it came from, and where each instance is.
+    """Print every effective value with its origin, and the name, addresses and socket of each instance.
 
-    The output is an operators' file itself. Exit status: 0 done, 2 the file is at fault.
+    The output is a valid operators' file. Exit status: 0 done, 2 the file is invalid.
     """
     operators = read(file)
     click.echo(to_json(operators) if as_json else "\n".join(to_toml_lines(operators)))
 
 
 def to_json(operators: Operators) -> str:
+    """Returns the values, their origins and the instances of the file as one JSON object."""
     return json.dumps(
         {
             "file": str(operators.path),
@@ -43,23 +49,24 @@
     )
 
 
-def _instance_fields(place: Place) -> dict[str, Any]:
+def _instance_fields(location: Place) -> dict[str, Any]:
     return {
-        "number": place.number,
-        "name": place.name,
-        "listeners": [f"{host}:{port}" for host, port in place.listeners],
+        "number": location.number,
+        "name": location.name,
+        "listeners": [f"{host}:{port}" for host, port in location.listeners],
         **{
             part: None if path is None else str(path)
             for part, path in (
-                ("folder", place.folder),
-                ("control", place.socket),
-                ("snapshots", place.snapshots),
+                ("folder", location.folder),
+                ("control", location.socket),
+                ("snapshots", location.snapshots),
             )
         },
     }
 
 
 def to_toml_lines(operators: Operators) -> list[str]:
+    """Returns the lines of an operators' file with the same values; origins and instances are comments."""
     lines, table = [], ""
     for value in operators.effective():
         owner, _, name = value.key.rpartition(".")
@@ -71,21 +78,26 @@
 
 
 def _value_line(name: str, value: Value) -> str:
-    """What has no value can only be told in a comment."""
-    told = f"# {name}: none" if value.value is None else f"{name} = {toml_value(value.value)}"
-    return f"{told:44} # {value.origin}"
+    """Returns one key as a line of TOML. A key without a value is a comment, as TOML has no null."""
+    text = f"# {name}: none" if value.value is None else f"{name} = {toml_value(value.value)}"
+    return f"{text:44} # {value.origin}"
 
 
 def toml_value(value: Any) -> str:
-    """Lists, and tables of any keys, inline. JSON writes all else as TOML does, but for one character."""
+    """Returns `value` as TOML, with lists and tables inline.
+
+    Other values have the same text in JSON, except that TOML requires DEL (U+007F) to be escaped.
+    """
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{toml_value(name)} = {toml_value(one)}" for name, one in value.items()) + "}"
+        return (
+            "{" + ", ".join(f"{toml_value(name)} = {toml_value(item)}" for name, item in value.items()) + "}"
+        )
     if isinstance(value, tuple | list):
         return "[" + ", ".join(map(toml_value, value)) + "]"
     return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
 
 
-def _instance_comment(place: Place) -> str:
-    number = "" if place.number is None else f" {place.number}"
-    listeners = ", ".join(f"{host}:{port}" for host, port in place.listeners)
-    return f"# instance{number}: {place.name} on {listeners}; control socket {place.socket or 'none'}"
+def _instance_comment(location: Place) -> str:
+    number = "" if location.number is None else f" {location.number}"
+    listeners = ", ".join(f"{host}:{port}" for host, port in location.listeners)
+    return f"# instance{number}: {location.name} on {listeners}; control socket {location.socket or 'none'}"
--- a/glenfold/cli/drain.py
+++ b/glenfold/cli/drain.py
@@ -1,4 +1,4 @@
-"""`glenfold drain`: an instance finishes what it has taken, and ends."""
+"""`glenfold drain`: has one instance finish the work it has accepted, and exit."""
 
 from pathlib import Path
 
@@ -21,19 +21,20 @@
 @click.command("drain")
 @file_argument
 @instance_option
-@click.option("--wait", is_flag=True, help="Return only when its process has ended.")
+@click.option("--wait", is_flag=True, help="Return only after the process of the instance has exited.")
 @json_option
 def command(file: Path, instance: int | None, wait: bool, as_json: bool) -> None:
-    """Have one instance finish all that it has taken, and end, as SIGTERM does.
+    """Have one instance finish the work it has accepted, and exit, as on SIGTERM.
 
-    A supervisor starts an instance that ends anew; `glenfold fleet down` ends them all.
+    A supervisor restarts an instance that exits; `glenfold fleet down` stops all of them.
 
-    Exit status: 0 done, 1 it refused, 2 the file is at fault, 3 it does not answer.
+    Exit status: 0 done, 1 the instance refused, 2 the arguments or the file are invalid, 3 the instance does
+    not answer.
     """
-    found = locate_instances(file, instance, one_only=True)
-    process = _find_process(ask_all(found, "counters")[0].get("pid"))
-    answers = ask_all(found, "drain")
-    print_answers(answers, as_json, [outcome_line(answer, "told to finish and end") for answer in answers])
+    locations = locate_instances(file, instance, one_only=True)
+    process = _find_process(ask_all(locations, "counters")[0].get("pid"))
+    answers = ask_all(locations, "drain")
+    print_answers(answers, as_json, [outcome_line(answer, "drain started") for answer in answers])
     status = exit_status(answers, ["refused" not in answer for answer in answers])
     if wait and status == 0 and process is not None:
         trio.run(process.end)
@@ -41,6 +42,9 @@
 
 
 def _find_process(pid: int | None) -> Owned | None:
-    """Found while it answers, and before it is told to end: then the id can't be a stranger's yet."""
+    """Returns a handle on the instance's process, or None if it does not run.
+
+    Must be called before the instance is told to drain: after that, `pid` may belong to another process.
+    """
     name = None if pid is None else name_of(pid)
     return None if name is None else Owned.find(name)
--- a/glenfold/cli/reload.py
+++ b/glenfold/cli/reload.py
@@ -1,4 +1,4 @@
-"""`glenfold reload`: instances read their file again."""
+"""`glenfold reload`: has instances reload their file."""
 
 from pathlib import Path
 
@@ -22,12 +22,13 @@
 @instance_option
 @json_option
 def command(file: Path, instance: int | None, as_json: bool) -> None:
-    """Have instances read their file again; a faulty one changes nothing.
+    """Have instances reload their file; an invalid file changes nothing.
 
-    What changed and needs a restart is told. Where a supervisor runs, `glenfold fleet reload` is what takes a
-    new file to its instances.
+    The output names the changed settings that need a restart. Under a supervisor, use `glenfold fleet reload`
+    to pass a new file to the instances.
 
-    Exit status: 0 done, 1 one refused or does not answer, 2 the file is at fault, 3 none answers.
+    Exit status: 0 done, 1 an instance refused or does not answer, 2 the arguments or the file are invalid, 3
+    no instance answers.
     """
     answers = ask_all(locate_instances(file, instance), "reload")
     print_answers(answers, as_json, [outcome_line(answer, _success_text(answer)) for answer in answers])
--- a/glenfold/cli/replica.py
+++ b/glenfold/cli/replica.py
@@ -1,4 +1,4 @@
-"""`glenfold replica`: one control replica, until it is told to stop."""
+"""`glenfold replica`: runs one control replica until it is told to stop."""
 
 from pathlib import Path
 
@@ -11,23 +11,23 @@
 
 @click.command("replica")
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--check", is_flag=True, help="Only tell whether FILE is sound.")
+@click.option("--check", is_flag=True, help="Only report whether FILE is valid.")
 def command(file: Path, check: bool) -> None:
-    """Run a control replica in the foreground: it follows discovery or other replicas, and serves the same
-    lists and watches.
+    """Run a control replica in the foreground: the replica follows discovery or other replicas and serves
+    the same lists and watches.
 
-    SIGTERM and SIGINT have it end its watches one after the other and end, SIGHUP has it read its file again,
-    SIGUSR1 log its counters.
+    On SIGTERM and SIGINT the replica ends its watches one after the other and exits, on SIGHUP it reloads its
+    file, on SIGUSR1 it logs its counters.
 
-    Exit status: 0 it has finished, 1 it failed, 2 the file is at fault, 4 it can't listen where the file
-    says.
+    Exit status: 0 the replica has finished, 1 it failed, 2 the arguments or the file are invalid, 4 it can't
+    listen on the configured address.
     """
     try:
-        terms = read(file)
+        options = read(file)
     except Faults as error:
         error.show()
         raise SystemExit(Faults.exit_code) from None
     if check:
         click.echo(f"{file}: sound")
         return
-    raise SystemExit(int(main(file, terms)))
+    raise SystemExit(int(main(file, options)))
--- a/glenfold/cli/run.py
+++ b/glenfold/cli/run.py
@@ -1,4 +1,4 @@
-"""`glenfold run`: one instance of an operators' file."""
+"""`glenfold run`: runs one instance of an operators' file."""
 
 from pathlib import Path
 
@@ -12,28 +12,29 @@
 
 @click.command("run")
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--instance", type=int, metavar="N", help="Which one of a fleet's: 1 and up.")
+@click.option("--instance", type=int, metavar="N", help="The number of one instance of a fleet, from 1.")
 @click.option(
     "--base",
     type=click.Path(file_okay=False, path_type=Path),
     metavar="DIR",
-    help="What paths in FILE are relative to, if not to its folder.",
+    help="The folder that paths in FILE are relative to; by default the folder of FILE.",
 )
 def command(file: Path, instance: int | None, base: Path | None) -> None:
     """Run one instance of an operators' file in the foreground.
 
-    SIGTERM and SIGINT have it finish all that it has taken and end, SIGHUP has it read its file again,
-    SIGUSR1 log its counters. Where an instance of that name runs, this one takes over from it.
+    On SIGTERM and SIGINT the instance finishes the work it has accepted and exits, on SIGHUP it reloads its
+    file, on SIGUSR1 it logs its counters. If an instance of the same name is running, this one takes over
+    from it.
 
-    Exit status: 0 it has finished, 1 it failed, 2 the file is at fault, 3 another instance of that name
-    runs and goes on, 4 it can't listen where the file says.
+    Exit status: 0 the instance has finished, 1 it failed, 2 the arguments or the file are invalid, 3 another
+    instance of the same name is running and continues, 4 it can't listen on a configured address.
     """
     try:
-        one = Run(read(file, base), instance)
+        run = Run(read(file, base), instance)
     except Faults as error:
         error.show()
         raise SystemExit(Faults.exit_code) from None
     except ConfigError as error:
         click.echo(f"{file}: {error}", err=True)
         raise SystemExit(Faults.exit_code) from None
-    raise SystemExit(int(one.main()))
+    raise SystemExit(int(run.main()))
--- a/glenfold/cli/status.py
+++ b/glenfold/cli/status.py
@@ -1,4 +1,4 @@
-"""`glenfold status`: how instances stand, by their own word."""
+"""`glenfold status`: shows the state that instances report."""
 
 from pathlib import Path
 
@@ -21,9 +21,10 @@
 @instance_option
 @json_option
 def command(file: Path, instance: int | None, as_json: bool) -> None:
-    """Tell how the instances of an operators' file stand, by their own word.
+    """Show the state that the instances of an operators' file report.
 
-    Exit status: 0 all are ready, 1 one is not or does not answer, 2 the file is at fault, 3 none answers.
+    Exit status: 0 all instances are ready, 1 an instance is not ready or does not answer, 2 the arguments or
+    the file are invalid, 3 no instance answers.
     """
     answers = ask_all(locate_instances(file, instance), "status")
     print_answers(answers, as_json, [status_line(answer) for answer in answers])
@@ -31,14 +32,19 @@
 
 
 def status_line(answer: Answer) -> str:
+    """Returns one line on an instance: its status, or why it did not answer or refused."""
     if "state" not in answer:
         return f"{answer['instance']}: {answer.get('silent') or answer.get('refused')}"
-    told, held = answer["list"], answer["connections"]
-    age = "not heard of" if told["age_s"] is None else f"heard of {told['age_s']:.1f} s ago"
-    version = "no list" if told["version"] is None else f"list {told['version']} of {told['servers']}"
+    server_list, connections = answer["list"], answer["connections"]
+    age = "not confirmed" if server_list["age_s"] is None else f"confirmed {server_list['age_s']:.1f} s ago"
+    version = (
+        "no list"
+        if server_list["version"] is None
+        else f"list {server_list['version']} with {server_list['servers']} servers"
+    )
     snapshot = "" if answer["snapshot"] is None else f", snapshot {_snapshot_age(answer['snapshot'])}"
     state = f"{answer['instance']}: {answer['state']} for {answer['since_s']:.0f} s"
-    load = f"{held['standing']} standing, {held['unanswered']} unanswered"
+    load = f"{connections['standing']} standing, {connections['unanswered']} unanswered"
     return f"{state}, process {answer['pid']}, {load}, {version}, {age}{snapshot}"
 
 
