--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line as a whole: its page has all of it, and a shell can complete it."""
+"""The whole command line: the page for operators documents every command, and shells complete commands."""
 
 import os
 import re
@@ -17,51 +17,53 @@
 PAGE = ROOT / "docs/operators/command-line.md"
 
 
-def tree(command, words):
+def walk_commands(command, words):
+    """Yields the full name, the command and the click context of `command` and of all its subcommands."""
     context = click.Context(command, info_name=words[-1])
     yield " ".join(words), command, context
     if isinstance(command, click.Group):
         for name in command.list_commands(context):
-            inner = command.get_command(context, name)
-            assert inner is not None
-            yield from tree(inner, (*words, name))
+            subcommand = command.get_command(context, name)
+            assert subcommand is not None
+            yield from walk_commands(subcommand, (*words, name))
 
 
-COMMANDS = {words: (command, context) for words, command, context in tree(main, ("glenfold",))}
+COMMANDS = {words: (command, context) for words, command, context in walk_commands(main, ("glenfold",))}
 
 
-def statuses(text: str) -> set[str]:
-    told = re.search(r"Exit status.*?: (.+?)(\n\n|$)", text, re.S)
-    return set(re.findall(r"(?:^|[,;]\s+)(\d+)\s", told[1])) if told else set()
+def exit_statuses(text: str) -> set[str]:
+    """The numbers that the sentence "Exit status ..." of a text lists."""
+    sentence = re.search(r"Exit status.*?: (.+?)(\n\n|$)", text, re.S)
+    return set(re.findall(r"(?:^|[,;]\s+)(\d+)\s", sentence[1])) if sentence else set()
 
 
 @pytest.mark.parametrize("words", COMMANDS)
-def test_the_page_has_it_with_arguments_options_and_exit_statuses(words):
+def test_the_page_documents_the_arguments_options_and_exit_statuses_of_each_command(words):
     command, context = COMMANDS[words]
     section = re.search(rf"(?m)^#+ `{words}((?: [A-Z.\[\]]+)*)`\n((?:(?!^#).*\n)*)", PAGE.read_text())
     assert section is not None
-    given = command.get_params(context)
-    arguments = [one for one in given if isinstance(one, click.Argument)]
-    assert section[1].split() == [one.make_metavar(context) for one in arguments]
+    parameters = command.get_params(context)
+    arguments = [parameter for parameter in parameters if isinstance(parameter, click.Argument)]
+    assert section[1].split() == [argument.make_metavar(context) for argument in arguments]
     options = {
         option
-        for one in given
-        if isinstance(one, click.Option)
-        for option in one.opts
+        for parameter in parameters
+        if isinstance(parameter, click.Option)
+        for option in parameter.opts
         if option.startswith("--")
     }
     assert set(re.findall(r"(?m)^\| `(--[a-z-]+)", section[2])) == options - {"--help"}
-    assert {"0", "2"} <= statuses(section[2]) == statuses(command.help or "")
+    assert {"0", "2"} <= exit_statuses(section[2]) == exit_statuses(command.help or "")
 
 
-def test_the_page_has_nothing_else():
-    named = re.findall(r"(?m)^#+ `(glenfold[a-z -]*?)(?: [A-Z\[].*)?`$", PAGE.read_text())
-    assert sorted(named) == sorted(COMMANDS)
+def test_the_page_documents_no_other_command():
+    documented = re.findall(r"(?m)^#+ `(glenfold[a-z -]*?)(?: [A-Z\[].*)?`$", PAGE.read_text())
+    assert sorted(documented) == sorted(COMMANDS)
 
 
 # ---- completion ----
 
-ASKED = {
+COMPLETION_SCRIPTS = {
     "bash": """source <(glenfold completion bash); COMP_WORDS=(glenfold lab re); COMP_CWORD=2
                _glenfold_completion glenfold; echo "${COMPREPLY[@]}" """,
     "zsh": """compdef() { }; _describe() { print -r -- ${(P)3%%:*} }; eval "$(glenfold completion zsh)"
@@ -72,21 +74,26 @@
 
 @pytest.fixture
 def run(tmp_path: Path) -> Callable[..., subprocess.CompletedProcess[str]]:
-    """Where `glenfold` is a command. A configuration is there, too, that must not start a relay."""
+    """Runs a command with `glenfold` on its PATH.
+
+    LB_CONFIG is set as on the platform: a completion request, which has no arguments, must not start a relay.
+    """
     (tmp_path / "glenfold").write_text(f'#!/bin/sh\nexec "{sys.executable}" -m glenfold "$@"\n')
     (tmp_path / "glenfold").chmod(0o755)
-    place = {
+    environment = {
         "PATH": f"{tmp_path}:{os.environ['PATH']}",
         "PYTHONPATH": str(ROOT),
         "HOME": str(tmp_path),
         "LB_CONFIG": str(tmp_path / "none.json"),
     }
-    return lambda *words, **more: subprocess.run(words, env=place | more, capture_output=True, text=True)
+    return lambda *words, **variables: subprocess.run(
+        words, env=environment | variables, capture_output=True, text=True
+    )
 
 
-@pytest.mark.parametrize("shell", ASKED)
-def test_its_script_completes_in_the_shell(shell, run):
+@pytest.mark.parametrize("shell", COMPLETION_SCRIPTS)
+def test_the_completion_script_completes_a_word_in_the_shell(shell, run):
     if shutil.which(shell) is None:
-        pytest.skip(f"there is no {shell} here")
-    done = run(shell, "-c", ASKED[shell])
-    assert (done.stdout.strip(), done.stderr) == ("report", "")
+        pytest.skip(f"{shell} is not installed")
+    completed = run(shell, "-c", COMPLETION_SCRIPTS[shell])
+    assert (completed.stdout.strip(), completed.stderr) == ("report", "")
