--- a/glenfold/replica/list_taking.py
+++ b/glenfold/replica/accepted_lists.py
@@ -10,37 +10,37 @@
 from glenfold.rules.source_lease import LEASE_S, SourceLease
 from glenfold.rules.succession import Received, Succession, Verdict
 
-AFTER_LEASE_S = 0.01  # until it is looked whether the lease has run out
+LEASE_CHECK_DELAY_S = 0.01  # until it is looked whether the lease has run out
 
-Settle = Callable[[], Awaitable[None]]
+AfterPublish = Callable[[], Awaitable[None]]
 
 
-class ListTaking:
+class AcceptedLists:
     """Publishes what is newer, one document after the other, and what the source renewed. `settled` is
     awaited after each document that was published."""
 
-    def __init__(self, succession: Succession, publisher: Publisher, settled: Settle) -> None:
+    def __init__(self, succession: Succession, publisher: Publisher, after_publish: AfterPublish) -> None:
         self.succession = succession
         self.lease = SourceLease()
         self.documents = 0  # taken since the start
         self._publisher = publisher
-        self._settled = settled
-        self._taking = trio.Lock()
-        self._held = trio.Event()  # the lease holds
+        self._after_publish = after_publish
+        self._accept_lock = trio.Lock()
+        self._lease_holds = trio.Event()  # the lease holds
 
-    async def take(self, call: Call, body: Body, after: int) -> Verdict | None:
+    async def accept(self, call: Call, body: Body, after: int) -> Verdict | None:
         """Why it was not taken, if it was not. `after`: the revision whose successor a change is."""
         if body.left_out:
             events.list_entry_left_out(fault=f"{body.left_out} entries are no objects")
-        async with self._taking:
+        async with self._accept_lock:
             received = Received(call.origin, body.revision, body.whole, body.entries, after)
-            judged = self.succession.judge(received)
-            if not isinstance(judged, ListDocument):
-                return judged
+            verdict = self.succession.judge(received)
+            if not isinstance(verdict, ListDocument):
+                return verdict
             self.documents += 1
             with trio.CancelScope(shield=True):  # what is published is settled, whatever cuts in
-                self._publisher.publish(judged)
-                await self._settled()
+                self._publisher.publish(verdict)
+                await self._after_publish()
         await trio.lowlevel.checkpoint_if_cancelled()
         return None
 
@@ -50,7 +50,7 @@
             return
         self._publisher.renew(renewed_at_s)
         if self.lease.holds(trio.current_time()):
-            self._held.set()
+            self._lease_holds.set()
 
     def age_s(self) -> float:
         """Since the source last renewed."""
@@ -59,8 +59,8 @@
     async def expire(self) -> None:
         """Tells each time that the lease has run out, until it is cancelled."""
         while True:
-            await self._held.wait()
+            await self._lease_holds.wait()
             while self.lease.holds(trio.current_time()):
-                await trio.sleep_until(self.lease.renewed_at_s + LEASE_S + AFTER_LEASE_S)
-            self._held = trio.Event()
+                await trio.sleep_until(self.lease.renewed_at_s + LEASE_S + LEASE_CHECK_DELAY_S)
+            self._lease_holds = trio.Event()
             self._publisher.stale()
--- a/glenfold/replica/earlier_changes.py
+++ b/glenfold/replica/earlier_changes.py
@@ -4,7 +4,7 @@
 
 from glenfold.config.platform import Parent
 from glenfold.destinations import BadList
-from glenfold.replica.parent_watch import FAULTS, Call, call
+from glenfold.replica.parent_watch import CALL_ERRORS, Call, open_call
 from glenfold.rules.replication import ListDocument, Position
 
 OK = 200
@@ -14,20 +14,20 @@
     """The changes after `since` that lead to that position; none if the parent does not go back so far, has
     joined them with later ones, or can't be asked. A call of its own, that ends with them."""
     try:
-        found = await call(parent, since, upto.incarnation)
-    except FAULTS:
+        call = await open_call(parent, since, upto.incarnation)
+    except CALL_ERRORS:
         return ()
     try:
-        return await _read(found, upto) if found.status == OK else ()
-    except (*FAULTS, BadList):
+        return await _read(call, upto) if call.status == OK else ()
+    except (*CALL_ERRORS, BadList):
         return ()
     finally:
-        found.close()
+        call.close()
 
 
-async def _read(found: Call, upto: Position) -> Sequence[ListDocument]:
+async def _read(call: Call, upto: Position) -> Sequence[ListDocument]:
     changes: list[ListDocument] = []
-    async for body in found.lines():
+    async for body in call.lines():
         if body is None or body.whole or body.revision > upto.revision:
             break
         position = Position(upto.incarnation, body.revision)
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -15,13 +15,13 @@
 from glenfold.rules.replication import INCARNATION_FIELD
 from glenfold.rules.succession import Origin
 
-ANSWER_S = 1.0  # from a call to the head of its answer
-WHOLE_S = 6.0  # for a whole list that comes in steadily
+ANSWER_TIMEOUT_S = 1.0  # from a call to the head of its answer
+WHOLE_LIST_TIMEOUT_S = 6.0  # for a whole list that comes in steadily
 PATH = "/v1/servers"
-MOST_READ = 1 << 18  # bytes at once
+MAX_READ_BYTES = 1 << 18  # bytes at once
 GONE = 410  # the revision asked for is of the future there, or of another history
 # Of a call that has failed, or whose answer is none.
-FAULTS = (
+CALL_ERRORS = (
     OSError,
     trio.TooSlowError,
     trio.BrokenResourceError,
@@ -71,19 +71,19 @@
         self.status = response.status_code
         self.greeting: Greeting = read_greeting(response.headers)
         self.origin = Origin(parent.address, self.greeting.incarnation)
-        self.began_at_s = trio.current_time()
+        self.started_at_s = trio.current_time()
         self._stream = stream
         self._exchange = exchange
 
     @property
     def renewed_at_s(self) -> float:
         """By what the answer's head says; of the source itself, what it will say."""
-        return self.began_at_s - self.greeting.age_s
+        return self.started_at_s - self.greeting.age_s
 
     async def whole(self) -> Body:
         """The body of an answer that is one list. Raises BadList."""
         body = bytearray()
-        with trio.fail_at(self.began_at_s + WHOLE_S):
+        with trio.fail_at(self.started_at_s + WHOLE_LIST_TIMEOUT_S):
             while (part := await self._exchange.part(_receive)) is not None:
                 body += part
                 if len(body) > LONGEST_LINE:
@@ -115,12 +115,12 @@
         self._stream.socket.close()
 
 
-async def call(parent: Parent, revision: int | None, incarnation: int | None) -> Call:
+async def open_call(parent: Parent, revision: int | None, incarnation: int | None) -> Call:
     """A watch from that revision, None: the whole list. `incarnation`: None if it is not known. Raises
     OSError, h11.ProtocolError, trio.TooSlowError, trio.BrokenResourceError and BadGreeting."""
     target = PATH if revision is None else f"{PATH}?watch=1&from={revision}"
     fields = [] if incarnation is None else [(INCARNATION_FIELD, str(incarnation))]
-    with trio.fail_at(trio.current_time() + ANSWER_S):
+    with trio.fail_at(trio.current_time() + ANSWER_TIMEOUT_S):
         stream = await trio.open_tcp_stream(*parent.address)
         try:
             exchange = Exchange(h11.Connection(h11.CLIENT), stream)
@@ -132,4 +132,4 @@
 
 
 async def _receive(stream: trio.SocketStream) -> bytes:
-    return bytes(await stream.receive_some(MOST_READ))
+    return bytes(await stream.receive_some(MAX_READ_BYTES))
--- a/glenfold/replica/relay_lists.py
+++ b/glenfold/replica/relay_lists.py
@@ -12,7 +12,7 @@
 from glenfold.rules.parent_choice import ParentChoice
 from glenfold.rules.replication import ListDocument
 from glenfold.rules.succession import Succession
-from linnetspread import interface as i
+from linnetspread import interface
 
 
 class RelayLists:
@@ -23,15 +23,15 @@
         self, config: Config, decisions: Decisions, destinations: DestinationSet, counters: Counters
     ) -> None:
         assert config.parents is not None
-        told = config.parents
+        listed = config.parents
         self._decisions = decisions
         self._destinations = destinations
         self._counters = counters
-        self._said = ""
-        self._untold: i.ServerList | None = None
+        self._last_reported = ""
+        self._unsent_list: interface.ServerList | None = None
         self._succession = Succession()
-        choice = ParentChoice(told.parents, told.zone, told.region, random.Random(config.seed))
-        self._follower = Follower(choice, self._succession, self, settled=self._tell)
+        choice = ParentChoice(listed.parents, listed.zone, listed.region, random.Random(config.seed))
+        self._follower = Follower(choice, self._succession, self, after_publish=self._submit)
 
     @property
     def heard_at(self) -> float:
@@ -52,16 +52,16 @@
     # ---- what the follower tells ----
 
     def publish(self, document: ListDocument) -> None:
-        """Takes a list or change in; `_tell` is awaited before the next."""
+        """Takes a list or change in; `_submit` is awaited before the next."""
         revision, entries = document.position.revision, document.entries
-        read = {"seq": revision, "whole": document.whole, "hosts": entries}
-        self._untold = self._destinations.read(read)
-        self._said = note_taken(self._destinations, self._counters, self._said)
+        document_fields = {"seq": revision, "whole": document.whole, "hosts": entries}
+        self._unsent_list = self._destinations.read(document_fields)
+        self._last_reported = note_taken(self._destinations, self._counters, self._last_reported)
 
-    async def _tell(self) -> None:
-        told, self._untold = self._untold, None
-        if told is not None:
-            await self._decisions.tell(told)
+    async def _submit(self) -> None:
+        server_list, self._unsent_list = self._unsent_list, None
+        if server_list is not None:
+            await self._decisions.tell(server_list)
 
     def renew(self, renewed_at_s: float) -> None:
         """`heard_at` tells it."""
--- a/glenfold/replica/server.py
+++ b/glenfold/replica/server.py
@@ -36,17 +36,19 @@
 
 END_OF_LINE = b"\n"
 SEND_BUFFER_BYTES = 128 * 1024  # of the kernel, for each child
-LIST_WITHIN_S = 15.0  # for a child to take a whole list
-MOST_UNASKED_BYTES = 64 * 1024  # that a child may send after its request for a watch
-NOT_READY_RETRY_S = 1.0  # over which those are spread who ask before there is a list
+LIST_TIMEOUT_S = 15.0  # for a child to take a whole list
+MAX_UNREQUESTED_BYTES = 64 * 1024  # that a child may send after its request for a watch
+NOT_READY_RETRY_SPREAD_S = 1.0  # over which those are spread who ask before there is a list
 HISTORY_REVISIONS = (256, 16, 4)  # before a first list that are asked for, fewer where they are not known
-HISTORY_WITHIN_S = 2.0  # for that
-ENDING_RETRY_S = 1.0  # over which those are spread who ask while it ends: another may be there in its place
-FULL_RETRY_S = 10.0  # over which those are spread who find the replica full
-PARTING_S = 0.3  # for a child to take a refusal before its connection closes
-PARTING_BYTES = 64 * 1024  # read from it meanwhile
-MOST_PARTING = 32  # such connections at a time; others are closed at once
-NO_DESCRIPTOR_S = 0.1  # before the next try to accept
+HISTORY_TIMEOUT_S = 2.0  # for that
+SHUTDOWN_RETRY_SPREAD_S = (
+    1.0  # over which those are spread who ask while it ends: another may be there in its place
+)
+FULL_RETRY_SPREAD_S = 10.0  # over which those are spread who find the replica full
+CLOSING_TIMEOUT_S = 0.3  # for a child to take a refusal before its connection closes
+MAX_CLOSING_BYTES = 64 * 1024  # read from it meanwhile
+MAX_CLOSING_CONNECTIONS = 32  # such connections at a time; others are closed at once
+ACCEPT_RETRY_S = 0.1  # before the next try to accept
 
 
 EarlierChanges = Callable[[int, Position], Awaitable[Sequence[ListDocument]]]
@@ -62,27 +64,27 @@
         name: str,
         limits: Limits,
         counters: ReplicaCounters,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         earlier: EarlierChanges | None = None,
     ) -> None:
         self._name = name
         self._limits = limits
         self._counters = counters
-        self._chance = random.Random() if chance is None else chance
+        self._rng = random.Random() if rng is None else rng
         self._history = RevisionHistory(limits.history_revisions, int(limits.history_mb * MB))
         self._lease = Lease()
         self._watches = Watches(self._history, self._lease, counters, limits.blocked_s)
         self._admission = WholeListAdmission(
-            limits.whole_lists_mb_per_s * MB, limits.whole_lists_at_once, limits.children, self._chance
+            limits.whole_lists_mb_per_s * MB, limits.whole_lists_at_once, limits.children, self._rng
         )
-        self._above: tuple[str, ...] = ()
+        self._via_names: tuple[str, ...] = ()
         self._idle: dict[SocketType, trio.CancelScope] = {}  # without a whole request, oldest first
         self._children = 0  # answered or watching
-        self._parting = 0
-        self._ending = False
+        self._closing = 0
+        self._is_shutting_down = False
         self._earlier = earlier
-        self._begun = trio.Event()
-        self._reads_history = False  # who resumes may have to wait for that, and need no whole list then
+        self._history_started = trio.Event()
+        self._is_reading_history = False  # who resumes may have to wait for that, and need no whole list then
 
     # ---- what the follower tells ----
 
@@ -91,8 +93,8 @@
         self._history.add(document)
         self._counters.published += 1
         if document.anew or before is None or before.incarnation != document.position.incarnation:
-            self._reads_history = self._earlier is not None
-            self._begun.set()
+            self._is_reading_history = self._earlier is not None
+            self._history_started.set()
             self._counters.incarnations += 1
             events.history_begun(
                 incarnation=document.position.incarnation, revision=document.position.revision
@@ -115,7 +117,7 @@
             events.stale(age_s=self._age_s())
 
     def via(self, names: tuple[str, ...]) -> None:
-        self._above = names
+        self._via_names = names
 
     def _age_s(self) -> float | None:
         return self._lease.age_s(trio.current_time())
@@ -128,23 +130,23 @@
     async def _read_histories(self, earlier: EarlierChanges) -> None:
         """After a restart children know a little less than the first list, which is all that they lack."""
         while True:
-            await self._begun.wait()
-            self._begun = trio.Event()
-            with trio.move_on_after(HISTORY_WITHIN_S):
+            await self._history_started.wait()
+            self._history_started = trio.Event()
+            with trio.move_on_after(HISTORY_TIMEOUT_S):
                 await self._read_history(earlier)
-            self._reads_history = self._begun.is_set()
+            self._is_reading_history = self._history_started.is_set()
 
     async def _read_history(self, earlier: EarlierChanges) -> None:
-        begin = self._history.position
-        assert begin is not None
+        start = self._history.position
+        assert start is not None
         for revisions in HISTORY_REVISIONS:
-            since = max(0, begin.revision - revisions)
-            changes = await earlier(since, begin)
+            since = max(0, start.revision - revisions)
+            changes = await earlier(since, start)
             if changes:
                 with suppress(ValueError):  # another history has begun meanwhile, or changes have gone
                     taken = self._history.lead_in(since, changes)
                     self._counters.history_read += taken
-                    events.history_read(changes=taken, revision=begin.revision)
+                    events.history_read(changes=taken, revision=start.revision)
                 return
 
     # ---- connections ----
@@ -165,27 +167,27 @@
             except OSError as error:
                 if error.errno in OUT_OF_SOCKETS:
                     sockets_exhausted(error=error)
-                    await trio.sleep(NO_DESCRIPTOR_S)
+                    await trio.sleep(ACCEPT_RETRY_S)
                 continue
             self._counters.accepted += 1
-            nursery.start_soon(self._connection, sock)
+            nursery.start_soon(self._serve_connection, sock)
 
     async def end_watches(self, spread_s: float) -> None:
         """In order, evenly over that time; who asks meanwhile is sent elsewhere."""
-        self._ending = True
+        self._is_shutting_down = True
         await self._watches.end_all(spread_s)
 
-    async def _connection(self, sock: SocketType) -> None:
+    async def _serve_connection(self, sock: SocketType) -> None:
         """One connection's fault ends that connection."""
         try:
             without_delay(sock)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             try:
-                await self._talk(sock)
+                await self._serve_requests(sock)
             except Refusal as error:
                 self._count(error)
                 source = None if self._history.position is None else self._source()
-                await self._part(sock, refusal(error, source))
+                await self._close_after_refusal(sock, refusal(error, source))
         except (OSError, trio.ClosedResourceError):  # the child has gone
             pass
         except Exception as error:
@@ -194,25 +196,25 @@
         finally:
             sock.close()
 
-    async def _talk(self, sock: SocketType) -> None:
+    async def _serve_requests(self, sock: SocketType) -> None:
         """Request by request; a watch is the last."""
         reader = RequestReader(sock)
-        goes_on = True
-        while goes_on:
-            with self._waiting(sock) as scope:
+        is_open = True
+        while is_open:
+            with self._idle_slot(sock) as scope:
                 request = await reader.next()
             if scope.cancelled_caught or request is None:
                 return
-            asked = read_request(request)
-            with self._child():
-                if isinstance(asked, WatchRequest):
-                    await self._watch(sock, asked)
-                    goes_on = False
+            parsed = read_request(request)
+            with self._child_slot():
+                if isinstance(parsed, WatchRequest):
+                    await self._answer_watch(sock, parsed)
+                    is_open = False
                 else:
-                    goes_on = await self._whole_list(sock)
+                    is_open = await self._answer_list(sock)
 
     @contextmanager
-    def _waiting(self, sock: SocketType) -> Iterator[trio.CancelScope]:
+    def _idle_slot(self, sock: SocketType) -> Iterator[trio.CancelScope]:
         """Connections that say nothing crowd out each other, never children that were answered."""
         if len(self._idle) >= self._limits.idle_connections:
             self._idle.pop(next(iter(self._idle))).cancel()
@@ -227,13 +229,13 @@
             self._counters.idle_closed += 1
 
     @contextmanager
-    def _child(self) -> Iterator[None]:
-        if self._ending:
-            raise self._unavailable("this replica ends", ENDING_RETRY_S)
+    def _child_slot(self) -> Iterator[None]:
+        if self._is_shutting_down:
+            raise self._unavailable("this replica ends", SHUTDOWN_RETRY_SPREAD_S)
         if self._children >= self._limits.children:
             self._counters.children_refused += 1
             events.full(children=self._children)
-            raise self._unavailable("there are as many children as may be", FULL_RETRY_S)
+            raise self._unavailable("there are as many children as may be", FULL_RETRY_SPREAD_S)
         self._children += 1
         try:
             yield
@@ -241,7 +243,7 @@
             self._children -= 1
 
     def _unavailable(self, reason: str, spread_s: float) -> Refusal:
-        retry_after_s = 1 + round(self._chance.uniform(0.0, spread_s))
+        retry_after_s = 1 + round(self._rng.uniform(0.0, spread_s))
         return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, reason, retry_after_s)
 
     def _count(self, error: Refusal) -> None:
@@ -258,33 +260,33 @@
                 return  # counted where it was found out
         events.request_refused(error=error)
 
-    async def _part(self, sock: SocketType, answer: bytes) -> None:
+    async def _close_after_refusal(self, sock: SocketType, response: bytes) -> None:
         """Closing on unread bytes resets the connection and may take the answer with it: some are read."""
-        await send(sock, answer)
+        await send(sock, response)
         finish(sock)
-        if self._parting >= MOST_PARTING:
+        if self._closing >= MAX_CLOSING_CONNECTIONS:
             return
-        self._parting += 1
+        self._closing += 1
         try:
-            with trio.move_on_after(PARTING_S):
-                await _read_away(sock, PARTING_BYTES)
+            with trio.move_on_after(CLOSING_TIMEOUT_S):
+                await _discard_input(sock, MAX_CLOSING_BYTES)
         finally:
-            self._parting -= 1
+            self._closing -= 1
 
     # ---- lists and watches ----
 
     def _position(self) -> Position:
         if self._history.position is None:
             self._counters.not_ready += 1
-            raise self._unavailable("there is no list yet", NOT_READY_RETRY_S)
+            raise self._unavailable("there is no list yet", NOT_READY_RETRY_SPREAD_S)
         return self._history.position
 
     def _source(self) -> Source:
-        via = (*self._above, self._name)
+        via = (*self._via_names, self._name)
         return Source(self._position(), self._age_s(), via, self.children)
 
     @contextmanager
-    def _admitted(self, size: int) -> Iterator[None]:
+    def _list_slot(self, size: int) -> Iterator[None]:
         now_s = trio.current_time()
         if not self._admission.admit(now_s, size):
             self._counters.whole_lists_deferred += 1
@@ -297,25 +299,25 @@
         finally:
             self._admission.finished()
 
-    async def _whole_list(self, sock: SocketType) -> bool:
+    async def _answer_list(self, sock: SocketType) -> bool:
         """Whether the child took it in time."""
         source, body = self._source(), self._history.whole()
-        with self._admitted(len(body)):
+        with self._list_slot(len(body)):
             return await self._send_list(sock, whole_list_head(source, len(body)), body)
 
-    async def _watch(self, sock: SocketType, asked: WatchRequest) -> None:
+    async def _answer_watch(self, sock: SocketType, parsed: WatchRequest) -> None:
         """A child whose revision is past gets the whole list as its first line."""
         source = self._source()
         try:
-            index = self._history.index_after(asked.revision, asked.incarnation)
+            index = self._history.index_after(parsed.revision, parsed.incarnation)
         except FutureRevision:
-            raise Refusal(HTTPStatus.GONE, f"{asked.revision} is of the future") from None
+            raise Refusal(HTTPStatus.GONE, f"{parsed.revision} is of the future") from None
         except PastRevision:
-            if self._reads_history:
+            if self._is_reading_history:
                 self._counters.not_ready += 1
-                raise self._unavailable("the history is being read", NOT_READY_RETRY_S) from None
+                raise self._unavailable("the history is being read", NOT_READY_RETRY_SPREAD_S) from None
             index, body = self._history.end_index, self._history.whole()
-            with self._admitted(len(body)):
+            with self._list_slot(len(body)):
                 before, after = around_chunk(len(body) + len(END_OF_LINE))
                 line_end = END_OF_LINE + after
                 if not await self._send_list(sock, watch_head(source) + before, body, line_end):
@@ -329,7 +331,7 @@
         self._watches.open(watch)
         try:
             with watch.scope:
-                await _read_away(watch.sock, MOST_UNASKED_BYTES)
+                await _discard_input(watch.sock, MAX_UNREQUESTED_BYTES)
         finally:
             self._watches.close(watch)
 
@@ -337,7 +339,7 @@
         """False: the child took too long. Those who are sent one list share its bytes."""
         sent = False
         try:
-            with trio.move_on_after(LIST_WITHIN_S):
+            with trio.move_on_after(LIST_TIMEOUT_S):
                 await send_pieces(sock, [memoryview(piece) for piece in pieces])
                 sent = True
         finally:
@@ -345,7 +347,7 @@
         return sent
 
 
-async def _read_away(sock: SocketType, most: int) -> None:
+async def _discard_input(sock: SocketType, max_bytes: int) -> None:
     """Until the child closes, or has sent that much."""
-    while most > 0 and (data := await sock.recv(READ_BYTES)):
-        most -= len(data)
+    while max_bytes > 0 and (data := await sock.recv(READ_BYTES)):
+        max_bytes -= len(data)
--- a/glenfold/replica/watches.py
+++ b/glenfold/replica/watches.py
@@ -17,20 +17,20 @@
 from glenfold.rules.replication_http import LAST_CHUNK, RENEWAL_CHUNK
 from glenfold.rules.replication_lease import Lease
 
-MOST_SENT_BYTES = 64 * 1024  # of joined changes in one call
-TURN_WATCHES = 128  # written to before others have a turn of the loop
-STEP_S = 0.02  # between two steps of ending all watches
+MAX_WRITE_BYTES = 64 * 1024  # of joined changes in one call
+WATCHES_PER_TURN = 128  # written to before others have a turn of the loop
+END_STEP_S = 0.02  # between two steps of ending all watches
 
-NOTHING = memoryview(b"")  # in place of the empty rest of a chunk, which it would keep
+EMPTY = memoryview(b"")  # in place of the empty rest of a chunk, which it would keep
 
-Advance = Callable[["Watch"], bool]
+WriteStep = Callable[["Watch"], bool]
 
 
 class Watch:
     """One child that watches. `scope`: of the task that owns the socket and closes it. `index`: of the next
     change in the history; `unsent`: of what came before, the rest that the kernel has not taken."""
 
-    __slots__ = ("sock", "scope", "incarnation", "index", "unsent", "waits")
+    __slots__ = ("sock", "scope", "incarnation", "index", "unsent", "is_catching_up")
 
     def __init__(self, sock: SocketType, incarnation: int, index: int, head: bytes) -> None:
         self.sock = sock
@@ -38,7 +38,7 @@
         self.incarnation = incarnation
         self.index = index
         self.unsent = memoryview(head)
-        self.waits = False  # a task waits for its child to read
+        self.is_catching_up = False  # a task waits for its child to read
 
 
 class Watches:
@@ -52,8 +52,11 @@
         self._counters = counters
         self._blocked_s = blocked_s
         self._open: dict[Watch, None] = {}  # oldest first
-        self._news = trio.Event()
-        self._written_to = (0, history.end_index)  # incarnation, index: all watches have it or wait for it
+        self._update = trio.Event()
+        self._written_position = (
+            0,
+            history.end_index,
+        )  # incarnation, index: all watches have it or wait for it
         self._nursery: trio.Nursery | None = None
 
     def __len__(self) -> int:
@@ -63,12 +66,12 @@
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             while True:
-                await self._something_new()
+                await self._wait_for_update()
                 await self._write_to_all()
 
     def wake(self) -> None:
         """There is a change or a renewal."""
-        self._news.set()
+        self._update.set()
 
     def open(self, watch: Watch) -> None:
         """From now on it gets changes and renewals, after its head and what it has missed."""
@@ -85,56 +88,56 @@
     async def end_all(self, spread_s: float) -> None:
         """In the order in which they came, evenly over that time, so that children don't all ask elsewhere at
         once."""
-        left, began_s = deque(self._open), trio.current_time()
-        per_s = len(left) / max(spread_s, STEP_S)
-        ended = 0
-        while left:
-            due = 1 + int(per_s * (trio.current_time() - began_s))
-            while left and ended < due:
-                self._end(left.popleft())
-                ended += 1
-            await trio.sleep(STEP_S)
+        remaining, start_s = deque(self._open), trio.current_time()
+        per_s = len(remaining) / max(spread_s, END_STEP_S)
+        ended_count = 0
+        while remaining:
+            due_count = 1 + int(per_s * (trio.current_time() - start_s))
+            while remaining and ended_count < due_count:
+                self._end(remaining.popleft())
+                ended_count += 1
+            await trio.sleep(END_STEP_S)
 
     # ---- writing ----
 
-    async def _something_new(self) -> None:
+    async def _wait_for_update(self) -> None:
         due_at_s = None if self._history.position is None else self._lease.due_at_s()
         with trio.move_on_at(float("inf") if due_at_s is None else due_at_s):
-            await self._news.wait()
-        self._news = trio.Event()
+            await self._update.wait()
+        self._update = trio.Event()
 
     async def _write_to_all(self) -> None:
         position = self._history.position
         if position is None:
             return
-        newest = (position.incarnation, self._history.end_index)
-        if newest != self._written_to:
-            self._written_to = newest
+        newest_position = (position.incarnation, self._history.end_index)
+        if newest_position != self._written_position:
+            self._written_position = newest_position
             self._lease.line_went_out(trio.current_time())
-            await self._each(self._advance)
+            await self._write_each(self._advance)
         elif self._lease.take_renewal(trio.current_time()):
             self._counters.renewals_told += 1
-            await self._each(self._renew)
+            await self._write_each(self._renew)
 
-    async def _each(self, step: Advance) -> None:
+    async def _write_each(self, step: WriteStep) -> None:
         for count, watch in enumerate(tuple(self._open), 1):
-            if watch in self._open and not watch.waits:
+            if watch in self._open and not watch.is_catching_up:
                 self._write(watch, step)
-            if count % TURN_WATCHES == 0:
+            if count % WATCHES_PER_TURN == 0:
                 await trio.lowlevel.checkpoint()
 
-    def _write(self, watch: Watch, step: Advance) -> None:
+    def _write(self, watch: Watch, step: WriteStep) -> None:
         """Without waiting; what the kernel does not take is left to a task."""
         assert self._nursery is not None
         try:
-            done = step(watch)
+            is_complete = step(watch)
         except PastRevision:
             self._cut_behind(watch)
         except OSError:  # its child has gone
             watch.scope.cancel()
         else:
-            if not done:
-                watch.waits = True
+            if not is_complete:
+                watch.is_catching_up = True
                 self._nursery.start_soon(self._catch_up, watch)
 
     def _advance(self, watch: Watch) -> bool:
@@ -148,7 +151,7 @@
                 return True
             if watch.index >= self._history.end_index:
                 return True
-            chunks, watch.index = self._history.read(watch.index, MOST_SENT_BYTES)
+            chunks, watch.index = self._history.read(watch.index, MAX_WRITE_BYTES)
             watch.unsent = memoryview(chunks)
 
     def _renew(self, watch: Watch) -> bool:
@@ -160,7 +163,7 @@
 
     def _flush(self, watch: Watch) -> bool:
         sent = send_now(watch.sock, watch.unsent) if watch.unsent else 0
-        watch.unsent = watch.unsent[sent:] or NOTHING
+        watch.unsent = watch.unsent[sent:] or EMPTY
         return not watch.unsent
 
     async def _catch_up(self, watch: Watch) -> None:
@@ -176,7 +179,7 @@
         except (OSError, trio.ClosedResourceError):  # its child has gone
             watch.scope.cancel()
         finally:
-            watch.waits = False
+            watch.is_catching_up = False
 
     # ---- endings ----
 
--- a/tests/replica/test_follower_mutants.py
+++ b/tests/replica/test_follower_mutants.py
@@ -11,7 +11,7 @@
 
 
 def test_a_stale_lease_passed_on_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Call, "renewed_at_s", property(lambda self: self.began_at_s))
+    monkeypatch.setattr(Call, "renewed_at_s", property(lambda self: self.started_at_s))
     with pytest.raises(AssertionError):
         tests.test_only_what_the_source_renewed_renews()
 
@@ -36,7 +36,7 @@
 
 
 def test_going_round_among_stale_parents_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follower, "FRESHER_BY_S", -1e9)
+    monkeypatch.setattr(follower, "MIN_AGE_GAIN_S", -1e9)
     with pytest.raises(AssertionError):
         tests.test_where_all_are_stale_nobody_goes_round()
 
@@ -63,12 +63,12 @@
 
 
 def test_a_renewal_before_what_was_missed_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    hold = follower.Follower._hold
+    hold = follower.Follower._hold_watch
 
     async def hasty(self: follower.Follower, watch: follower.Watch) -> follower.Watch | None:
         self._renew(watch, watch.renewed_at_s)
         return await hold(self, watch)
 
-    monkeypatch.setattr(follower.Follower, "_hold", hasty)
+    monkeypatch.setattr(follower.Follower, "_hold_watch", hasty)
     with pytest.raises(AssertionError):
         tests.test_what_was_missed_comes_before_the_renewal_of_a_new_parent()
--- a/tests/replica/test_replica_mutants.py
+++ b/tests/replica/test_replica_mutants.py
@@ -109,13 +109,13 @@
         send_now(watch.sock, RENEWAL_CHUNK)
         return True
 
-    each = Watches._each
+    each = Watches._write_each
 
     async def all_of_them(self, step):
         for watch in self._open:
-            watch.waits = False
+            watch.is_catching_up = False
         await each(self, step)
 
     monkeypatch.setattr(Watches, "_renew", renew)
-    monkeypatch.setattr(Watches, "_each", all_of_them)
+    monkeypatch.setattr(Watches, "_write_each", all_of_them)
     caught(test_server.test_a_slow_child_is_told_of_renewals_only_behind_what_came_before)
--- a/tests/replica/test_server.py
+++ b/tests/replica/test_server.py
@@ -284,7 +284,7 @@
             await trio.sleep(0.3)
             assert (await (await watching(one, 498)).line())["whole"] is True
 
-    monkeypatch.setattr("glenfold.replica.server.HISTORY_WITHIN_S", 0.2)
+    monkeypatch.setattr("glenfold.replica.server.HISTORY_TIMEOUT_S", 0.2)
     trio.run(main)
 
 
@@ -434,7 +434,7 @@
             await until(lambda: one.counters.whole_lists_failed == 1)
             assert (await status(one, "/v1/servers"))[0] == 200
 
-    monkeypatch.setattr("glenfold.replica.server.LIST_WITHIN_S", 0.2)
+    monkeypatch.setattr("glenfold.replica.server.LIST_TIMEOUT_S", 0.2)
     trio.run(main)
 
 
