--- a/glenfold/replica/__init__.py
+++ b/glenfold/replica/__init__.py
@@ -1,2 +1,4 @@
-"""A control replica: follows discovery or other replicas, and serves the same lists and watches. Sockets
-only; what it decides is in `glenfold.rules`."""
+"""A control replica, which follows discovery or other replicas and serves the same lists and watches.
+
+This package does the socket I/O only. The rules behind its decisions are in `glenfold.rules`.
+"""
--- a/glenfold/replica/accepted_lists.py
+++ b/glenfold/replica/accepted_lists.py
@@ -1,4 +1,4 @@
-"""What a follower knows: the documents it took from parents, and until when they hold."""
+"""The documents that a follower accepted from its parents, and the lease on them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,42 +10,49 @@
 from glenfold.rules.source_lease import LEASE_S, SourceLease
 from glenfold.rules.succession import Received, Succession, Verdict
 
-LEASE_CHECK_DELAY_S = 0.01  # until it is looked whether the lease has run out
+# How long after the end of the lease the follower checks whether the lease has run out.
+LEASE_CHECK_DELAY_S = 0.01
 
 AfterPublish = Callable[[], Awaitable[None]]
 
 
 class AcceptedLists:
-    """Publishes what is newer, one document after the other, and what the source renewed. `settled` is
-    awaited after each document that was published."""
+    """Publishes each newer document, one at a time, and each renewal by the source.
+
+    `after_publish` is awaited after each published document.
+    """
 
     def __init__(self, succession: Succession, publisher: Publisher, after_publish: AfterPublish) -> None:
         self.succession = succession
         self.lease = SourceLease()
-        self.documents = 0  # taken since the start
+        self.documents = 0  # documents accepted since the start
         self._publisher = publisher
         self._after_publish = after_publish
         self._accept_lock = trio.Lock()
-        self._lease_holds = trio.Event()  # the lease holds
+        self._lease_holds = trio.Event()  # set while the lease is valid
 
     async def accept(self, call: Call, body: Body, after: int) -> Verdict | None:
-        """Why it was not taken, if it was not. `after`: the revision whose successor a change is."""
+        """Publishes the document unless the rules reject it.
+
+        `after` is the revision that a change must follow. Returns None if the document was accepted, and
+        otherwise why it was not.
+        """
         if body.left_out:
-            events.list_entry_left_out(fault=f"{body.left_out} entries are no objects")
+            events.list_entry_left_out(fault=f"{body.left_out} entries are not JSON objects")
         async with self._accept_lock:
             received = Received(call.origin, body.revision, body.whole, body.entries, after)
             verdict = self.succession.judge(received)
             if not isinstance(verdict, ListDocument):
                 return verdict
             self.documents += 1
-            with trio.CancelScope(shield=True):  # what is published is settled, whatever cuts in
+            with trio.CancelScope(shield=True):  # a cancellation must not separate the two steps
                 self._publisher.publish(verdict)
                 await self._after_publish()
         await trio.lowlevel.checkpoint_if_cancelled()
         return None
 
     def renew(self, renewed_at_s: float) -> None:
-        """The source said then that what is known holds."""
+        """Records that the source renewed the list at `renewed_at_s`."""
         if not self.lease.renew(renewed_at_s):
             return
         self._publisher.renew(renewed_at_s)
@@ -53,11 +60,11 @@
             self._lease_holds.set()
 
     def age_s(self) -> float:
-        """Since the source last renewed."""
+        """Returns the seconds since the source last renewed the list."""
         return self.lease.age_s(trio.current_time())
 
     async def expire(self) -> None:
-        """Tells each time that the lease has run out, until it is cancelled."""
+        """Reports to the publisher each time that the lease runs out, until cancelled."""
         while True:
             await self._lease_holds.wait()
             while self.lease.holds(trio.current_time()):
--- a/glenfold/replica/earlier_changes.py
+++ b/glenfold/replica/earlier_changes.py
@@ -1,4 +1,4 @@
-"""What a parent still knows of the changes before a replica's first list."""
+"""Reads the changes that precede a replica's first list from one of its parents."""
 
 from collections.abc import Sequence
 
@@ -11,8 +11,12 @@
 
 
 async def earlier_changes(parent: Parent, since: int, upto: Position) -> Sequence[ListDocument]:
-    """The changes after `since` that lead to that position; none if the parent does not go back so far, has
-    joined them with later ones, or can't be asked. A call of its own, that ends with them."""
+    """Returns the changes after revision `since` up to the position `upto`.
+
+    The result is empty if the parent's history does not go back that far, if the parent has merged these
+    changes with later ones, or if the request fails. The changes are read over a separate call, which is
+    closed afterwards.
+    """
     try:
         call = await open_call(parent, since, upto.incarnation)
     except CALL_ERRORS:
--- a/glenfold/replica/follower.py
+++ b/glenfold/replica/follower.py
@@ -1,8 +1,8 @@
-"""Following one of several parents, and handing on what is newer: sockets only.
+"""Follows one of several parents and publishes each newer list. This module does the socket I/O only.
 
-What a parent's answer is worth, which parent is next and when another is asked is decided in
-`glenfold.rules`. A parent is left for another only once that one has answered, so that a child without a
-better choice stays.
+The rules in `glenfold.rules` decide whether an answer is used, which parent is next and when another one is
+called. The follower leaves a parent for another only once the other has answered, so a child without a better
+choice stays with its parent.
 """
 
 from collections.abc import Sequence
@@ -22,29 +22,38 @@
 from glenfold.rules.source_lease import SILENCE_S
 from glenfold.rules.succession import Succession, Verdict
 
-MIN_AGE_GAIN_S = 1.5  # what another must know better than that: ages are told in whole seconds
-CATCH_UP_S = 0.5  # from the beginning of a watch: what was missed comes first, and renews nothing
-OUTDATED_AGE_S = 4.0  # a list that was renewed so long ago gives way to any that the source renews
-LOOP_LAG_S = 0.01  # for a line that is there already, when a loop that lags looks for it late
+# How much more recently another parent must have been renewed to be preferred. The Age header is in whole
+# seconds, so smaller differences mean nothing.
+MIN_AGE_GAIN_S = 1.5
+# For this long after the start of a watch its lines are changes that were missed, which renew nothing.
+CATCH_UP_S = 0.5
+# A list older than this is replaced by any list that the source renews, whatever its position.
+OUTDATED_AGE_S = 4.0
+# When the event loop lags, this gives a line that has already arrived the time to be read.
+LOOP_LAG_S = 0.01
 
 
 @dataclass(slots=True)
 class Watch:
-    """A watch that is held. `after`: the revision that its next change follows on; `said_at_s`: its last
-    empty line or object; `renewed_at_s`: what the source said at last through it."""
+    """A watch that is held.
+
+    `after` is the revision that the next change must follow. `last_received_at_s` is the time of the last
+    empty line or object. `renewed_at_s` is the latest renewal by the source that came through this watch.
+    `replace_at_s` is when the follower looks for another parent if this one is silent.
+    """
 
     call: Call
     after: int
     last_received_at_s: float
     renewed_at_s: float
-    replace_at_s: float = field(default=float("inf"))  # of one that is silent: when another is looked for
+    replace_at_s: float = field(default=float("inf"))
 
     @property
     def parent(self) -> Parent:
         return self.call.parent
 
     def is_silent(self, now_s: float) -> bool:
-        """For longer than one that is renewed may be."""
+        """Returns whether the watch has been silent for longer than the source's renewals allow."""
         return now_s - self.last_received_at_s > SILENCE_S
 
 
@@ -53,8 +62,11 @@
 
 
 class Follower:
-    """`name`: of this replica, which must not stand in a parent's chain; None: it is no replica. `settled` is
-    awaited after each document that was published."""
+    """Follows one parent at a time and hands each newer document to `publisher`.
+
+    `name` is the name of this replica, which must not appear in a parent's Via chain, or None if the follower
+    is not a replica. `after_publish` is awaited after each published document.
+    """
 
     def __init__(
         self,
@@ -70,17 +82,17 @@
         self._calls = ParentCalls(choice, self._lists, name)
         self._parents_scope = trio.CancelScope()
         self._next_watch: Watch | None = None
-        self._last_parent: Parent | None = None  # followed before
+        self._last_parent: Parent | None = None  # the parent followed before the current one
         self._follow_count = 0
-        self.watch: Watch | None = None  # the one held
+        self.watch: Watch | None = None  # the watch that is held now
 
     @property
     def renewed_at_s(self) -> float:
-        """When the source last said that what is known holds; minus infinity: it never has."""
+        """When the source last renewed the known list, or minus infinity if it never has."""
         return self._lists.lease.renewed_at_s
 
     def move_to(self, parents: Sequence[Parent]) -> None:
-        """These are to be followed from now on. A watch of one that stays goes on."""
+        """Replaces the list of parents. The current watch goes on if its parent is still in the list."""
         self._choice.replace(parents)
         self._lists.succession.release({parent.address for parent in parents})
         self._calls.forget_reported()
@@ -88,12 +100,12 @@
             self._parents_scope.cancel()
 
     def counters(self) -> dict[str, int]:
-        """Since the start: documents taken, watches begun, and parents refused by cause."""
+        """Returns counts since the start: documents accepted, watches started, parents refused by cause."""
         refused = {f"parents_{why.value}": count for why, count in self._calls.refused.items()}
         return {"documents": self._lists.documents, "parents_followed": self._follow_count, **refused}
 
     async def follow(self) -> None:
-        """Until it is cancelled."""
+        """Follows the parents until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._lists.expire)
             while True:
@@ -105,7 +117,7 @@
                     self._choice.leave_s(0 if last_watch is None else last_watch.call.greeting.children)
                 )
 
-    # ---- one parent after the other ----
+    # ---- following one parent at a time ----
 
     async def _follow_parents(self) -> None:
         while True:
@@ -114,7 +126,7 @@
                 self.watch = await self._hold_watch(self.watch)
 
     async def _find_first_watch(self) -> Watch:
-        """Where there is none to stay with: the least old, if none is fresh."""
+        """Waits for a first watch. Without a fresh parent this is the one renewed most recently."""
         while True:
             watch = await self._find_watch(self._choice.in_turn(trio.current_time()))
             self._calls.close_all(but=None if watch is None else watch.call)
@@ -123,9 +135,9 @@
             await trio.sleep_until(self._choice.next_turn_s(trio.current_time()))
 
     async def _hold_watch(self, watch: Watch) -> Watch | None:
-        """Until its end, or until there is a better one: that one."""
+        """Reads the watch until it ends or a better one is found. Returns the better one, or None."""
         self._publisher.via(watch.call.greeting.via)
-        if watch.parent != self._last_parent:  # not each time that a silent source is asked again
+        if watch.parent != self._last_parent:  # a silent source that is called again is not logged again
             events.parent_followed(address=written(watch.parent.address), age_s=watch.call.greeting.age_s)
         self._last_parent = watch.parent
         self._follow_count += 1
@@ -141,13 +153,13 @@
         return self._next_watch
 
     async def _catch_up(self, watch: Watch) -> None:
-        """What the head of a watch told of its renewal holds once what was missed has come."""
+        """Applies the age from the head of a watch once the missed changes have arrived."""
         await trio.sleep_until(watch.call.started_at_s + CATCH_UP_S)
         if not watch.call.within_object:
             self._renew(watch, watch.renewed_at_s)
 
     async def _read_watch(self, watch: Watch) -> None:
-        """To the end of a watch, which is a fault of its parent's."""
+        """Reads the watch to its end, which counts as an error of the parent."""
         try:
             async for body in watch.call.lines():
                 watch.last_received_at_s = trio.current_time()
@@ -178,10 +190,10 @@
         watch.renewed_at_s = max(watch.renewed_at_s, renewed_at_s)
         self._lists.renew(renewed_at_s)
 
-    # ---- another parent ----
+    # ---- looking for another parent ----
 
     async def _seek_better_parent(self, watch: Watch, scope: trio.CancelScope) -> None:
-        """Looks for a fresher parent while this one is silent, and for a nearer one while it is not."""
+        """Looks for a fresher parent while the current one is silent, and for a nearer one otherwise."""
         nearer_check_at_s = trio.current_time() + self._choice.home_look_s()
         while True:
             now_s = trio.current_time()
@@ -193,7 +205,9 @@
             else:
                 parents = []
             other = await self._find_watch(parents, watch)
-            if other is not None and other.parent in self._choice.parents:  # not moved meanwhile
+            if (
+                other is not None and other.parent in self._choice.parents
+            ):  # the list of parents may have changed meanwhile
                 self._next_watch = other
                 scope.cancel()
                 return
@@ -204,7 +218,10 @@
             )
 
     def _replacement_parents(self, watch: Watch, now_s: float) -> list[Parent]:
-        """Those to be asked now that it is silent, itself last: it may have lost this connection alone."""
+        """Returns the parents to call while the current one is silent.
+
+        The current parent comes last: it may have lost only this connection.
+        """
         if watch.replace_at_s == float("inf"):
             watch.replace_at_s = now_s + self._choice.leave_s(watch.call.greeting.children)
         if now_s < watch.replace_at_s:
@@ -220,8 +237,11 @@
         return min(watch.last_received_at_s + SILENCE_S, nearer_check_at_s)
 
     async def _find_watch(self, parents: Sequence[Parent], held: Watch | None = None) -> Watch | None:
-        """The first of them that is fresh; else one that counts anew; else the least old, if that is better
-        than what is held."""
+        """Returns a watch of the first fresh parent, or else of the best alternative.
+
+        The alternatives are, in this order, a source that started a new history, and the parent that was
+        renewed most recently, if that is a gain over the watch held.
+        """
         self._calls.behind.clear()
         watch, least_old = await self._find_fresh(parents, held)
         if watch is not None:
@@ -234,14 +254,14 @@
         if least_old is None:
             return None
         if held is not None and least_old.renewed_at_s <= self.renewed_at_s + MIN_AGE_GAIN_S:
-            self._calls.close(least_old)  # nobody is fresher than what is known
+            self._calls.close(least_old)  # no parent is fresher than the known list
             return None
         return await self._adopt(least_old)
 
     async def _find_fresh(
         self, parents: Sequence[Parent], held: Watch | None
     ) -> tuple[Watch | None, Call | None]:
-        """The first that is fresh, or else the least old."""
+        """Returns a watch of the first fresh parent, or else the call to the one renewed most recently."""
         watch, least_old = None, None
         send, answers = trio.open_memory_channel[Answer](len(parents))
         async with trio.open_nursery() as nursery:
@@ -260,6 +280,7 @@
         return watch, least_old
 
     def _keep_fresher(self, earlier_call: Call | None, call: Call) -> Call:
+        """Returns the call whose parent was renewed more recently, and closes the other."""
         if earlier_call is None:
             return call
         better = call if call.renewed_at_s > earlier_call.renewed_at_s + MIN_AGE_GAIN_S else earlier_call
@@ -267,7 +288,10 @@
         return better
 
     async def _find_restarted_source(self) -> Watch | None:
-        """Of a parent whose lists are behind what is known, but which the source renews."""
+        """Returns a watch of a parent that is behind the known list but is renewed by the source.
+
+        Such a source has started a new history.
+        """
         succession = self._lists.succession
         for parent in tuple(self._calls.behind):
             succession.believe(parent.address)
@@ -281,7 +305,7 @@
         return None
 
     async def _adopt_fresh(self, fresh: Call, held: Watch | None) -> Watch | None:
-        """A watch that is sound is left only for a parent that has been so for a while."""
+        """Adopts a fresh parent. A working watch is left only for a parent that has worked for a while."""
         long_sound = self._choice.sound(fresh.parent, trio.current_time())
         if held is None or held.is_silent(trio.current_time()):
             return await self._adopt(fresh)
--- a/glenfold/replica/parent_calls.py
+++ b/glenfold/replica/parent_calls.py
@@ -1,4 +1,4 @@
-"""The calls of parents: what each answered, whether that is to be gone by, and what it is refused for."""
+"""Calls to parents: sends them, checks the answers, and records why a parent was refused."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,13 +15,16 @@
 from glenfold.rules.source_lease import SILENCE_S
 from glenfold.rules.succession import Verdict
 
-FRESH_AGE_S = 3.0  # of a parent that is renewed: SILENCE_S in whole seconds, rounded up as in its header
+# A parent whose list is at most this old counts as renewed. This is SILENCE_S rounded up to whole seconds, as
+# the Age header is.
+FRESH_AGE_S = 3.0
 
-STAGGER_S = 0.2  # until the next parent is asked beside one that has not answered
+# After this time without an answer the next parent is called as well.
+STAGGER_S = 0.2
 
 
 class Refused(Exception):
-    """A parent's answer is not to be gone by."""
+    """Raised when the answer of a parent must not be used."""
 
     def __init__(self, why: Refusal, retry_after_s: float | None = None) -> None:
         super().__init__(why.value)
@@ -31,31 +34,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """`call` None: the parent was refused. `handled` is to be set, and lets the next parent be asked."""
+    """The outcome of a call to one parent.
+
+    `call` is None if the parent was refused. The receiver sets `handled`, which lets the next parent be
+    called.
+    """
 
     call: Call | None
     handled: trio.Event
 
 
 class ParentCalls:
-    """`name`: of this replica, which must not stand in a parent's chain; None: it is no replica."""
+    """Opens and closes the calls of one follower.
+
+    `name` is the name of this replica, which must not appear in a parent's Via chain, or None if the follower
+    is not a replica.
+    """
 
     def __init__(self, choice: ParentChoice, lists: AcceptedLists, name: str | None) -> None:
         self._choice = choice
         self._lists = lists
         self._name = name
         self._open: set[Call] = set()
-        self._last_reported: dict[Parent, str] = {}  # the last fault of each, which is logged once
-        self.behind: set[Parent] = set()  # refused for that since this was last cleared
-        self.refused = dict.fromkeys(Refusal, 0)  # since the start
+        self._last_reported: dict[Parent, str] = {}  # the last logged error of each parent
+        self.behind: set[Parent] = set()  # parents refused as behind since the set was last cleared
+        self.refused = dict.fromkeys(Refusal, 0)  # refusals by cause since the start
 
     def forget_reported(self) -> None:
-        """Which faults were logged: there are other parents."""
+        """Forgets which errors were logged, because the parents have changed."""
         self._last_reported.clear()
 
     async def ask_all(self, parents: Sequence[Parent], send: trio.MemorySendChannel[Answer]) -> None:
-        """Of all of them in this order, each after the one before or beside it where that takes long: it may
-        be on a machine that has vanished."""
+        """Calls the parents in order and sends each answer to `send`.
+
+        A parent is called once the answer of the previous one was handled, or after STAGGER_S beside it: the
+        previous parent may be on a machine that has vanished.
+        """
         async with send, trio.open_nursery() as nursery:
             for parent in parents:
                 handled = trio.Event()
@@ -69,7 +83,7 @@
         await send.send(Answer(await self.ask(parent), handled))
 
     async def ask(self, parent: Parent) -> Call | None:
-        """What the parent answers to a watch from what is known; None: it is refused."""
+        """Requests a watch from the known revision. Returns None if the parent was refused."""
         try:
             call = await self._call(parent)
             self._check(call)
@@ -79,7 +93,10 @@
         return call
 
     async def adopt(self, call: Call) -> Call | None:
-        """A watch to be held, after the whole list where changes alone would not do; None: it is refused."""
+        """Returns a watch to hold, or None if the parent was refused.
+
+        The whole list is read first if changes alone would not do.
+        """
         succession = self._lists.succession
         try:
             if succession.needs_whole(call.origin, call.status == GONE):
@@ -96,8 +113,11 @@
         return call
 
     async def is_renewed(self, fresh: Call) -> bool:
-        """Whether the source renews it. A source tells no age: one that is cut off answers, and says nothing
-        after that."""
+        """Returns whether the source renews the list of this parent.
+
+        A source sends no age. A local agent that is cut off from discovery still answers a watch but sends no
+        line afterwards, so the first line of a trial watch is awaited.
+        """
         if fresh.greeting.age_s > FRESH_AGE_S:
             return False
         if not fresh.greeting.source:
@@ -119,7 +139,7 @@
         return False
 
     def refuse(self, parent: Parent, error: Exception) -> None:
-        """Logged once for each kind of fault in a row of one parent."""
+        """Records the refusal of a parent. Repeats of the same error in a row are logged once."""
         why = Refusal.FAULTY if isinstance(error, BadList | BadGreeting) else Refusal.UNREACHABLE
         retry_after_s = None
         if isinstance(error, Refused):
@@ -133,12 +153,12 @@
             events.parent_refused(address=written(parent.address), why=why.value, error=error)
 
     def close(self, call: Call) -> None:
-        """At once, whatever is under way."""
+        """Closes the call at once, even while it is in use."""
         self._open.discard(call)
         call.close()
 
     def close_all(self, but: Call | None = None) -> None:
-        """All calls that are open."""
+        """Closes all open calls except `but`."""
         for call in list(self._open):
             if call is not but:
                 self.close(call)
@@ -152,7 +172,10 @@
         return call
 
     def _check(self, call: Call, gone: bool = False) -> None:
-        """Raises Refused, and closes it then. `gone`: the call before it was answered so."""
+        """Raises Refused, after closing the call, if its answer must not be used.
+
+        `gone` is True if the previous call to this parent was answered 410.
+        """
         try:
             if call.status == 503:
                 raise Refused(Refusal.BUSY, call.greeting.retry_after_s)
@@ -167,7 +190,10 @@
             raise
 
     async def _take_whole(self, call: Call) -> None:
-        """Closes that call, and asks for the whole list if it is a watch. Raises FAULTS, BadList, Refused."""
+        """Reads the whole list, over a new call if the given one is a watch. The given call is closed.
+
+        Raises CALL_ERRORS, BadList and Refused.
+        """
         try:
             if call.revision is not None:
                 self.close(call)
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -1,4 +1,4 @@
-"""One call of a parent: the head of its answer, and then the objects and empty lines of its watch."""
+"""One call to a parent: reads the head of the response, then the list or the lines of the watch."""
 
 import json
 from collections.abc import AsyncIterator
@@ -15,12 +15,12 @@
 from glenfold.rules.replication import INCARNATION_FIELD
 from glenfold.rules.succession import Origin
 
-ANSWER_TIMEOUT_S = 1.0  # from a call to the head of its answer
-WHOLE_LIST_TIMEOUT_S = 6.0  # for a whole list that comes in steadily
+ANSWER_TIMEOUT_S = 1.0  # from the start of the call to the end of the response head
+WHOLE_LIST_TIMEOUT_S = 6.0  # for a whole list that arrives steadily
 PATH = "/v1/servers"
-MAX_READ_BYTES = 1 << 18  # bytes at once
-GONE = 410  # the revision asked for is of the future there, or of another history
-# Of a call that has failed, or whose answer is none.
+MAX_READ_BYTES = 1 << 18
+GONE = 410  # for the parent, the requested revision is in the future or of another history
+# The errors of a call that failed or whose response is invalid.
 CALL_ERRORS = (
     OSError,
     trio.TooSlowError,
@@ -33,29 +33,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Body:
-    """Of a list or change, as it was sent."""
+    """The body of a list or change, as the parent sent it."""
 
     revision: int
     whole: bool
     entries: tuple[dict[str, Any], ...]
-    left_out: int  # entries that are no objects
+    left_out: int  # number of entries that are not JSON objects
 
 
 def read_body(text: bytes) -> Body:
-    """Raises BadList."""
+    """Parses a list or change. Raises BadList."""
     try:
         document = json.loads(text)
         revision, whole, listed = int(document["seq"]), bool(document["whole"]), list(document["hosts"])
     except (KeyError, TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise BadList(f"a list can't be read: {error!r}") from error
+        raise BadList(f"the list can't be parsed: {error!r}") from error
     if revision < 0:
-        raise BadList(f"a list has the revision {revision}")
+        raise BadList(f"the list has the negative revision {revision}")
     entries = tuple(entry for entry in listed if isinstance(entry, dict))
     return Body(revision, whole, entries, len(listed) - len(entries))
 
 
 class Call:
-    """A call whose answer has begun. It is closed by who opened it."""
+    """A call whose response head has been read. The caller that opened the call closes it."""
 
     def __init__(
         self,
@@ -66,8 +66,8 @@
         response: h11.Response,
     ) -> None:
         self.parent = parent
-        self.revision = revision  # that its watch goes on from; None: the whole list was asked for
-        self.within_object = False  # of a watch: one has begun and not ended
+        self.revision = revision  # of the watch; None if the whole list was requested
+        self.within_object = False  # whether a JSON object of the watch is incomplete
         self.status = response.status_code
         self.greeting: Greeting = read_greeting(response.headers)
         self.origin = Origin(parent.address, self.greeting.incarnation)
@@ -77,11 +77,11 @@
 
     @property
     def renewed_at_s(self) -> float:
-        """By what the answer's head says; of the source itself, what it will say."""
+        """When the source last renewed the list, by the age in the response head: 0 for the source itself."""
         return self.started_at_s - self.greeting.age_s
 
     async def whole(self) -> Body:
-        """The body of an answer that is one list. Raises BadList."""
+        """Reads the body of a response that is one list. Raises BadList."""
         body = bytearray()
         with trio.fail_at(self.started_at_s + WHOLE_LIST_TIMEOUT_S):
             while (part := await self._exchange.part(_receive)) is not None:
@@ -91,8 +91,10 @@
         return read_body(bytes(body))
 
     async def lines(self) -> AsyncIterator[Body | None]:
-        """Of a watch, up to its end: each object once it is whole, None for an empty line between objects.
-        Raises BadList."""
+        """Yields each object of a watch once it is complete, and None for an empty line between objects.
+
+        Raises BadList.
+        """
         objects, line = Objects(), bytearray()
         while (part := await self._exchange.part(_receive)) is not None:
             *ended, rest = part.split(b"\n")
@@ -106,18 +108,21 @@
             line += rest
             self.within_object = bool(line or objects.size)
             if len(line) + objects.size > LONGEST_LINE:
-                raise BadList("a line is too long")
+                raise BadList("a line of the watch is too long")
         if objects.size or line:
-            raise BadList("a watch ended within an object")
+            raise BadList("the watch ended within a JSON object")
 
     def close(self) -> None:
-        """At once, whatever is under way."""
+        """Closes the connection at once, even while it is in use."""
         self._stream.socket.close()
 
 
 async def open_call(parent: Parent, revision: int | None, incarnation: int | None) -> Call:
-    """A watch from that revision, None: the whole list. `incarnation`: None if it is not known. Raises
-    OSError, h11.ProtocolError, trio.TooSlowError, trio.BrokenResourceError and BadGreeting."""
+    """Requests a watch from `revision`, or the whole list if that is None.
+
+    `incarnation` is None if it is not known. Raises OSError, h11.ProtocolError, trio.TooSlowError,
+    trio.BrokenResourceError and BadGreeting.
+    """
     target = PATH if revision is None else f"{PATH}?watch=1&from={revision}"
     fields = [] if incarnation is None else [(INCARNATION_FIELD, str(incarnation))]
     with trio.fail_at(trio.current_time() + ANSWER_TIMEOUT_S):
--- a/glenfold/replica/relay_lists.py
+++ b/glenfold/replica/relay_lists.py
@@ -1,4 +1,4 @@
-"""The lists of a relay that has several parents to follow: control replicas, or discovery itself."""
+"""The list source of a relay that follows one of several parents: control replicas or discovery itself."""
 
 import random
 from collections.abc import Sequence
@@ -16,8 +16,11 @@
 
 
 class RelayLists:
-    """Takes what the follower accepted into the destination set, and tells the decisions. A relay serves on
-    by what it knows, however old that is, and has no children to be told of it."""
+    """Adds the lists that the follower accepted to the destination set and submits them to the decisions.
+
+    A relay keeps serving with the list it has, however old that is. It has no children, so renewals and the
+    Via chain go no further.
+    """
 
     def __init__(
         self, config: Config, decisions: Decisions, destinations: DestinationSet, counters: Counters
@@ -35,24 +38,24 @@
 
     @property
     def heard_at(self) -> float:
-        """When the source last said that what is known holds, on trio's clock."""
+        """When the source last renewed the list, on trio's clock."""
         return self._follower.renewed_at_s
 
     async def follow(self) -> None:
-        """Until it is cancelled; from the list that is known already, if there is one."""
+        """Follows the parents until cancelled, starting from the list known already, if there is one."""
         if self._destinations.listed:
             self._succession.resume(self._destinations.version)
         await self._follower.follow()
 
     def reload(self, config: Config) -> None:
-        """Follows these parents from now on."""
+        """Follows the parents in `config` from now on."""
         if config.parents is not None:
             self._follower.move_to(config.parents.parents)
 
-    # ---- what the follower tells ----
+    # ---- the Publisher interface, called by the follower ----
 
     def publish(self, document: ListDocument) -> None:
-        """Takes a list or change in; `_submit` is awaited before the next."""
+        """Adds a list or change to the destination set. `_submit` is awaited before the next one."""
         revision, entries = document.position.revision, document.entries
         document_fields = {"seq": revision, "whole": document.whole, "hosts": entries}
         self._unsent_list = self._destinations.read(document_fields)
@@ -64,10 +67,10 @@
             await self._decisions.tell(server_list)
 
     def renew(self, renewed_at_s: float) -> None:
-        """`heard_at` tells it."""
+        """Does nothing: `heard_at` holds the time of the renewal."""
 
     def stale(self) -> None:
-        """`heard_at` tells it."""
+        """Does nothing: `heard_at` shows how old the list is."""
 
     def via(self, names: Sequence[str]) -> None:
-        """Nobody is told of the chain."""
+        """Does nothing: a relay has no children to pass the Via chain on to."""
--- a/glenfold/replica/requests.py
+++ b/glenfold/replica/requests.py
@@ -1,4 +1,4 @@
-"""Requests of one connection to a replica, read with h11 one after the other."""
+"""Reads the requests of one connection to a replica, one at a time, with h11."""
 
 from http import HTTPStatus
 
@@ -11,15 +11,21 @@
 
 
 class RequestReader:
-    """h11's state is there only while a request is being read, so that idle connections and watches are
-    small."""
+    """Reads requests from one socket.
+
+    h11's state exists only while a request is being read, so that idle connections and watches use little
+    memory.
+    """
 
     def __init__(self, sock: SocketType) -> None:
         self._sock = sock
-        self._ahead = b""  # read behind the request before
+        self._ahead = b""  # bytes read after the end of the previous request
 
     async def next(self) -> h11.Request | None:
-        """None: the child has gone. Raises Refusal for what is no request, or one with a body."""
+        """Returns the next request, or None if the child has disconnected.
+
+        Raises Refusal if the input is not a valid request or the request has a body.
+        """
         data = self._ahead or await self._sock.recv(READ_BYTES)
         if not data:
             return None
@@ -40,7 +46,7 @@
                     self._ahead = connection.trailing_data[0]
                     return request
                 elif isinstance(event, h11.Data):
-                    raise Refusal(HTTPStatus.BAD_REQUEST, "a request with a body")
+                    raise Refusal(HTTPStatus.BAD_REQUEST, "a request must not have a body")
                 else:
                     return None
         except h11.RemoteProtocolError as error:
--- a/glenfold/replica/server.py
+++ b/glenfold/replica/server.py
@@ -1,7 +1,7 @@
-"""The serving side of a replica: lists and watches in discovery's form, over HTTP/1.1 on trio.
+"""The server of a replica: lists and watches in discovery's format, over HTTP/1.1 on trio.
 
-It is told by the follower of its parents what to serve (`glenfold.rules.replication.Publisher`). Connections
-without a request, children, whole lists under way and what each of them may hold are bounded.
+The follower of the parents supplies the lists through `glenfold.rules.replication.Publisher`. The number of
+idle connections, children and whole lists being sent is bounded, and so is the memory that each may use.
 """
 
 import random
@@ -35,29 +35,31 @@
 from glenfold.rules.replication_lease import Lease
 
 END_OF_LINE = b"\n"
-SEND_BUFFER_BYTES = 128 * 1024  # of the kernel, for each child
-LIST_TIMEOUT_S = 15.0  # for a child to take a whole list
-MAX_UNREQUESTED_BYTES = 64 * 1024  # that a child may send after its request for a watch
-NOT_READY_RETRY_SPREAD_S = 1.0  # over which those are spread who ask before there is a list
-HISTORY_REVISIONS = (256, 16, 4)  # before a first list that are asked for, fewer where they are not known
-HISTORY_TIMEOUT_S = 2.0  # for that
-SHUTDOWN_RETRY_SPREAD_S = (
-    1.0  # over which those are spread who ask while it ends: another may be there in its place
-)
-FULL_RETRY_SPREAD_S = 10.0  # over which those are spread who find the replica full
-CLOSING_TIMEOUT_S = 0.3  # for a child to take a refusal before its connection closes
-MAX_CLOSING_BYTES = 64 * 1024  # read from it meanwhile
-MAX_CLOSING_CONNECTIONS = 32  # such connections at a time; others are closed at once
-ACCEPT_RETRY_S = 0.1  # before the next try to accept
+SEND_BUFFER_BYTES = 128 * 1024  # the kernel's send buffer for each child
+LIST_TIMEOUT_S = 15.0  # limit for a child to read a whole list
+MAX_UNREQUESTED_BYTES = 64 * 1024  # limit on what a child may send after its watch request
+NOT_READY_RETRY_SPREAD_S = 1.0  # spreads the retries of children that ask before there is a list
+# How many revisions before the first list are requested from a parent, each next count if the parent does not
+# have the one before.
+HISTORY_REVISIONS = (256, 16, 4)
+HISTORY_TIMEOUT_S = 2.0  # limit for reading these revisions
+SHUTDOWN_RETRY_SPREAD_S = 1.0  # short, as a successor may already be running
+FULL_RETRY_SPREAD_S = 10.0  # spreads the retries of children refused at the limit
+CLOSING_TIMEOUT_S = 0.3  # limit for a child to read a refusal before the connection is closed
+MAX_CLOSING_BYTES = 64 * 1024  # limit on the input discarded during that time
+MAX_CLOSING_CONNECTIONS = 32  # above this number of closing connections, others are closed at once
+ACCEPT_RETRY_S = 0.1  # delay before the next accept when no file descriptor is free
 
 
 EarlierChanges = Callable[[int, Position], Awaitable[Sequence[ListDocument]]]
 
 
 class Server:
-    """A Publisher whose lists children get. `name`: of this replica, in Via. `earlier`: the changes after a
-    revision that led to a position, as far as somebody knows them; without it a history begins with its
-    first list."""
+    """A Publisher that serves the published lists to children.
+
+    `name` is the name of this replica in the Via header. `earlier` returns the changes after a revision that
+    led to a position, as far as a parent has them; without it, a history starts with its first list.
+    """
 
     def __init__(
         self,
@@ -78,15 +80,16 @@
             limits.whole_lists_mb_per_s * MB, limits.whole_lists_at_once, limits.children, self._rng
         )
         self._via_names: tuple[str, ...] = ()
-        self._idle: dict[SocketType, trio.CancelScope] = {}  # without a whole request, oldest first
-        self._children = 0  # answered or watching
+        # Connections without a complete request, oldest first.
+        self._idle: dict[SocketType, trio.CancelScope] = {}
+        self._children = 0  # connections being answered or watching
         self._closing = 0
         self._is_shutting_down = False
         self._earlier = earlier
         self._history_started = trio.Event()
-        self._is_reading_history = False  # who resumes may have to wait for that, and need no whole list then
+        self._is_reading_history = False  # children that resume wait for it to avoid a whole list
 
-    # ---- what the follower tells ----
+    # ---- the Publisher interface, called by the follower ----
 
     def publish(self, document: ListDocument) -> None:
         before = self._history.position
@@ -124,11 +127,15 @@
 
     @property
     def children(self) -> int:
-        """That watch."""
+        """The number of children that watch."""
         return len(self._watches)
 
     async def _read_histories(self, earlier: EarlierChanges) -> None:
-        """After a restart children know a little less than the first list, which is all that they lack."""
+        """Reads the changes before the first list of each history.
+
+        After a restart of the replica most children are only a few revisions behind its first list, so these
+        changes are all that they need.
+        """
         while True:
             await self._history_started.wait()
             self._history_started = trio.Event()
@@ -143,7 +150,7 @@
             since = max(0, start.revision - revisions)
             changes = await earlier(since, start)
             if changes:
-                with suppress(ValueError):  # another history has begun meanwhile, or changes have gone
+                with suppress(ValueError):  # a new history started meanwhile, or changes were dropped
                     taken = self._history.lead_in(since, changes)
                     self._counters.history_read += taken
                     events.history_read(changes=taken, revision=start.revision)
@@ -152,7 +159,7 @@
     # ---- connections ----
 
     async def serve(self, listener: SocketType) -> None:
-        """Until it is cancelled, which ends all connections and closes the listener."""
+        """Serves until cancelled. Cancelling ends all connections and closes the listener."""
         with listener:
             async with trio.open_nursery() as nursery:
                 await nursery.start(self._watches.run)
@@ -173,12 +180,12 @@
             nursery.start_soon(self._serve_connection, sock)
 
     async def end_watches(self, spread_s: float) -> None:
-        """In order, evenly over that time; who asks meanwhile is sent elsewhere."""
+        """Ends all watches in order, evenly over `spread_s`, and refuses new requests from now on."""
         self._is_shutting_down = True
         await self._watches.end_all(spread_s)
 
     async def _serve_connection(self, sock: SocketType) -> None:
-        """One connection's fault ends that connection."""
+        """Serves one connection. An error ends only this connection."""
         try:
             without_delay(sock)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
@@ -188,7 +195,7 @@
                 self._count(error)
                 source = None if self._history.position is None else self._source()
                 await self._close_after_refusal(sock, refusal(error, source))
-        except (OSError, trio.ClosedResourceError):  # the child has gone
+        except (OSError, trio.ClosedResourceError):  # the child disconnected
             pass
         except Exception as error:
             self._counters.faults += 1
@@ -197,7 +204,7 @@
             sock.close()
 
     async def _serve_requests(self, sock: SocketType) -> None:
-        """Request by request; a watch is the last."""
+        """Answers the requests of a connection one at a time. A watch is always the last one."""
         reader = RequestReader(sock)
         is_open = True
         while is_open:
@@ -215,7 +222,10 @@
 
     @contextmanager
     def _idle_slot(self, sock: SocketType) -> Iterator[trio.CancelScope]:
-        """Connections that say nothing crowd out each other, never children that were answered."""
+        """Bounds the idle connections in number and time.
+
+        At the limit a new idle connection closes the oldest one, but never a child that was answered.
+        """
         if len(self._idle) >= self._limits.idle_connections:
             self._idle.pop(next(iter(self._idle))).cancel()
             self._counters.idle_crowded_out += 1
@@ -231,11 +241,11 @@
     @contextmanager
     def _child_slot(self) -> Iterator[None]:
         if self._is_shutting_down:
-            raise self._unavailable("this replica ends", SHUTDOWN_RETRY_SPREAD_S)
+            raise self._unavailable("the replica is shutting down", SHUTDOWN_RETRY_SPREAD_S)
         if self._children >= self._limits.children:
             self._counters.children_refused += 1
             events.full(children=self._children)
-            raise self._unavailable("there are as many children as may be", FULL_RETRY_SPREAD_S)
+            raise self._unavailable("the limit on children is reached", FULL_RETRY_SPREAD_S)
         self._children += 1
         try:
             yield
@@ -257,11 +267,14 @@
             case HTTPStatus.GONE:
                 self._counters.future_revisions += 1
             case _:
-                return  # counted where it was found out
+                return  # already counted where it was raised
         events.request_refused(error=error)
 
     async def _close_after_refusal(self, sock: SocketType, response: bytes) -> None:
-        """Closing on unread bytes resets the connection and may take the answer with it: some are read."""
+        """Sends a refusal and reads the child's remaining input for a while before closing.
+
+        Closing a socket with unread input resets the connection, and the child may then lose the response.
+        """
         await send(sock, response)
         finish(sock)
         if self._closing >= MAX_CLOSING_CONNECTIONS:
@@ -292,7 +305,11 @@
             self._counters.whole_lists_deferred += 1
             events.lists_deferred(deferred=self._counters.whole_lists_deferred)
             retry_after_s = self._admission.retry_after_s(now_s, size)
-            raise Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "whole lists wait", retry_after_s)
+            raise Refusal(
+                HTTPStatus.SERVICE_UNAVAILABLE,
+                "whole-list requests exceed the admission limit",
+                retry_after_s,
+            )
         self._counters.whole_lists += 1
         try:
             yield
@@ -300,22 +317,24 @@
             self._admission.finished()
 
     async def _answer_list(self, sock: SocketType) -> bool:
-        """Whether the child took it in time."""
+        """Sends the whole list. Returns whether the child read it in time."""
         source, body = self._source(), self._history.whole()
         with self._list_slot(len(body)):
             return await self._send_list(sock, whole_list_head(source, len(body)), body)
 
     async def _answer_watch(self, sock: SocketType, parsed: WatchRequest) -> None:
-        """A child whose revision is past gets the whole list as its first line."""
+        """Serves a watch. A child whose revision is no longer in the history first gets the whole list."""
         source = self._source()
         try:
             index = self._history.index_after(parsed.revision, parsed.incarnation)
         except FutureRevision:
-            raise Refusal(HTTPStatus.GONE, f"{parsed.revision} is of the future") from None
+            raise Refusal(HTTPStatus.GONE, f"revision {parsed.revision} is in the future") from None
         except PastRevision:
             if self._is_reading_history:
                 self._counters.not_ready += 1
-                raise self._unavailable("the history is being read", NOT_READY_RETRY_SPREAD_S) from None
+                raise self._unavailable(
+                    "the earlier changes are still being read", NOT_READY_RETRY_SPREAD_S
+                ) from None
             index, body = self._history.end_index, self._history.whole()
             with self._list_slot(len(body)):
                 before, after = around_chunk(len(body) + len(END_OF_LINE))
@@ -336,7 +355,10 @@
             self._watches.close(watch)
 
     async def _send_list(self, sock: SocketType, *pieces: bytes) -> bool:
-        """False: the child took too long. Those who are sent one list share its bytes."""
+        """Sends the pieces without copying them. Returns False if the child took too long.
+
+        Children that are sent the same list share its bytes.
+        """
         sent = False
         try:
             with trio.move_on_after(LIST_TIMEOUT_S):
@@ -348,6 +370,6 @@
 
 
 async def _discard_input(sock: SocketType, max_bytes: int) -> None:
-    """Until the child closes, or has sent that much."""
+    """Reads and drops input until the child closes or has sent `max_bytes`."""
     while max_bytes > 0 and (data := await sock.recv(READ_BYTES)):
         max_bytes -= len(data)
--- a/glenfold/replica/watches.py
+++ b/glenfold/replica/watches.py
@@ -1,8 +1,8 @@
-"""The open watches of a replica: one loop writes each change to all of them.
+"""The open watches of a replica. One loop writes each change to all of them.
 
-A watch holds an index into the shared history and what the kernel has not yet taken of the bytes that all
-share. Where the kernel takes all, a change costs one system call a watch; only for a watch whose child reads
-slowly there is a task that waits for it.
+A watch holds an index into the shared history and a view of those shared bytes that the kernel has not yet
+accepted. If the kernel accepts everything, a change costs one system call per watch. Only a watch whose child
+reads slowly has a task of its own, which waits until the socket is writable.
 """
 
 from collections import deque
@@ -17,18 +17,21 @@
 from glenfold.rules.replication_http import LAST_CHUNK, RENEWAL_CHUNK
 from glenfold.rules.replication_lease import Lease
 
-MAX_WRITE_BYTES = 64 * 1024  # of joined changes in one call
-WATCHES_PER_TURN = 128  # written to before others have a turn of the loop
-END_STEP_S = 0.02  # between two steps of ending all watches
+MAX_WRITE_BYTES = 64 * 1024  # limit on the changes joined into one write
+WATCHES_PER_TURN = 128  # watches written before the loop runs other tasks
+END_STEP_S = 0.02  # interval between two steps of `end_all`
 
-EMPTY = memoryview(b"")  # in place of the empty rest of a chunk, which it would keep
+EMPTY = memoryview(b"")  # replaces an empty slice, which would keep its whole chunk in memory
 
 WriteStep = Callable[["Watch"], bool]
 
 
 class Watch:
-    """One child that watches. `scope`: of the task that owns the socket and closes it. `index`: of the next
-    change in the history; `unsent`: of what came before, the rest that the kernel has not taken."""
+    """The watch of one child.
+
+    `scope` is the cancel scope of the task that owns and closes the socket. `index` is the position of the
+    next change in the history. `unsent` holds the earlier bytes that the kernel has not yet accepted.
+    """
 
     __slots__ = ("sock", "scope", "incarnation", "index", "unsent", "is_catching_up")
 
@@ -38,11 +41,11 @@
         self.incarnation = incarnation
         self.index = index
         self.unsent = memoryview(head)
-        self.is_catching_up = False  # a task waits for its child to read
+        self.is_catching_up = False  # whether a task waits for the child to read
 
 
 class Watches:
-    """`blocked_s`: a child that takes nothing for so long is cut. `run` serves until it is cancelled."""
+    """The open watches of one replica. A child that reads nothing for `blocked_s` is disconnected."""
 
     def __init__(
         self, history: RevisionHistory, lease: Lease, counters: ReplicaCounters, blocked_s: float
@@ -53,16 +56,15 @@
         self._blocked_s = blocked_s
         self._open: dict[Watch, None] = {}  # oldest first
         self._update = trio.Event()
-        self._written_position = (
-            0,
-            history.end_index,
-        )  # incarnation, index: all watches have it or wait for it
+        # The incarnation and index that every watch has or is catching up to.
+        self._written_position = (0, history.end_index)
         self._nursery: trio.Nursery | None = None
 
     def __len__(self) -> int:
         return len(self._open)
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Writes changes and renewals to the watches until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             while True:
@@ -70,24 +72,26 @@
                 await self._write_to_all()
 
     def wake(self) -> None:
-        """There is a change or a renewal."""
+        """Wakes the loop after a change or a renewal was published."""
         self._update.set()
 
     def open(self, watch: Watch) -> None:
-        """From now on it gets changes and renewals, after its head and what it has missed."""
+        """Adds a watch. It gets its response head and the missed changes first, then changes and renewals."""
         self._open[watch] = None
         self._counters.watches += 1
         self._write(watch, self._advance)
 
     def close(self, watch: Watch) -> None:
-        """Its socket is about to be closed."""
+        """Removes a watch whose socket is about to be closed."""
         if watch in self._open:
             del self._open[watch]
             self._counters.watches_ended += 1
 
     async def end_all(self, spread_s: float) -> None:
-        """In the order in which they came, evenly over that time, so that children don't all ask elsewhere at
-        once."""
+        """Ends all watches, oldest first and evenly over `spread_s`.
+
+        Otherwise all children would call other replicas at the same moment.
+        """
         remaining, start_s = deque(self._open), trio.current_time()
         per_s = len(remaining) / max(spread_s, END_STEP_S)
         ended_count = 0
@@ -127,13 +131,13 @@
                 await trio.lowlevel.checkpoint()
 
     def _write(self, watch: Watch, step: WriteStep) -> None:
-        """Without waiting; what the kernel does not take is left to a task."""
+        """Runs a write step without blocking. A task writes what the kernel does not accept."""
         assert self._nursery is not None
         try:
             is_complete = step(watch)
         except PastRevision:
             self._cut_behind(watch)
-        except OSError:  # its child has gone
+        except OSError:  # the child disconnected
             watch.scope.cancel()
         else:
             if not is_complete:
@@ -141,7 +145,7 @@
                 self._nursery.start_soon(self._catch_up, watch)
 
     def _advance(self, watch: Watch) -> bool:
-        """Writes what it has not got. False: the kernel does not take all of that now."""
+        """Writes the changes that the watch lacks. Returns False if the kernel does not accept them all."""
         position = self._history.position
         while True:
             if not self._flush(watch):
@@ -155,7 +159,7 @@
             watch.unsent = memoryview(chunks)
 
     def _renew(self, watch: Watch) -> bool:
-        """The empty line, in its place behind what came before."""
+        """Writes the empty line of a renewal after all earlier bytes. Returns False if some are left over."""
         if not self._advance(watch):
             return False
         watch.unsent = memoryview(RENEWAL_CHUNK)
@@ -173,28 +177,28 @@
                     await trio.lowlevel.wait_writable(watch.sock)
         except trio.TooSlowError:
             self._counters.cut_blocked += 1
-            self._cut(watch, f"its child took nothing for {self._blocked_s:g} s")
+            self._cut(watch, f"the child read nothing for {self._blocked_s:g} s")
         except PastRevision:
             self._cut_behind(watch)
-        except (OSError, trio.ClosedResourceError):  # its child has gone
+        except (OSError, trio.ClosedResourceError):  # the child disconnected
             watch.scope.cancel()
         finally:
             watch.is_catching_up = False
 
-    # ---- endings ----
+    # ---- ending watches ----
 
     def _cut_behind(self, watch: Watch) -> None:
         self._counters.cut_behind += 1
-        self._cut(watch, "its child is behind the history")
+        self._cut(watch, "the child fell behind the history")
 
     def _cut(self, watch: Watch, reason: str) -> None:
-        """In the middle of whatever it was being sent: the child takes no broken line for a change."""
+        """Resets the connection, even within a line. The child discards an incomplete line."""
         events.watch_cut(reason=reason)
         reset_on_close(watch.sock)
         watch.scope.cancel()
 
     def _end(self, watch: Watch) -> None:
-        """In order: the child goes on elsewhere from the revision that it has."""
+        """Ends the watch with the last chunk, so that the child resumes elsewhere from its revision."""
         if watch not in self._open:
             return
         try:
