--- a/tests/replica/serving.py
+++ b/tests/replica/running_replica.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Serving:
+class RunningReplica:
     server: Server
     counters: ReplicaCounters
     port: int
@@ -29,7 +29,9 @@
 
 
 @asynccontextmanager
-async def serving(earlier: EarlierChanges | None = None, **limits: Any) -> AsyncIterator[Serving]:
+async def running_replica(
+    earlier: EarlierChanges | None = None, **limits: Any
+) -> AsyncIterator[RunningReplica]:
     counters = ReplicaCounters()
     server = Server("north-1", Limits(**limits), counters, random.Random(7), earlier)
     listener = trio.socket.socket()
@@ -39,7 +41,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.serve, listener)
             with trio.CancelScope() as scope:
-                yield Serving(server, counters, listener.getsockname()[1], scope)
+                yield RunningReplica(server, counters, listener.getsockname()[1], scope)
             nursery.cancel_scope.cancel()
 
 
@@ -59,48 +61,48 @@
         headers = [("Host", "a"), *((name.replace("_", "-"), value) for name, value in fields.items())]
         request = h11.Request(method=method, target=target, headers=headers)
         await self.stream.send_all(self.http.send(request) + self.http.send(h11.EndOfMessage()))
-        response = await self.event()
+        response = await self.next_event()
         assert isinstance(response, h11.Response)
         return response
 
-    async def event(self, within_s: float = WITHIN_S) -> Any:
+    async def next_event(self, within_s: float = WITHIN_S) -> Any:
         with trio.fail_after(within_s):
             while (event := self.http.next_event()) is h11.NEED_DATA:
                 self.http.receive_data(await self.stream.receive_some(1 << 16))
         return event
 
-    async def whole(self) -> dict[str, Any]:
+    async def read_list(self) -> dict[str, Any]:
         """The body of a whole list."""
         body = b""
-        while isinstance(event := await self.event(), h11.Data):
+        while isinstance(event := await self.next_event(), h11.Data):
             body += bytes(event.data)
         assert isinstance(event, h11.EndOfMessage)
         return dict(json.loads(body))
 
-    async def line(self, within_s: float = WITHIN_S) -> dict[str, Any] | None:
+    async def next_line(self, within_s: float = WITHIN_S) -> dict[str, Any] | None:
         """The next one of a watch. Raises h11.RemoteProtocolError where it broke off, EOFError at its end."""
         while not self.lines:
-            event = await self.event(within_s)
+            event = await self.next_event(within_s)
             if not isinstance(event, h11.Data):
                 raise EOFError
-            *ended, self._line = (self._line + bytes(event.data)).split(b"\n")
-            self.lines += [json.loads(line) if line else None for line in ended]
+            *complete, self._line = (self._line + bytes(event.data)).split(b"\n")
+            self.lines += [json.loads(line) if line else None for line in complete]
         return self.lines.pop(0)
 
-    async def closed(self) -> bytes:
+    async def read_until_closed(self) -> bytes:
         """What else came until the other side closed or reset it."""
-        found = b""
+        received = b""
         with trio.fail_after(WITHIN_S):
             try:
                 while data := await self.stream.receive_some(1 << 16):
-                    found += data
+                    received += data
             except trio.BrokenResourceError:
                 pass
-        return found
+        return received
 
 
-async def until(true: Any) -> None:
+async def wait_until(condition: Any) -> None:
     """Polls, as counters have no event."""
     with trio.fail_after(WITHIN_S):
-        while not true():
+        while not condition():
             await trio.sleep(0.002)
--- a/tests/replica/stand_in_parent.py
+++ b/tests/replica/stand_in_parent.py
@@ -43,17 +43,17 @@
         self.history: list[tuple[int, list[dict[str, Any]]]] = []
         self.oldest = revision
         self.renewed_at_s = -age_s
-        self.asked: list[tuple[float, str]] = []
+        self.requests: list[tuple[float, str]] = []
         self.hangs = False  # it takes calls, and answers none
-        self.answers: list[bytes | None] = []
+        self.scripted_answers: list[bytes | None] = []
         self.watches: list[trio.SocketStream] = []
         self.port = 0
         self._scope = trio.CancelScope()
-        self._down = trio.Event()
+        self._stopped = trio.Event()
         self._sending = trio.Lock()
 
     @property
-    def place(self) -> Parent:
+    def as_parent(self) -> Parent:
         return Parent(("127.0.0.1", self.port), self.zone, self.region)
 
     async def listen(self, nursery: trio.Nursery) -> None:
@@ -62,7 +62,7 @@
         await listener.bind(("127.0.0.1", self.port))
         listener.listen(512)
         self.port = listener.getsockname()[1]
-        self._scope, self._down = trio.CancelScope(), trio.Event()
+        self._scope, self._stopped = trio.CancelScope(), trio.Event()
         nursery.start_soon(self._serve, trio.SocketListener(listener))
 
     async def _serve(self, listener: trio.SocketListener) -> None:
@@ -70,7 +70,7 @@
             async with listener, trio.open_nursery() as nursery:
                 nursery.start_soon(trio.serve_listeners, self._answer, [listener])
                 nursery.start_soon(self._renew)
-        self._down.set()
+        self._stopped.set()
 
     async def kill(self) -> None:
         """All its connections are reset, and new ones refused."""
@@ -78,7 +78,7 @@
             stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.watches.clear()
         self._scope.cancel()
-        await self._down.wait()
+        await self._stopped.wait()
 
     # ---- what it tells ----
 
@@ -89,19 +89,19 @@
             if one["health"] == "terminated":
                 del self.hosts[one["host"]]
         self.history.append((self.revision, list(entries)))
-        await self.say(self._object(self.revision, False, list(entries)))
+        await self.send(self._object(self.revision, False, list(entries)))
 
-    async def say(self, text: bytes, whole_chunk: bool = True) -> None:
+    async def send(self, text: bytes, complete_chunk: bool = True) -> None:
         """To all who watch. Without the whole chunk, more must come."""
-        size = len(text) if whole_chunk else 2 * len(text)
+        size = len(text) if complete_chunk else 2 * len(text)
         async with self._sending:
             for stream in list(self.watches):
                 with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                    await stream.send_all(b"%x\r\n%s" % (size, text) + b"\r\n" * whole_chunk)
+                    await stream.send_all(b"%x\r\n%s" % (size, text) + b"\r\n" * complete_chunk)
 
     async def renew(self) -> None:
         self.renewed_at_s = trio.current_time()
-        await self.say(b"\n")
+        await self.send(b"\n")
 
     async def _renew(self) -> None:
         while True:
@@ -134,13 +134,13 @@
             while await read_line(stream) != b"\r\n":
                 pass
             target = line.split()[1].decode()
-            self.asked.append((trio.current_time(), target))
+            self.requests.append((trio.current_time(), target))
             if self.hangs:
                 await trio.sleep_forever()
-            told = self.answers.pop(0) if self.answers else None
-            if told is not None:
-                await stream.send_all(told)
-                if told.endswith(b"\r\n\r\n"):
+            scripted_answer = self.scripted_answers.pop(0) if self.scripted_answers else None
+            if scripted_answer is not None:
+                await stream.send_all(scripted_answer)
+                if scripted_answer.endswith(b"\r\n\r\n"):
                     return
             elif "watch" not in target:
                 body = self._object(self.revision, True, list(self.hosts.values()))
@@ -156,7 +156,7 @@
         if after < self.oldest:
             changes = [self._object(self.revision, True, list(self.hosts.values()))]
         else:
-            changes = [self._object(at, False, told) for at, told in self.history if at > after]
+            changes = [self._object(at, False, entries) for at, entries in self.history if at > after]
         for change in changes:
             text += b"%x\r\n%s\r\n" % (len(change), change)
         await stream.send_all(text)
@@ -167,7 +167,7 @@
             self.watches.remove(stream)
 
 
-class Recorder:
+class RecordingPublisher:
     """A publisher that keeps what it is told, with its moments."""
 
     def __init__(self) -> None:
@@ -175,7 +175,7 @@
         self.renewals: list[tuple[float, float]] = []  # when told, and the moment told
         self.stale_at_s: list[float] = []
         self.chains: list[tuple[str, ...]] = []
-        self._news = trio.Event()
+        self._update = trio.Event()
 
     @property
     def positions(self) -> list[Position]:
@@ -183,34 +183,34 @@
 
     def publish(self, document: ListDocument) -> None:
         self.documents.append((trio.current_time(), document))
-        self._pulse()
+        self._notify()
 
     def renew(self, renewed_at_s: float) -> None:
         self.renewals.append((trio.current_time(), renewed_at_s))
 
     def stale(self) -> None:
         self.stale_at_s.append(trio.current_time())
-        self._pulse()
+        self._notify()
 
     def via(self, names: tuple[str, ...]) -> None:
         self.chains.append(names)
-        self._pulse()
+        self._notify()
 
-    def _pulse(self) -> None:
-        self._news.set()
-        self._news = trio.Event()
+    def _notify(self) -> None:
+        self._update.set()
+        self._update = trio.Event()
 
-    async def news(self) -> None:
+    async def wait_for_update(self) -> None:
         """Until it is told anything but a renewal."""
-        await self._news.wait()
+        await self._update.wait()
 
-    async def until(self, revision: int) -> float:
+    async def wait_for_revision(self, revision: int) -> float:
         """When that revision was published."""
         while True:
             for at_s, document in self.documents:
                 if document.position.revision == revision:
                     return at_s
-            await self.news()
+            await self.wait_for_update()
 
 
 class Child:
@@ -221,36 +221,36 @@
         *parents: StandInParent,
         zone: str | None = None,
         region: str | None = None,
-        random_seed: int = 1,
+        seed: int = 1,
         name: str | None = None,
     ) -> None:
-        places = tuple(parent.place for parent in parents)
-        self.published = Recorder()
-        self.choice = ParentChoice(places, zone, region, random.Random(random_seed))
+        parent_configs = tuple(parent.as_parent for parent in parents)
+        self.published = RecordingPublisher()
+        self.choice = ParentChoice(parent_configs, zone, region, random.Random(seed))
         self.succession = Succession()
         self.follower = Follower(self.choice, self.succession, self.published, name)
 
     def parent(self) -> Parent | None:
         return None if self.follower.watch is None else self.follower.watch.parent
 
-    async def until_any(self) -> None:
+    async def wait_for_parent(self) -> None:
         while self.parent() is None:
-            await self.published.news()
+            await self.published.wait_for_update()
 
-    async def until_at(self, parent: StandInParent) -> float:
-        while self.parent() != parent.place:
-            await self.published.news()
+    async def wait_for(self, parent: StandInParent) -> float:
+        while self.parent() != parent.as_parent:
+            await self.published.wait_for_update()
         return trio.current_time()
 
 
-def jump(seconds: float) -> None:
+def jump_clock(seconds: float) -> None:
     """All that falls due within them falls due at once."""
     clock = trio.lowlevel.current_clock()
     assert isinstance(clock, trio.testing.MockClock)
     clock.jump(seconds)
 
 
-def play(script: Callable[[trio.Nursery], Awaitable[None]]) -> None:
+def run_script(script: Callable[[trio.Nursery], Awaitable[None]]) -> None:
     """Runs it on a clock that jumps, and ends all that it started. Raises what the script itself raises."""
     failed: list[AssertionError] = []
 
--- a/tests/replica/test_follower.py
+++ b/tests/replica/test_follower.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 from relaying import entry
-from stand_in_parent import Child, StandInParent, jump, play
+from stand_in_parent import Child, StandInParent, jump_clock, run_script
 
 from glenfold.replica.parent_watch import PATH
 from glenfold.rules.parent_choice import SOONEST_HOME_S
@@ -13,7 +13,7 @@
 from glenfold.rules.source_lease import LEASE_S, SILENCE_S
 
 
-async def started(nursery: trio.Nursery, *parents: StandInParent) -> None:
+async def start_parents(nursery: trio.Nursery, *parents: StandInParent) -> None:
     for parent in parents:
         await parent.listen(nursery)
 
@@ -21,27 +21,27 @@
 def test_the_source_is_followed_and_its_lists_go_out_as_they_came() -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
-        await started(nursery, source)
+        await start_parents(nursery, source)
         child = Child(source)
         nursery.start_soon(child.follower.follow)
-        await child.published.until(41)
-        await child.until_at(source)
+        await child.published.wait_for_revision(41)
+        await child.wait_for(source)
         await trio.sleep(0.1)
         await source.change(entry("s-2"))
-        await child.published.until(42)
+        await child.published.wait_for_revision(42)
         first, second = (document for _, document in child.published.documents)
         assert first.whole and first.entries == (entry("s-1"),)
         assert not second.whole and second.entries == (entry("s-2"),)
         assert child.published.positions == [Position(0, 41), Position(0, 42)]
         assert child.published.chains == [()]
-        assert [target for _, target in source.asked] == [PATH, f"{PATH}?watch=1&from=41"]
+        assert [target for _, target in source.requests] == [PATH, f"{PATH}?watch=1&from=41"]
 
-    play(script)
+    run_script(script)
 
 
-def watched(parent: StandInParent) -> list[int]:
+def requested_revisions(parent: StandInParent) -> list[int]:
     """The revisions that it was asked to go on from; -1: the whole list."""
-    return [int(target.rpartition("=")[2]) if "=" in target else -1 for _, target in parent.asked]
+    return [int(target.rpartition("=")[2]) if "=" in target else -1 for _, target in parent.requests]
 
 
 def replica(name: str = "r-1", revision: int = 1, **more: Any) -> StandInParent:
@@ -51,42 +51,42 @@
 def test_a_killed_parent_costs_no_whole_list_and_is_replaced_within_the_time() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, other = replica("r-1", 41, children=250), replica("r-2", 41, children=250)
-        await started(nursery, one, other)
+        await start_parents(nursery, one, other)
         child = Child(one, other)
         nursery.start_soon(child.follower.follow)
-        await child.until_any()
-        first, second = (one, other) if child.parent() == one.place else (other, one)
+        await child.wait_for_parent()
+        first, second = (one, other) if child.parent() == one.as_parent else (other, one)
         await trio.sleep(1)
         await first.kill()
         killed_at_s = trio.current_time()
         await second.change(entry("s-2"))
-        assert await child.published.until(42) < killed_at_s + 4
+        assert await child.published.wait_for_revision(42) < killed_at_s + 4
         assert child.published.positions == [Position(0, 41), Position(0, 42)]
-        assert watched(second) == [41] and watched(first) == [-1, 41]
+        assert requested_revisions(second) == [41] and requested_revisions(first) == [-1, 41]
 
-    play(script)
+    run_script(script)
 
 
 def test_a_parent_that_falls_silent_is_left_for_one_that_is_renewed() -> None:
     async def script(nursery: trio.Nursery) -> None:
         near, far = replica("r-1", zone="cardiff"), replica("r-2", zone="wrexham")
-        await started(nursery, near, far)
+        await start_parents(nursery, near, far)
         child = Child(near, far, zone="cardiff")
         nursery.start_soon(child.follower.follow)
-        await child.until_at(near)
+        await child.wait_for(near)
         await trio.sleep(5)
         near.renewing = False
         silent_at_s = near.renewed_at_s
-        assert silent_at_s + SILENCE_S < await child.until_at(far) < silent_at_s + LEASE_S
+        assert silent_at_s + SILENCE_S < await child.wait_for(far) < silent_at_s + LEASE_S
         assert child.published.stale_at_s == []
 
-    play(script)
+    run_script(script)
 
 
-async def entered(nursery: trio.Nursery, child: Child, parent: StandInParent) -> None:
+async def follow_parent(nursery: trio.Nursery, child: Child, parent: StandInParent) -> None:
     """Its first parent, and a moment more, so that what follows is no part of the start."""
     nursery.start_soon(child.follower.follow)
-    await child.until_at(parent)
+    await child.wait_for(parent)
     await trio.sleep(1)
 
 
@@ -98,53 +98,53 @@
             replica("r-1", zone="cardiff", children=250),
             *(replica(f"r-{n}", zone="wrexham") for n in (2, 3)),
         ]
-        await started(nursery, *parents)
-        children = [Child(*parents, zone="cardiff", random_seed=seed) for seed in range(40)]
+        await start_parents(nursery, *parents)
+        children = [Child(*parents, zone="cardiff", seed=seed) for seed in range(40)]
         for child in children:
             nursery.start_soon(child.follower.follow)
         for child in children:
-            await child.until_at(dead)
+            await child.wait_for(dead)
         await trio.sleep(1)
         dead_at_s = trio.current_time()
         await dead.kill()
         for other in others:
             await other.change(entry("s-2"))
-        told = [await child.published.until(2) for child in children]
+        told = [await child.published.wait_for_revision(2) for child in children]
         assert max(told) < dead_at_s + 4
-        asked = sorted(at_s - dead_at_s for other in others for at_s, _ in other.asked)
+        asked = sorted(at_s - dead_at_s for other in others for at_s, _ in other.requests)
         assert asked[-1] - asked[0] > 1.0
         assert max(sum(at_s <= one < at_s + 0.2 for one in asked) for at_s in asked) <= 12
-        assert len(asked) == 40 and all(len(other.asked) >= 10 for other in others)
-        assert set(watched(others[0]) + watched(others[1])) == {1}
+        assert len(asked) == 40 and all(len(other.requests) >= 10 for other in others)
+        assert set(requested_revisions(others[0]) + requested_revisions(others[1])) == {1}
 
-    play(script)
+    run_script(script)
 
 
 def test_a_parent_that_follows_this_replica_is_refused_at_once() -> None:
     async def script(nursery: trio.Nursery) -> None:
         loop, sound = StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"), replica("r-3")
-        await started(nursery, loop, sound)
+        await start_parents(nursery, loop, sound)
         child = Child(loop, sound, zone="cardiff", name="me")
         nursery.start_soon(child.follower.follow)
-        await child.until_any()
-        assert child.parent() == sound.place and child.follower.counters()["parents_loop"] == 1
+        await child.wait_for_parent()
+        assert child.parent() == sound.as_parent and child.follower.counters()["parents_loop"] == 1
 
-    play(script)
+    run_script(script)
 
 
 def test_a_loop_is_no_parent_where_there_is_no_other() -> None:
     async def script(nursery: trio.Nursery) -> None:
         loop, sound = StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"), replica("r-3")
-        await started(nursery, loop, sound)
+        await start_parents(nursery, loop, sound)
         child = Child(loop, sound, zone="cardiff", name="me")
-        await entered(nursery, child, sound)
+        await follow_parent(nursery, child, sound)
         await sound.kill()
         await trio.sleep(20)
-        assert child.parent() is None or child.parent() == sound.place
+        assert child.parent() is None or child.parent() == sound.as_parent
         assert child.follower.counters()["parents_loop"] > 1
         assert child.published.chains == [("r-3",)]
 
-    play(script)
+    run_script(script)
 
 
 def test_only_what_the_source_renewed_renews() -> None:
@@ -152,30 +152,30 @@
 
     async def script(nursery: trio.Nursery) -> None:
         stale = replica("r-1", 41, renewing=False, age_s=100.0)
-        await started(nursery, stale)
+        await start_parents(nursery, stale)
         child = Child(stale)
         nursery.start_soon(child.follower.follow)
-        await child.published.until(41)
-        await child.until_at(stale)
+        await child.published.wait_for_revision(41)
+        await child.wait_for(stale)
         await trio.sleep(1)
         await stale.change(entry("s-2"))  # it was told by one that is as stale
-        await child.published.until(42)
+        await child.published.wait_for_revision(42)
         await trio.sleep(10)
         assert child.follower.renewed_at_s == pytest.approx(-100, abs=0.1)
-        assert max(moment for _, moment in child.published.renewals) < -99
+        assert max(renewed_at_s for _, renewed_at_s in child.published.renewals) < -99
         stale.renewing = True
         await trio.sleep(3)
         assert trio.current_time() - child.follower.renewed_at_s < 2.5
 
-    play(script)
+    run_script(script)
 
 
 def test_changes_of_a_parent_that_is_renewed_renew_without_empty_lines() -> None:
     async def script(nursery: trio.Nursery) -> None:
         parent = replica()
-        await started(nursery, parent)
+        await start_parents(nursery, parent)
         child = Child(parent)
-        await entered(nursery, child, parent)
+        await follow_parent(nursery, child, parent)
         parent.renewing = False
         for _ in range(10):
             await trio.sleep(1)
@@ -184,22 +184,22 @@
         assert trio.current_time() - child.follower.renewed_at_s < 0.5
         assert child.published.stale_at_s == [] and child.follower.counters()["parents_followed"] == 1
 
-    play(script)
+    run_script(script)
 
 
 def test_the_lease_ends_six_seconds_after_the_source_renewed_it_last() -> None:
     async def script(nursery: trio.Nursery) -> None:
         parent = replica()
-        await started(nursery, parent)
+        await start_parents(nursery, parent)
         child = Child(parent)
-        await entered(nursery, child, parent)
+        await follow_parent(nursery, child, parent)
         await trio.sleep(20)
         assert child.published.stale_at_s == []
         parent.renewing = False
         await trio.sleep(20)
         assert child.published.stale_at_s == [pytest.approx(parent.renewed_at_s + LEASE_S, abs=0.1)]
 
-    play(script)
+    run_script(script)
 
 
 def test_where_all_are_stale_nobody_goes_round() -> None:
@@ -208,20 +208,20 @@
 
     async def script(nursery: trio.Nursery) -> None:
         parents = [replica(f"r-{n}", 41) for n in range(4)]
-        await started(nursery, *parents)
-        children = [Child(*parents, random_seed=seed) for seed in range(3)]
+        await start_parents(nursery, *parents)
+        children = [Child(*parents, seed=seed) for seed in range(3)]
         for child in children:
             nursery.start_soon(child.follower.follow)
-            await child.until_any()
+            await child.wait_for_parent()
         await trio.sleep(3)
         for parent in parents:
             parent.renewing = False
         await trio.sleep(30)
-        calls = sum(len(parent.asked) for parent in parents)
+        calls = sum(len(parent.requests) for parent in parents)
         followed = sum(child.follower.counters()["parents_followed"] for child in children)
-        jump(3600)
+        jump_clock(3600)
         await trio.sleep(60)
-        calls = sum(len(parent.asked) for parent in parents) - calls
+        calls = sum(len(parent.requests) for parent in parents) - calls
         assert sum(child.follower.counters()["parents_followed"] for child in children) == followed
         assert followed <= 2 * len(children)
         assert calls <= len(children) * len(parents) * 60 / 2
@@ -229,37 +229,37 @@
         parents[2].renewing = True
         await parents[2].change(entry("s-2"))
         for child in children:
-            assert await child.published.until(42) < back_at_s + LEASE_S
+            assert await child.published.wait_for_revision(42) < back_at_s + LEASE_S
         await trio.sleep(10)
-        assert {child.parent() for child in children} == {parents[2].place}
+        assert {child.parent() for child in children} == {parents[2].as_parent}
 
-    play(script)
+    run_script(script)
 
 
 def test_a_region_cut_off_joins_again_without_bringing_back_who_drained() -> None:
     async def script(nursery: trio.Nursery) -> None:
         cut = replica("r-1", 41, hosts=("s-1", "s-2"), region="west")
         source_side = replica("r-2", 41, hosts=("s-1", "s-2"), region="east")
-        await started(nursery, cut, source_side)
+        await start_parents(nursery, cut, source_side)
         child = Child(cut, source_side, region="east")
-        await entered(nursery, child, source_side)
+        await follow_parent(nursery, child, source_side)
         cut.renewing = False  # for an hour, in which a server drains and leaves
         await source_side.change(entry("s-2", health="terminating"))
         await source_side.change(entry("s-2", health="terminated"))
-        await child.published.until(43)
+        await child.published.wait_for_revision(43)
         await source_side.kill()
         await trio.sleep(30)
-        jump(3600)
+        jump_clock(3600)
         await trio.sleep(10)
         assert child.parent() is None  # the other is behind: what is known is newer
         assert child.published.positions[-1] == Position(0, 43)
-        assert watched(cut).count(-1) == 0
+        assert requested_revisions(cut).count(-1) == 0
         await cut.change(entry("s-2", health="terminating"))
         await cut.change(entry("s-2", health="terminated"))
         cut.renewing = True  # once it has caught up
-        await child.until_at(cut)
+        await child.wait_for(cut)
         await cut.change(entry("s-3"))
-        await child.published.until(44)
+        await child.published.wait_for_revision(44)
         told = [one for _, document in child.published.documents for one in document.entries]
         assert [one["health"] for one in told if one["host"] == "s-2"] == [
             "in_service",
@@ -268,25 +268,25 @@
         ]
         assert child.published.positions == [Position(0, revision) for revision in (41, 42, 43, 44)]
 
-    play(script)
+    run_script(script)
 
 
 def test_a_source_whose_revisions_go_back_begins_a_new_incarnation() -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=1000, hosts=("s-1", "s-2"))
-        await started(nursery, source)
+        await start_parents(nursery, source)
         child = Child(source)
-        await entered(nursery, child, source)
+        await follow_parent(nursery, child, source)
         await source.change(entry("s-2", health="terminating"), revision=1010)  # it skips, too
-        await child.published.until(1010)
+        await child.published.wait_for_revision(1010)
         await source.kill()
         source.revision, source.oldest, source.history = 3, 3, []
         source.hosts = {"s-1": entry("s-1"), "s-2": entry("s-2")}
         await source.listen(nursery)
-        await child.published.until(3)
+        await child.published.wait_for_revision(3)
         await trio.sleep(1)
         await source.change(entry("s-2", born_ms=5))
-        await child.published.until(4)
+        await child.published.wait_for_revision(4)
         assert child.published.positions == [
             *(Position(0, n) for n in (1000, 1010)),
             *(Position(1, n) for n in (3, 4)),
@@ -295,7 +295,7 @@
         assert lists[2].whole and [one["health"] for one in lists[2].entries] == ["in_service", "terminating"]
         assert lists[3].entries[0]["health"] == "in_service"  # it has started again
 
-    play(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize("incarnation, revision", [(0, 3), (0, 2000), (1, 3)])
@@ -305,11 +305,11 @@
 
     async def script(nursery: trio.Nursery) -> None:
         parent = StandInParent("r-1", incarnation=1, revision=1000, hosts=("s-1", "s-2"))
-        await started(nursery, parent)
+        await start_parents(nursery, parent)
         child = Child(parent)
-        await entered(nursery, child, parent)
+        await follow_parent(nursery, child, parent)
         await parent.change(entry("s-2", health="terminating"))
-        await child.published.until(1001)
+        await child.published.wait_for_revision(1001)
         await parent.kill()
         parent.incarnation, parent.revision = incarnation, revision
         parent.oldest, parent.history = revision, []
@@ -317,33 +317,33 @@
         last_s = child.follower.renewed_at_s
         await trio.sleep(1)
         await parent.listen(nursery)
-        assert await child.published.until(revision) < last_s + LEASE_S + 1.0
+        assert await child.published.wait_for_revision(revision) < last_s + LEASE_S + 1.0
         taken = child.published.documents[-1][1]
         assert taken.position == Position(incarnation, revision) and taken.whole and taken.anew
         told = {one["host"]: one["health"] for one in taken.entries}
         assert told["s-2"] == ("terminating" if revision == 3 else "in_service")
         await parent.change(entry("s-3"))
-        await child.published.until(revision + 1)
-        assert watched(parent).count(-1) == 2
+        await child.published.wait_for_revision(revision + 1)
+        assert requested_revisions(parent).count(-1) == 2
 
-    play(script)
+    run_script(script)
 
 
 def test_a_source_that_says_nothing_is_not_believed_to_count_anew() -> None:
     async def script(nursery: trio.Nursery) -> None:
         ahead, agent = replica("r-1", 43, zone="cardiff"), StandInParent(revision=41)
-        await started(nursery, ahead, agent)
+        await start_parents(nursery, ahead, agent)
         child = Child(ahead, agent, zone="cardiff")
-        await entered(nursery, child, ahead)
+        await follow_parent(nursery, child, ahead)
         agent.renewing = False
         await ahead.kill()
         await trio.sleep(30)
         assert child.published.positions == [Position(0, 43)]
         agent.renewing = True
-        await child.until_at(agent)
+        await child.wait_for(agent)
         assert child.published.positions == [Position(0, 43), Position(1, 41)]
 
-    play(script)
+    run_script(script)
 
 
 def test_what_was_missed_comes_before_the_renewal_of_a_new_parent() -> None:
@@ -351,60 +351,60 @@
 
     async def script(nursery: trio.Nursery) -> None:
         one, other = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
-        await started(nursery, one, other)
+        await start_parents(nursery, one, other)
         child = Child(one, other, zone="cardiff")
-        await entered(nursery, child, one)
+        await follow_parent(nursery, child, one)
         await other.change(entry("s-2"))
         await other.change(entry("s-3"))
         await other.renew()
         await one.kill()
-        known = child.follower.renewed_at_s
-        await child.until_at(other)
-        assert child.follower.renewed_at_s == known
-        caught_up_s = await child.published.until(43)
+        known_renewal_s = child.follower.renewed_at_s
+        await child.wait_for(other)
+        assert child.follower.renewed_at_s == known_renewal_s
+        caught_up_s = await child.published.wait_for_revision(43)
         await trio.sleep(3)
-        renewed = [at_s for at_s, moment in child.published.renewals if moment > known]
+        renewed = [at_s for at_s, renewed_at_s in child.published.renewals if renewed_at_s > known_renewal_s]
         assert renewed and caught_up_s <= min(renewed)
 
-    play(script)
+    run_script(script)
 
 
 def test_a_later_incarnation_of_another_parent_wins_and_an_earlier_one_is_behind() -> None:
     async def script(nursery: trio.Nursery) -> None:
         before = StandInParent("r-1", incarnation=1, revision=900, zone="cardiff")
         later = StandInParent("r-2", incarnation=2, revision=5, hosts=("s-5",), zone="wrexham")
-        await started(nursery, before, later)
+        await start_parents(nursery, before, later)
         child = Child(before, later, zone="cardiff")
-        await entered(nursery, child, before)
+        await follow_parent(nursery, child, before)
         await before.kill()
-        await child.until_at(later)
+        await child.wait_for(later)
         await before.listen(nursery)
         await trio.sleep(60)
-        assert child.parent() == later.place
+        assert child.parent() == later.as_parent
         assert child.published.positions == [Position(1, 900), Position(2, 5)]
         assert child.published.documents[1][1].whole
         assert child.follower.counters()["parents_behind"] > 0
 
-    play(script)
+    run_script(script)
 
 
 def test_a_line_that_broke_off_is_not_taken() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, other = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
-        await started(nursery, one, other)
+        await start_parents(nursery, one, other)
         child = Child(one, other, zone="cardiff")
-        await entered(nursery, child, one)
+        await follow_parent(nursery, child, one)
         text = StandInParent._object(42, False, [entry("s-2", share=1.0)])
-        await one.say(text[: len(text) // 2], whole_chunk=False)
+        await one.send(text[: len(text) // 2], complete_chunk=False)
         await trio.sleep(0.1)
         await one.kill()
-        await child.until_at(other)
+        await child.wait_for(other)
         await other.change(entry("s-2", share=7.0))
-        await child.published.until(42)
+        await child.published.wait_for_revision(42)
         assert child.published.documents[-1][1].entries == (entry("s-2", share=7.0),)
         assert child.published.positions == [Position(0, 41), Position(0, 42)]
 
-    play(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize(
@@ -421,38 +421,39 @@
 def test_a_faulty_list_keeps_the_last(faulty: bytes) -> None:
     async def script(nursery: trio.Nursery) -> None:
         parent = replica("r-1", 41)
-        await started(nursery, parent)
+        await start_parents(nursery, parent)
         child = Child(parent)
-        await entered(nursery, child, parent)
-        await parent.say(faulty)
+        await follow_parent(nursery, child, parent)
+        await parent.send(faulty)
         await trio.sleep(5)
         assert child.published.positions == [Position(0, 41)]
         assert child.follower.counters()["parents_faulty"] >= 1
         await parent.change(entry("s-2"))
-        await child.published.until(42)
-        assert watched(parent)[-2:] == [-1, 41]  # it is asked for the whole list before any change
+        await child.published.wait_for_revision(42)
+        # After the faulty list the parent must send the whole list before any change.
+        assert requested_revisions(parent)[-2:] == [-1, 41]
 
-    play(script)
+    run_script(script)
 
 
 def test_parents_on_machines_that_vanished_do_not_keep_it_from_the_others_for_long() -> None:
     async def script(nursery: trio.Nursery) -> None:
         near = [replica(f"r-{n}", 41, zone="cardiff") for n in range(5)]
         far = replica("r-9", 41)
-        await started(nursery, *near, far)
+        await start_parents(nursery, *near, far)
         child = Child(*near, far, zone="cardiff")
         nursery.start_soon(child.follower.follow)
-        await child.until_any()
+        await child.wait_for_parent()
         await trio.sleep(3)
         for parent in near:
             parent.hangs, parent.renewing = True, False
         gone_at_s = max(parent.renewed_at_s for parent in near)
         await far.change(entry("s-2"))
-        assert await child.published.until(42) < gone_at_s + LEASE_S
+        assert await child.published.wait_for_revision(42) < gone_at_s + LEASE_S
         await trio.sleep(2)
-        assert len(far.watches) == 1 and child.parent() == far.place
+        assert len(far.watches) == 1 and child.parent() == far.as_parent
 
-    play(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize("fields", [True, False])
@@ -461,20 +462,20 @@
 
     async def script(nursery: trio.Nursery) -> None:
         ahead, lags = replica("r-1", 42, zone="cardiff"), replica("r-2", 41)
-        await started(nursery, ahead, lags)
+        await start_parents(nursery, ahead, lags)
         child = Child(ahead, lags, zone="cardiff")
-        await entered(nursery, child, ahead)
+        await follow_parent(nursery, child, ahead)
         if not fields:
-            lags.answers = [b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n", None] * 9
+            lags.scripted_answers = [b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n", None] * 9
         await ahead.kill()
         await trio.sleep(2)
-        assert child.parent() != lags.place and child.published.positions == [Position(0, 42)]
-        assert watched(lags)[:2] == ([42, 42] if fields else [42, -1])
-        lags.answers = []
+        assert child.parent() != lags.as_parent and child.published.positions == [Position(0, 42)]
+        assert requested_revisions(lags)[:2] == ([42, 42] if fields else [42, -1])
+        lags.scripted_answers = []
         await lags.change(entry("s-2"))
-        await child.until_at(lags)
+        await child.wait_for(lags)
 
-    play(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize(
@@ -484,91 +485,91 @@
 def test_a_header_that_cannot_be_read_is_the_parents_fault(field: str) -> None:
     async def script(nursery: trio.Nursery) -> None:
         bad, sound = StandInParent(zone="cardiff"), replica()
-        bad.answers = [f"HTTP/1.1 200 OK\r\n{field}\r\nContent-Length: 0\r\n\r\n".encode()] * 9
-        await started(nursery, bad, sound)
+        bad.scripted_answers = [f"HTTP/1.1 200 OK\r\n{field}\r\nContent-Length: 0\r\n\r\n".encode()] * 9
+        await start_parents(nursery, bad, sound)
         child = Child(bad, sound, zone="cardiff")
-        await entered(nursery, child, sound)
+        await follow_parent(nursery, child, sound)
         assert child.follower.counters()["parents_faulty"] == 1
 
-    play(script)
+    run_script(script)
 
 
 def test_a_parent_that_is_full_is_asked_again_when_it_said() -> None:
     async def script(nursery: trio.Nursery) -> None:
         full = replica()
         busy = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
-        full.answers = [busy, busy]
-        await started(nursery, full)
+        full.scripted_answers = [busy, busy]
+        await start_parents(nursery, full)
         child = Child(full)
         nursery.start_soon(child.follower.follow)
-        await child.until_at(full)
-        first, second, third, *_ = [at_s for at_s, _ in full.asked]
+        await child.wait_for(full)
+        first, second, third, *_ = [at_s for at_s, _ in full.requests]
         assert 3.0 <= second - first <= 4.6 and 3.0 <= third - second <= 4.6
 
-    play(script)
+    run_script(script)
 
 
 def test_parents_are_moved_while_it_follows() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, two, three = parents = [replica(f"r-{n}", 41) for n in range(3)]
-        await started(nursery, *parents)
+        await start_parents(nursery, *parents)
         child = Child(one)
-        await entered(nursery, child, one)
-        child.follower.move_to([one.place, two.place])  # the one followed stays
+        await follow_parent(nursery, child, one)
+        child.follower.move_to([one.as_parent, two.as_parent])  # the one followed stays
         await trio.sleep(1)
-        assert child.parent() == one.place and len(one.watches) == 1
-        child.follower.move_to([three.place])
-        await child.until_at(three)
+        assert child.parent() == one.as_parent and len(one.watches) == 1
+        child.follower.move_to([three.as_parent])
+        await child.wait_for(three)
         await three.change(entry("s-2"))
-        await child.published.until(42)
-        assert watched(three) == [41] and one.watches == []
+        await child.published.wait_for_revision(42)
+        assert requested_revisions(three) == [41] and one.watches == []
         two.renewing, two.renewed_at_s = False, -100.0
-        child.follower.move_to([two.place])  # which is behind, and cut off: what is known holds
+        child.follower.move_to([two.as_parent])  # which is behind, and cut off: what is known holds
         await trio.sleep(10)
         assert child.published.positions[-1] == Position(0, 42)
         await two.change(entry("s-2"))
-        await child.until_at(two)
+        await child.wait_for(two)
 
-    play(script)
+    run_script(script)
 
 
 def test_a_moved_source_may_count_anew() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, two = StandInParent(revision=41), StandInParent(revision=7, hosts=("s-7",))
-        await started(nursery, one, two)
+        await start_parents(nursery, one, two)
         child = Child(one, two, zone="cardiff")
-        child.choice.replace([one.place])
-        await entered(nursery, child, one)
-        child.follower.move_to([one.place, two.place])
+        child.choice.replace([one.as_parent])
+        await follow_parent(nursery, child, one)
+        child.follower.move_to([one.as_parent, two.as_parent])
         two.renewing = False
         await one.kill()
         await trio.sleep(20)
         assert child.published.positions == [Position(0, 41)]  # the other one lags, as far as is known
-        child.follower.move_to([two.place])
-        await child.until_at(two)
+        child.follower.move_to([two.as_parent])
+        await child.wait_for(two)
         assert child.published.positions == [Position(0, 41), Position(1, 7)]
 
-    play(script)
+    run_script(script)
 
 
 def test_a_nearer_parent_is_followed_again_once_it_has_been_sound_for_a_while() -> None:
     async def script(nursery: trio.Nursery) -> None:
         near, far = replica("r-1", zone="cardiff"), replica("r-2", zone="wrexham")
-        await started(nursery, near, far)
+        await start_parents(nursery, near, far)
         child = Child(near, far, zone="cardiff")
-        await entered(nursery, child, near)
+        await follow_parent(nursery, child, near)
         await near.kill()
-        await child.until_at(far)
+        await child.wait_for(far)
         await near.listen(nursery)
         back_at_s = trio.current_time()
         near.renewed_at_s = back_at_s
-        near.asked.clear()
-        home_at_s = await child.until_at(near)
+        near.requests.clear()
+        home_at_s = await child.wait_for(near)
         assert back_at_s + SOONEST_HOME_S <= home_at_s <= back_at_s + 40
-        assert -1 not in watched(near)
+        assert -1 not in requested_revisions(near)
         assert child.published.positions == [Position(0, 1)] and child.published.stale_at_s == []
 
-    play(script)
+    run_script(script)
 
 
 def test_a_source_that_answers_and_says_nothing_is_no_better_parent() -> None:
@@ -576,15 +577,15 @@
 
     async def script(nursery: trio.Nursery) -> None:
         agent, other = StandInParent(zone="cardiff"), replica("r-2")
-        await started(nursery, agent, other)
+        await start_parents(nursery, agent, other)
         child = Child(agent, other, zone="cardiff")
-        await entered(nursery, child, agent)
+        await follow_parent(nursery, child, agent)
         agent.renewing = False
-        await child.until_at(other)
+        await child.wait_for(other)
         await trio.sleep(120)
-        assert child.parent() == other.place and child.follower.counters()["parents_followed"] == 2
+        assert child.parent() == other.as_parent and child.follower.counters()["parents_followed"] == 2
         assert child.published.stale_at_s == []
         agent.renewing = True
-        await child.until_at(agent)
+        await child.wait_for(agent)
 
-    play(script)
+    run_script(script)
--- a/tests/replica/test_process.py
+++ b/tests/replica/test_process.py
@@ -13,12 +13,12 @@
 import pytest
 import trio
 from relaying import entry
-from serving import ChildConnection
+from running_replica import ChildConnection
 from stand_in_parent import StandInParent
 
 ROOT = Path(__file__).parents[2]
 WITHIN_S = 20.0
-FILE = """format = 1
+CONFIG_TEMPLATE = """format = 1
 [replica]
 name = "{name}"
 listen = "127.0.0.1:{port}"
@@ -46,14 +46,14 @@
             program = [sys.executable, "-m", "glenfold", "replica", self.file]
             self.process = subprocess.Popen(program, cwd=ROOT, env=environment, stderr=log)
 
-    def write(self, parent: int, more: str = "") -> None:
-        self.file.write_text(FILE.format(name=self.name, port=self.port, parent=parent) + more)
+    def write(self, parent: int, extra: str = "") -> None:
+        self.file.write_text(CONFIG_TEMPLATE.format(name=self.name, port=self.port, parent=parent) + extra)
 
     @property
     def log(self) -> str:
         return self.log_file.read_text()
 
-    async def logged(self, text: str, times: int = 1) -> None:
+    async def wait_for_log(self, text: str, times: int = 1) -> None:
         with trio.fail_after(WITHIN_S):
             while self.log.count(text) < times:
                 await trio.sleep(0.02)
@@ -74,11 +74,11 @@
                 await trio.sleep(0.05)
 
 
-Make = Callable[..., Replica]
+MakeReplica = Callable[..., Replica]
 
 
 @pytest.fixture
-def make(tmp_path: Path) -> Iterator[Make]:
+def make_replica(tmp_path: Path) -> Iterator[MakeReplica]:
     started: list[Replica] = []
 
     def start(*args: Any) -> Replica:
@@ -91,7 +91,7 @@
         replica.process.wait()
 
 
-def play(script: Callable[[trio.Nursery], Any]) -> None:
+def run_script(script: Callable[[trio.Nursery], Any]) -> None:
     async def main() -> None:
         with trio.fail_after(3 * WITHIN_S):
             async with trio.open_nursery() as nursery:
@@ -102,86 +102,90 @@
 
 
 async def next_change(child: ChildConnection) -> dict[str, Any]:
-    while (line := await child.line()) is None:
+    while (line := await child.next_line()) is None:
         pass
     return line
 
 
-def test_two_layers_pass_on_lists_changes_and_renewals_and_end_in_order(make: Make) -> None:
+def test_two_layers_pass_on_lists_changes_and_renewals_and_end_in_order(make_replica: MakeReplica) -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
-        upper = make("upper", source.port)
-        lower = make("lower", upper.port)
+        upper = make_replica("upper", source.port)
+        lower = make_replica("lower", upper.port)
         child = await lower.watch(41)
         await source.change(entry("s-2"))
         assert await next_change(child) == {"seq": 42, "whole": False, "hosts": [entry("s-2")]}
-        assert await child.line() is None  # the source's renewal, through both
-        beside = ChildConnection(await trio.open_tcp_stream("127.0.0.1", lower.port))
-        fields = dict((await beside.ask("/v1/servers")).headers)
+        assert await child.next_line() is None  # the source's renewal, through both
+        second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", lower.port))
+        fields = dict((await second_child.ask("/v1/servers")).headers)
         assert fields[b"via"] == b"1.1 upper, 1.1 lower" and int(fields[b"age"]) <= 3
-        assert (await beside.whole())["hosts"] == [entry("s-1"), entry("s-2")]
+        assert (await second_child.read_list())["hosts"] == [entry("s-1"), entry("s-2")]
         lower.signal(signal.SIGUSR1)
-        await lower.logged("published=2")
+        await lower.wait_for_log("published=2")
         lower.signal(signal.SIGTERM)
         with pytest.raises(EOFError):
             while True:
-                await child.line()
+                await child.next_line()
         assert await trio.to_thread.run_sync(lower.process.wait) == 0
         assert "counters at exit" in lower.log and "faults=0" in lower.log
 
-    play(script)
+    run_script(script)
 
 
-def test_sighup_moves_it_to_other_parents_and_a_faulty_file_changes_nothing(make: Make) -> None:
+def test_sighup_moves_it_to_other_parents_and_a_faulty_file_changes_nothing(
+    make_replica: MakeReplica,
+) -> None:
     async def script(nursery: trio.Nursery) -> None:
         old, new = StandInParent(revision=41), StandInParent(revision=50)
         await old.listen(nursery)
         await new.listen(nursery)
-        replica = make("one", old.port)
+        replica = make_replica("one", old.port)
         child = await replica.watch(41)
         replica.write(new.port, "[limits]\nchildren = 0\n")
         replica.signal(signal.SIGHUP)
-        await replica.logged("limits.children: expected a whole number of 1 to 65,536, not 0")
+        await replica.wait_for_log("limits.children: expected a whole number of 1 to 65,536, not 0")
         await old.change(entry("s-2"))
         assert (await next_change(child))["seq"] == 42
         replica.write(new.port, "[limits]\nchildren = 7\n")
         replica.signal(signal.SIGHUP)
-        await replica.logged("file read again")
-        await replica.logged("needs a restart to change: limits")
+        await replica.wait_for_log("file read again")
+        await replica.wait_for_log("needs a restart to change: limits")
         left = entry("s-2", health="terminated")
         assert await next_change(child) == {"seq": 50, "whole": False, "hosts": [left]}
         await new.change(entry("s-3"))
         assert (await next_change(child))["seq"] == 51
         assert replica.process.poll() is None
 
-    play(script)
+    run_script(script)
 
 
 def test_a_faulty_file_is_told_by_line_and_key_with_status_2(tmp_path: Path) -> None:
     file = tmp_path / "replica.toml"
-    file.write_text(FILE.format(name="a b", port=7100, parent=7000))
+    file.write_text(CONFIG_TEMPLATE.format(name="a b", port=7100, parent=7000))
     program = [sys.executable, "-m", "glenfold", "replica", file]
-    done = subprocess.run(program, cwd=ROOT, capture_output=True, text=True)
-    assert done.returncode == 2 and done.stderr.startswith(f"{file}:3: replica.name: 'a b' is not letters")
+    completed = subprocess.run(program, cwd=ROOT, capture_output=True, text=True)
+    assert completed.returncode == 2 and completed.stderr.startswith(
+        f"{file}:3: replica.name: 'a b' is not letters"
+    )
 
 
 def test_an_address_that_is_taken_is_told_with_status_4(tmp_path: Path) -> None:
     file = tmp_path / "replica.toml"
     with socket.create_server(("127.0.0.1", 0)) as sock:
-        file.write_text(FILE.format(name="one", port=sock.getsockname()[1], parent=7000))
+        file.write_text(CONFIG_TEMPLATE.format(name="one", port=sock.getsockname()[1], parent=7000))
         program = [sys.executable, "-m", "glenfold", "replica", file]
-        done = subprocess.run(program, cwd=ROOT, capture_output=True, text=True)
-    assert done.returncode == 4 and "not started" in done.stderr
+        completed = subprocess.run(program, cwd=ROOT, capture_output=True, text=True)
+    assert completed.returncode == 4 and "not started" in completed.stderr
 
 
-def test_signals_in_its_first_moments_do_not_end_it(make: Make) -> None:
+def test_signals_in_its_first_moments_do_not_end_it(make_replica: MakeReplica) -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
-        replica = make("one", source.port)
-        began_s = time.monotonic()
-        while "listens on" not in replica.log and time.monotonic() < began_s + WITHIN_S:
+        replica = make_replica("one", source.port)
+        start_s = time.monotonic()
+        while "listens on" not in replica.log and time.monotonic() < start_s + WITHIN_S:
             if (ROOT / f"/proc/{replica.process.pid}/status").read_text().find(
                 "SigBlk:\t0000000000000000"
             ) < 0:
@@ -190,4 +194,4 @@
         await replica.watch(41)
         assert replica.process.poll() is None
 
-    play(script)
+    run_script(script)
--- a/tests/replica/test_relay_lists.py
+++ b/tests/replica/test_relay_lists.py
@@ -12,8 +12,8 @@
 import relaying
 import trio
 from relaying import entry, whole
-from stand_in_parent import StandInParent, play
-from test_follower import started, watched
+from stand_in_parent import StandInParent, run_script
+from test_follower import requested_revisions, start_parents
 
 from glenfold.config import Config, ConfigError
 from glenfold.config.platform import Parents
@@ -49,19 +49,19 @@
 
 
 def config(folder: Path, *parents: StandInParent, **changes: object) -> Config:
-    places = Parents(tuple(parent.place for parent in parents), "cardiff", None)
-    return replace(relaying.config(folder, **changes), listen=("127.0.0.1", 0), parents=places)
+    parent_configs = Parents(tuple(parent.as_parent for parent in parents), "cardiff", None)
+    return replace(relaying.config(folder, **changes), listen=("127.0.0.1", 0), parents=parent_configs)
 
 
 async def run(folder: Path, parents: list[StandInParent], script: Script, **changes: object) -> None:
-    told = config(folder, *parents, **changes)
+    relay_config = config(folder, *parents, **changes)
 
     def read_again(current: Config) -> tuple[Config, list[str]]:
         if relay.now.parents is None:
             raise ConfigError("list.parents", "is missing")
         return relay.now, []
 
-    relay = Relay(Process(told, read_again, make_list_source=RelayLists), told)
+    relay = Relay(Process(relay_config, read_again, make_list_source=RelayLists), relay_config)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(relay.process.run)
         await script(relay)
@@ -77,7 +77,7 @@
 ) -> None:
     async def main(nursery: trio.Nursery) -> None:
         near, far = replica("r-1"), replica("r-2", "wrexham")
-        await started(nursery, near, far)
+        await start_parents(nursery, near, far)
 
         async def script(relay: Relay) -> None:
             await relay.until(41)
@@ -89,11 +89,11 @@
             dead_at_s = trio.current_time()
             assert await relay.until(43) < dead_at_s + 4
             assert (relay.state("s-1"), relay.state("s-2")) == (ServerState.DRAINING, ServerState.READY)
-            assert watched(far) == [42] and relay.process.relay.counters.lists == 3
+            assert requested_revisions(far) == [42] and relay.process.relay.counters.lists == 3
 
         await run(tmp_path, [near, far], script)
 
-    play(main)
+    run_script(main)
 
 
 def test_what_a_silent_parent_missed_is_told_within_six_seconds(tmp_path: Path) -> None:
@@ -102,7 +102,7 @@
     async def main(nursery: trio.Nursery) -> None:
         near, far = replica("r-1"), replica("r-2", "wrexham")
         near.children = 250
-        await started(nursery, near, far)
+        await start_parents(nursery, near, far)
 
         async def script(relay: Relay) -> None:
             await relay.until(41)
@@ -115,46 +115,46 @@
 
         await run(tmp_path, [near, far], script)
 
-    play(main)
+    run_script(main)
 
 
 def test_a_restarted_relay_goes_on_from_the_list_it_has(tmp_path: Path) -> None:
     async def main(nursery: trio.Nursery) -> None:
         parent = replica("r-1", revision=40)
         parent.incarnation = 7
-        await started(nursery, parent)
+        await start_parents(nursery, parent)
         await parent.change(entry("s-2"))
 
         async def script(relay: Relay) -> None:
             await relay.until(41)
-            assert watched(parent) == [40]
+            assert requested_revisions(parent) == [40]
             await parent.change(entry("s-3"))
             await relay.until(42)
             assert [relay.state(f"s-{n}") for n in (1, 2, 3)] == [ServerState.READY] * 3
 
         await run(tmp_path, [parent], script, known=whole(entry("s-1"), seq=40))
 
-    play(main)
+    run_script(main)
 
 
 def test_a_relay_whose_list_no_parent_knows_takes_the_whole_one(tmp_path: Path) -> None:
     async def main(nursery: trio.Nursery) -> None:
         parent = replica("r-1", revision=3)
-        await started(nursery, parent)
+        await start_parents(nursery, parent)
 
         async def script(relay: Relay) -> None:
             await relay.until(3)
-            assert watched(parent)[:2] == [40, -1]
+            assert requested_revisions(parent)[:2] == [40, -1]
 
         await run(tmp_path, [parent], script, known=whole(entry("s-1"), seq=40))
 
-    play(main)
+    run_script(main)
 
 
 def test_parents_are_moved_by_reload(tmp_path: Path) -> None:
     async def main(nursery: trio.Nursery) -> None:
         one, other = replica("r-1"), replica("r-2")
-        await started(nursery, one, other)
+        await start_parents(nursery, one, other)
 
         async def script(relay: Relay) -> None:
             await relay.until(41)
@@ -167,11 +167,11 @@
             relay.now = config(tmp_path, other)
             assert relay.process.reload().refused is None
             await relay.until(42)
-            assert watched(other) == [41] and one.watches == []
+            assert requested_revisions(other) == [41] and one.watches == []
 
         await run(tmp_path, [one], script)
 
-    play(main)
+    run_script(main)
 
 
 RUN = """
@@ -186,9 +186,9 @@
 """
 
 
-@pytest.mark.parametrize("asked_for", [False, True])
-def test_nothing_of_it_is_loaded_unless_the_file_asks_for_it(tmp_path: Path, asked_for: bool) -> None:
-    follows = 'parents = [{address = "127.0.0.1:9"}]' if asked_for else 'discovery = "127.0.0.1:9"'
+@pytest.mark.parametrize("configured", [False, True])
+def test_nothing_of_it_is_loaded_unless_the_file_asks_for_it(tmp_path: Path, configured: bool) -> None:
+    follows = 'parents = [{address = "127.0.0.1:9"}]' if configured else 'discovery = "127.0.0.1:9"'
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     file = tmp_path / "glenfold.toml"
@@ -196,9 +196,9 @@
         f'format = 1\nlisteners.addresses = ["127.0.0.1:{port}"]\nlist.{follows}\n'
         'settings.classes = [{name = "watch"}]\n'
     )
-    done = subprocess.run([sys.executable, "-c", RUN, str(file)], capture_output=True, text=True)
-    status, loaded = json.loads(done.stdout)
-    assert status == 0 and bool(loaded) == asked_for
+    completed = subprocess.run([sys.executable, "-c", RUN, str(file)], capture_output=True, text=True)
+    status, loaded = json.loads(completed.stdout)
+    assert status == 0 and bool(loaded) == configured
 
 
 def test_the_platforms_run_loads_nothing_of_it() -> None:
@@ -207,5 +207,5 @@
         "print(sorted(name for name in sys.modules if name.startswith('glenfold.re') "
         "or 'parent_choice' in name or 'succession' in name))"
     )
-    done = subprocess.run([sys.executable, "-c", code], env={}, capture_output=True, text=True)
-    assert done.stdout == "['glenfold.request']\n"
+    completed = subprocess.run([sys.executable, "-c", code], env={}, capture_output=True, text=True)
+    assert completed.stdout == "['glenfold.request']\n"
--- a/tests/replica/test_replica_page.py
+++ b/tests/replica/test_replica_page.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 from config.file_page import cells, examples, rows, tables
-from serving import ChildConnection
+from running_replica import ChildConnection
 from stand_in_parent import StandInParent
 
 from glenfold.config.replica import Terms, read
@@ -36,9 +36,11 @@
 
 def test_each_counter_is_told() -> None:
     section = PAGE[PAGE.index("| counter |") : PAGE.index("## What goes wrong")]
-    told = re.findall(r"`(\w+)`", "".join(line.split("|")[1] for line in section.splitlines() if "|" in line))
-    of_parents = ["documents", "parents_followed", *(f"parents_{why.value}" for why in Refusal)]
-    assert told == [*ReplicaCounters().plain(), *of_parents]
+    counter_names = re.findall(
+        r"`(\w+)`", "".join(line.split("|")[1] for line in section.splitlines() if "|" in line)
+    )
+    parent_counters = ["documents", "parents_followed", *(f"parents_{why.value}" for why in Refusal)]
+    assert counter_names == [*ReplicaCounters().plain(), *parent_counters]
 
 
 def test_the_example_gives_what_it_shows(tmp_path: Path) -> None:
@@ -59,8 +61,8 @@
                     assert read(tmp_path / name)
                     program = [sys.executable, "-m", "glenfold", "replica", str(tmp_path / name)]
                     started.append(subprocess.Popen(program, cwd=ROOT, stderr=subprocess.DEVNULL))
-                    await serves(int(ports["7101"]))
-                await looked_at(int(ports["7102"]))
+                    await wait_until_serving(int(ports["7101"]))
+                await check_responses(int(ports["7102"]))
             finally:
                 for process in started:
                     process.kill()
@@ -70,24 +72,24 @@
     trio.run(main)
 
 
-async def looked_at(port: int) -> None:
+async def check_responses(port: int) -> None:
     shown = re.search(r"```\nHTTP/1.1 200 OK\n(.*?)```", PAGE, re.S)
     assert shown is not None
     names = [line.partition(":")[0] for line in shown[1].splitlines()]
     via = re.search(r"Via: (.+)", shown[1])
     assert via is not None
-    child, fields = await serves(port)
+    child, fields = await wait_until_serving(port)
     assert list(fields) == names and fields["Via"] == via[1] and int(fields["Age"]) <= 3
-    assert (await child.whole())["seq"] == 41
+    assert (await child.read_list())["seq"] == 41
     watch = ChildConnection(await trio.open_tcp_stream("127.0.0.1", port))
     assert (await watch.ask("/v1/servers?watch=1&from=41")).status_code == 200
-    assert await watch.line() is None
+    assert await watch.next_line() is None
 
 
-async def serves(port: int) -> tuple[ChildConnection, dict[str, str]]:
+async def wait_until_serving(port: int) -> tuple[ChildConnection, dict[str, str]]:
     """Once it answers with a list; and the header fields of that."""
-    began_s = time.monotonic()
-    while time.monotonic() < began_s + WITHIN_S:
+    start_s = time.monotonic()
+    while time.monotonic() < start_s + WITHIN_S:
         with suppress(OSError):
             child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", port))
             response = await child.ask("/v1/servers")
--- a/tests/replica/test_server.py
+++ b/tests/replica/test_server.py
@@ -7,142 +7,148 @@
 import pytest
 import trio
 from rules.listed import change, server, whole
-from serving import ChildConnection, Serving, serving, until
+from running_replica import ChildConnection, RunningReplica, running_replica, wait_until
 
 from glenfold.replica.watches import Watches
 from glenfold.rules.replication import ListDocument, Position
 
 
-def run(test):
+def trio_test(test):
     """As a test in trio."""
 
-    def runs(*args):
+    def run_test(*args):
         trio.run(test, *args)
 
-    runs.__name__, runs.__doc__ = test.__name__, test.__doc__
-    return runs
+    run_test.__name__, run_test.__doc__ = test.__name__, test.__doc__
+    return run_test
 
 
-async def watching(one: Serving, revision: int = 0, **fields: str) -> ChildConnection:
-    child = await one.connect()
-    response = await child.ask(f"/v1/servers?watch=1&from={revision}", **fields)
+async def watching(replica: RunningReplica, revision: int = 0, **header_fields: str) -> ChildConnection:
+    child = await replica.connect()
+    response = await child.ask(f"/v1/servers?watch=1&from={revision}", **header_fields)
     assert response.status_code == 200
     return child
 
 
-async def hears_nothing(child: ChildConnection, for_s: float) -> None:
+async def expect_silence(child: ChildConnection, for_s: float) -> None:
     with trio.move_on_after(for_s):
-        pytest.fail(f"nobody told {await child.line()}")
+        pytest.fail(f"nobody told {await child.next_line()}")
 
 
-async def status(one: Serving, target: str, **more: str) -> tuple[int, dict[bytes, bytes]]:
-    child = await one.connect()
-    response = await child.ask(target, **more)
+async def status(
+    replica: RunningReplica, target: str, **header_fields: str
+) -> tuple[int, dict[bytes, bytes]]:
+    child = await replica.connect()
+    response = await child.ask(target, **header_fields)
     return response.status_code, dict(response.headers)
 
 
-@run
+@trio_test
 async def test_a_relay_reads_the_list_and_then_watches_on_the_same_connection():
-    async with serving() as one:
-        one.server.publish(whole(5, 1, 2))
-        child = await one.connect()
+    async with running_replica() as replica:
+        replica.server.publish(whole(5, 1, 2))
+        child = await replica.connect()
         assert (await child.ask("/v1/servers")).status_code == 200
-        assert await child.whole() == {"seq": 5, "whole": True, "hosts": [server(1), server(2)]}
+        assert await child.read_list() == {"seq": 5, "whole": True, "hosts": [server(1), server(2)]}
         assert (await child.ask("/v1/servers?watch=1&from=5")).status_code == 200
-        one.server.publish(change(6, server(3)))
-        assert await child.line() == {"seq": 6, "whole": False, "hosts": [server(3)]}
+        replica.server.publish(change(6, server(3)))
+        assert await child.next_line() == {"seq": 6, "whole": False, "hosts": [server(3)]}
 
 
-@run
+@trio_test
 async def test_answers_tell_incarnation_age_way_and_children():
-    async with serving() as one:
-        one.server.via(("top",))
-        one.server.publish(whole(5, 1, incarnation=3))
-        one.server.renew(trio.current_time() - 40.5)
-        watch = await watching(one, 5)
+    async with running_replica() as replica:
+        replica.server.via(("top",))
+        replica.server.publish(whole(5, 1, incarnation=3))
+        replica.server.renew(trio.current_time() - 40.5)
+        watch = await watching(replica, 5)
         for target in ("/v1/servers", "/v1/servers?watch=1&from=5"):
-            _, fields = await status(one, target)
-            assert fields[b"glenfold-incarnation"] == b"3"
-            assert fields[b"age"] in (b"41", b"42")
-            assert fields[b"via"] == b"1.1 top, 1.1 north-1"
-            assert fields[b"glenfold-children"] == b"1"
+            _, header_fields = await status(replica, target)
+            assert header_fields[b"glenfold-incarnation"] == b"3"
+            assert header_fields[b"age"] in (b"41", b"42")
+            assert header_fields[b"via"] == b"1.1 top, 1.1 north-1"
+            assert header_fields[b"glenfold-children"] == b"1"
         await watch.stream.aclose()
 
 
-@run
+@trio_test
 async def test_every_watcher_gets_every_change_once_and_in_order():
-    async with serving() as one:
-        one.server.publish(whole(0))
-        children = [await watching(one) for _ in range(40)]
+    async with running_replica() as replica:
+        replica.server.publish(whole(0))
+        children = [await watching(replica) for _ in range(40)]
         for revision in range(1, 30):
-            one.server.publish(change(revision))
+            replica.server.publish(change(revision))
             if revision % 7 == 0:
                 await trio.sleep(0)
         for child in children:
-            assert [(await child.line())["seq"] for _ in range(29)] == list(range(1, 30))
+            assert [(await child.next_line())["seq"] for _ in range(29)] == list(range(1, 30))
 
 
-@run
+@trio_test
 async def test_a_watch_resumes_from_its_revision_and_a_past_one_begins_with_the_whole_list():
-    async with serving(history_revisions=3) as one:
-        one.server.publish(whole(0))
+    async with running_replica(history_revisions=3) as replica:
+        replica.server.publish(whole(0))
         for revision in range(1, 9):
-            one.server.publish(change(revision))
-        resumed, past = await watching(one, 6), await watching(one, 4)
-        assert [(await resumed.line())["seq"] for _ in range(2)] == [7, 8]
-        assert (await past.line()) == {"seq": 8, "whole": True, "hosts": [server(n) for n in range(1, 9)]}
-        one.server.publish(change(9))
-        assert (await resumed.line())["seq"] == (await past.line())["seq"] == 9
-
-
-@run
+            replica.server.publish(change(revision))
+        resumed, past = await watching(replica, 6), await watching(replica, 4)
+        assert [(await resumed.next_line())["seq"] for _ in range(2)] == [7, 8]
+        assert (await past.next_line()) == {
+            "seq": 8,
+            "whole": True,
+            "hosts": [server(n) for n in range(1, 9)],
+        }
+        replica.server.publish(change(9))
+        assert (await resumed.next_line())["seq"] == (await past.next_line())["seq"] == 9
+
+
+@trio_test
 async def test_an_empty_line_goes_out_only_when_the_source_renewed():
-    async with serving() as one:
-        one.server.publish(whole(0))
-        child = await watching(one)
-        one.server.renew(trio.current_time() - 60.0)  # heard of by a parent that is cut off itself
-        await hears_nothing(child, 0.2)
-        one.server.renew(trio.current_time())
-        assert await child.line() is None
-        await hears_nothing(child, 0.7)
-        one.server.stale()
-        await hears_nothing(child, 0.2)
-        one.server.publish(change(1))  # serving goes on, and the watch stood open
-        assert (await child.line())["seq"] == 1
-        one.server.renew(trio.current_time())
-        assert await child.line() is None
-        assert (one.counters.renewals_told, one.counters.stale) == (2, 1)
-
-
-@run
+    async with running_replica() as replica:
+        replica.server.publish(whole(0))
+        child = await watching(replica)
+        replica.server.renew(trio.current_time() - 60.0)  # heard of by a parent that is cut off itself
+        await expect_silence(child, 0.2)
+        replica.server.renew(trio.current_time())
+        assert await child.next_line() is None
+        await expect_silence(child, 0.7)
+        replica.server.stale()
+        await expect_silence(child, 0.2)
+        replica.server.publish(change(1))  # serving goes on, and the watch stood open
+        assert (await child.next_line())["seq"] == 1
+        replica.server.renew(trio.current_time())
+        assert await child.next_line() is None
+        assert (replica.counters.renewals_told, replica.counters.stale) == (2, 1)
+
+
+@trio_test
 async def test_a_stale_replica_answers_new_children_from_what_is_known_with_its_age():
-    async with serving() as one:
-        one.server.publish(whole(7, 1))
-        one.server.renew(trio.current_time() - 600.0)
-        one.server.stale()
-        code, fields = await status(one, "/v1/servers")
-        assert code == 200 and fields[b"age"] in (b"600", b"601")
-        code, fields = await status(one, "/v1/servers?watch=1&from=7")
-        assert code == 200 and fields[b"age"] in (b"600", b"601")
+    async with running_replica() as replica:
+        replica.server.publish(whole(7, 1))
+        replica.server.renew(trio.current_time() - 600.0)
+        replica.server.stale()
+        code, header_fields = await status(replica, "/v1/servers")
+        assert code == 200 and header_fields[b"age"] in (b"600", b"601")
+        code, header_fields = await status(replica, "/v1/servers?watch=1&from=7")
+        assert code == 200 and header_fields[b"age"] in (b"600", b"601")
 
 
-@run
+@trio_test
 async def test_another_incarnation_ends_all_watches_in_order():
-    async with serving() as one:
-        one.server.publish(whole(50, 1))
-        child = await watching(one, 50)
-        await until(lambda: one.counters.watches == 1)
-        one.server.publish(whole(50, 2, incarnation=1))
+    async with running_replica() as replica:
+        replica.server.publish(whole(50, 1))
+        child = await watching(replica, 50)
+        await wait_until(lambda: replica.counters.watches == 1)
+        replica.server.publish(whole(50, 2, incarnation=1))
         with pytest.raises(EOFError):
-            await child.line()
-        again = await watching(one, 50, Glenfold_Incarnation="0")
-        assert (await again.line())["hosts"] == [server(2)]
-        unnamed = await watching(one, 50)
-        assert (await unnamed.line())["hosts"] == [server(2)]
+            await child.next_line()
+        again = await watching(replica, 50, Glenfold_Incarnation="0")
+        assert (await again.next_line())["hosts"] == [server(2)]
+        unnamed = await watching(replica, 50)
+        assert (await unnamed.next_line())["hosts"] == [server(2)]
 
 
 @pytest.mark.parametrize(
-    "target, fields, expected, counter",
+    "target, header_fields, expected, counter",
     [
         ("/v1/servers?watch=1&from=8", {}, 410, "future_revisions"),
         ("/v1/servers?watch=1&from=x", {}, 400, "malformed"),
@@ -151,29 +157,31 @@
         ("/v1/servers", {"method": "DELETE"}, 405, "wrong_method"),
     ],
 )
-def test_bad_requests_have_their_status_are_counted_and_disturb_nobody(target, fields, expected, counter):
+def test_bad_requests_have_their_status_are_counted_and_disturb_nobody(
+    target, header_fields, expected, counter
+):
     async def main():
-        async with serving() as one:
-            one.server.publish(whole(7, 1))
-            child = await watching(one, 7)
-            bad = await one.connect()
-            method = fields.pop("method", "GET")
+        async with running_replica() as replica:
+            replica.server.publish(whole(7, 1))
+            child = await watching(replica, 7)
+            bad = await replica.connect()
+            method = header_fields.pop("method", "GET")
             request = h11.Request(
                 method=method,
                 target=target,
-                headers=[("Host", "a"), *((n.replace("_", "-"), v) for n, v in fields.items())],
+                headers=[("Host", "a"), *((n.replace("_", "-"), v) for n, v in header_fields.items())],
             )
-            await bad.stream.send_all(bad.http.send(request) + b"abc" * bool(fields))
-            assert (await bad.event()).status_code == expected
-            assert getattr(one.counters, counter) == 1
-            one.server.publish(change(8))
-            assert (await child.line())["seq"] == 8
+            await bad.stream.send_all(bad.http.send(request) + b"abc" * bool(header_fields))
+            assert (await bad.next_event()).status_code == expected
+            assert getattr(replica.counters, counter) == 1
+            replica.server.publish(change(8))
+            assert (await child.next_line())["seq"] == 8
 
     trio.run(main)
 
 
 @pytest.mark.parametrize(
-    "sent",
+    "request_bytes",
     [
         b"HELLO\r\n\r\n",
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" * 10 + b"\r\n\r\n",
@@ -184,105 +192,105 @@
         b"GET /v1/servers HTTP/1.0\r\nHost: a\r\n\r\n",
     ],
 )
-def test_what_is_no_request_or_too_long_is_answered_400(sent):
+def test_what_is_no_request_or_too_long_is_answered_400(request_bytes):
     async def main():
-        async with serving() as one:
-            one.server.publish(whole(7, 1))
-            bad = await one.connect()
+        async with running_replica() as replica:
+            replica.server.publish(whole(7, 1))
+            bad = await replica.connect()
             async with trio.open_nursery() as nursery:
 
                 async def send() -> None:
                     with suppress(trio.BrokenResourceError):
-                        await bad.stream.send_all(sent)
+                        await bad.stream.send_all(request_bytes)
 
                 nursery.start_soon(send)
-                assert (await bad.closed()).startswith(b"HTTP/1.1 400 ")
-            assert one.counters.malformed == 1
+                assert (await bad.read_until_closed()).startswith(b"HTTP/1.1 400 ")
+            assert replica.counters.malformed == 1
 
     trio.run(main)
 
 
-@run
+@trio_test
 async def test_before_the_first_list_children_are_told_to_come_again():
-    async with serving() as one:
+    async with running_replica() as replica:
         for target in ("/v1/servers", "/v1/servers?watch=1&from=0"):
-            code, fields = await status(one, target)
-            assert code == 503 and int(fields[b"retry-after"]) >= 1
-        assert one.counters.not_ready == 2
+            code, header_fields = await status(replica, target)
+            assert code == 503 and int(header_fields[b"retry-after"]) >= 1
+        assert replica.counters.not_ready == 2
 
 
-@run
+@trio_test
 async def test_children_are_bounded_and_those_beyond_are_told_to_come_again():
-    async with serving(children=5) as one:
-        one.server.publish(whole(0))
-        children = [await watching(one) for _ in range(5)]
-        code, fields = await status(one, "/v1/servers?watch=1&from=0")
-        assert code == 503 and int(fields[b"retry-after"]) >= 1
-        assert one.counters.children_refused == 1
+    async with running_replica(children=5) as replica:
+        replica.server.publish(whole(0))
+        children = [await watching(replica) for _ in range(5)]
+        code, header_fields = await status(replica, "/v1/servers?watch=1&from=0")
+        assert code == 503 and int(header_fields[b"retry-after"]) >= 1
+        assert replica.counters.children_refused == 1
         await children[0].stream.aclose()
-        await until(lambda: one.counters.watches_ended == 1)
-        await watching(one)
-        one.server.publish(change(1))
-        assert (await children[1].line())["seq"] == 1
+        await wait_until(lambda: replica.counters.watches_ended == 1)
+        await watching(replica)
+        replica.server.publish(change(1))
+        assert (await children[1].next_line())["seq"] == 1
 
 
-@run
+@trio_test
 async def test_idle_connections_crowd_out_each_other_and_no_child():
-    async with serving(idle_connections=20, idle_s=60.0) as one:
-        one.server.publish(whole(0))
-        child = await watching(one)
-        idle = [await one.connect() for _ in range(150)]
-        await until(lambda: one.counters.idle_crowded_out == 130)
-        assert await idle[0].closed() == b""
-        one.server.publish(change(1))
-        assert (await child.line())["seq"] == 1
-        await watching(one)
-
-
-@run
+    async with running_replica(idle_connections=20, idle_s=60.0) as replica:
+        replica.server.publish(whole(0))
+        child = await watching(replica)
+        idle = [await replica.connect() for _ in range(150)]
+        await wait_until(lambda: replica.counters.idle_crowded_out == 130)
+        assert await idle[0].read_until_closed() == b""
+        replica.server.publish(change(1))
+        assert (await child.next_line())["seq"] == 1
+        await watching(replica)
+
+
+@trio_test
 async def test_connections_without_a_whole_request_end_in_time_also_where_they_trickle():
-    async with serving(idle_s=0.3) as one:
-        one.server.publish(whole(0))
-        silent, trickling = await one.connect(), await one.connect()
+    async with running_replica(idle_s=0.3) as replica:
+        replica.server.publish(whole(0))
+        silent, trickling = await replica.connect(), await replica.connect()
         await trickling.stream.send_all(b"GET /v1/ser")
-        assert await silent.closed() == b"" and await trickling.closed() == b""
-        assert one.counters.idle_closed == 2
+        assert await silent.read_until_closed() == b"" and await trickling.read_until_closed() == b""
+        assert replica.counters.idle_closed == 2
 
 
-@run
+@trio_test
 async def test_after_a_restart_children_that_knew_a_little_less_resume_without_a_whole_list():
-    asked, told = [], trio.Event()
+    requested, history_ready = [], trio.Event()
 
     async def earlier(since: int, upto: Position) -> list[ListDocument]:
-        asked.append((since, upto))
+        requested.append((since, upto))
         if since < 480:  # longer ago than is known
             return []
-        await told.wait()
+        await history_ready.wait()
         return [change(revision) for revision in range(since + 1, upto.revision + 1)]
 
-    async with serving(earlier) as one:
-        one.server.publish(whole(500, 1))
-        code, fields = await status(one, "/v1/servers?watch=1&from=498")
-        assert code == 503 and int(fields[b"retry-after"]) in (1, 2)
-        assert (await status(one, "/v1/servers"))[0] == 200
-        child = await watching(one, 500)
-        told.set()
-        await until(lambda: one.counters.history_read == 16)
-        assert asked == [(244, Position(0, 500)), (484, Position(0, 500))]
-        resumed, past = await watching(one, 498), await watching(one, 483)
-        assert [(await resumed.line())["seq"] for _ in range(2)] == [499, 500]
-        assert (await past.line())["whole"] is True
-        one.server.publish(change(501))
-        assert (await child.line())["seq"] == (await resumed.line())["seq"] == 501
+    async with running_replica(earlier) as replica:
+        replica.server.publish(whole(500, 1))
+        code, header_fields = await status(replica, "/v1/servers?watch=1&from=498")
+        assert code == 503 and int(header_fields[b"retry-after"]) in (1, 2)
+        assert (await status(replica, "/v1/servers"))[0] == 200
+        child = await watching(replica, 500)
+        history_ready.set()
+        await wait_until(lambda: replica.counters.history_read == 16)
+        assert requested == [(244, Position(0, 500)), (484, Position(0, 500))]
+        resumed, past = await watching(replica, 498), await watching(replica, 483)
+        assert [(await resumed.next_line())["seq"] for _ in range(2)] == [499, 500]
+        assert (await past.next_line())["whole"] is True
+        replica.server.publish(change(501))
+        assert (await child.next_line())["seq"] == (await resumed.next_line())["seq"] == 501
 
 
 def test_a_parent_that_tells_nothing_of_earlier_changes_holds_children_up_for_a_moment_only(monkeypatch):
     async def main():
-        async with serving(lambda since, upto: trio.sleep_forever()) as one:
-            one.server.publish(whole(500, 1))
-            assert (await status(one, "/v1/servers?watch=1&from=498"))[0] == 503
+        async with running_replica(lambda since, upto: trio.sleep_forever()) as replica:
+            replica.server.publish(whole(500, 1))
+            assert (await status(replica, "/v1/servers?watch=1&from=498"))[0] == 503
             await trio.sleep(0.3)
-            assert (await (await watching(one, 498)).line())["whole"] is True
+            assert (await (await watching(replica, 498)).next_line())["whole"] is True
 
     monkeypatch.setattr("glenfold.replica.server.HISTORY_TIMEOUT_S", 0.2)
     trio.run(main)
@@ -293,11 +301,11 @@
 LARGE = [{**server(n), "note": "x" * 20_000} for n in range(10)]  # changes of 200 KB
 
 
-def small_window(one: Serving) -> trio.SocketStream:
+def small_window(replica: RunningReplica) -> trio.SocketStream:
     """A child whose kernel takes little."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    sock.connect(("127.0.0.1", one.port))
+    sock.connect(("127.0.0.1", replica.port))
     sock.setblocking(False)
     return trio.SocketStream(trio.socket.from_stdlib_socket(sock))
 
@@ -306,133 +314,135 @@
     return change(revision, *({**entry, "share": float(revision)} for entry in LARGE))
 
 
-async def slow_child(one: Serving) -> ChildConnection:
-    slow = ChildConnection(small_window(one))
+async def slow_child(replica: RunningReplica) -> ChildConnection:
+    slow = ChildConnection(small_window(replica))
     assert (await slow.ask("/v1/servers?watch=1&from=0")).status_code == 200
     return slow
 
 
-async def read_to_the_cut(child: ChildConnection) -> list[int]:
+async def read_until_cut(child: ChildConnection) -> list[int]:
     """The revisions of whole lines; one that broke off is none."""
     found = []
     try:
         while True:
-            found.append((await child.line())["seq"])
+            found.append((await child.next_line())["seq"])
     except (h11.RemoteProtocolError, trio.BrokenResourceError):
         return found
 
 
-@run
+@trio_test
 async def test_a_child_that_takes_nothing_is_cut_and_resumes_with_nothing_lost_or_doubled():
-    async with serving(blocked_s=0.3) as one:
-        one.server.publish(whole(0))
-        slow, steady = await slow_child(one), await watching(one)
+    async with running_replica(blocked_s=0.3) as replica:
+        replica.server.publish(whole(0))
+        slow, steady = await slow_child(replica), await watching(replica)
         for revision in range(1, 7):
-            one.server.publish(large(revision))
-            assert (await steady.line())["seq"] == revision
-        await until(lambda: one.counters.cut_blocked == 1)
-        got = await read_to_the_cut(slow)
-        assert got == list(range(1, len(got) + 1)) and len(got) < 6
-        again = await watching(one, got[-1] if got else 0)
-        assert [(await again.line())["seq"] for _ in range(6 - len(got))] == list(range(len(got) + 1, 7))
-        assert one.counters.watches_ended == 1
-
-
-@run
+            replica.server.publish(large(revision))
+            assert (await steady.next_line())["seq"] == revision
+        await wait_until(lambda: replica.counters.cut_blocked == 1)
+        received = await read_until_cut(slow)
+        assert received == list(range(1, len(received) + 1)) and len(received) < 6
+        again = await watching(replica, received[-1] if received else 0)
+        assert [(await again.next_line())["seq"] for _ in range(6 - len(received))] == list(
+            range(len(received) + 1, 7)
+        )
+        assert replica.counters.watches_ended == 1
+
+
+@trio_test
 async def test_a_child_that_falls_behind_the_history_is_cut_and_gets_the_whole_list():
-    async with serving(history_revisions=2, blocked_s=60.0) as one:
-        one.server.publish(whole(0))
-        slow, steady = await slow_child(one), await watching(one)
+    async with running_replica(history_revisions=2, blocked_s=60.0) as replica:
+        replica.server.publish(whole(0))
+        slow, steady = await slow_child(replica), await watching(replica)
         for revision in range(1, 12):
-            one.server.publish(large(revision))
-            assert (await steady.line())["seq"] == revision
-        got = await read_to_the_cut(slow)
-        assert one.counters.cut_behind == 1 and len(got) < 11
-        again = await watching(one, got[-1] if got else 0)
-        assert (await again.line())["whole"] is True
+            replica.server.publish(large(revision))
+            assert (await steady.next_line())["seq"] == revision
+        received = await read_until_cut(slow)
+        assert replica.counters.cut_behind == 1 and len(received) < 11
+        again = await watching(replica, received[-1] if received else 0)
+        assert (await again.next_line())["whole"] is True
 
 
-@run
+@trio_test
 async def test_a_child_that_reads_slowly_but_keeps_up_gets_all():
-    async with serving() as one:
-        one.server.publish(whole(0))
-        slow = await slow_child(one)
+    async with running_replica() as replica:
+        replica.server.publish(whole(0))
+        slow = await slow_child(replica)
         for revision in range(1, 6):
-            one.server.publish(large(revision))
+            replica.server.publish(large(revision))
             await trio.sleep(0)
-        assert [(await slow.line())["seq"] for _ in range(5)] == [1, 2, 3, 4, 5]
+        assert [(await slow.next_line())["seq"] for _ in range(5)] == [1, 2, 3, 4, 5]
 
 
-@run
+@trio_test
 async def test_a_slow_child_is_told_of_renewals_only_behind_what_came_before():
-    async with serving() as one:
-        one.server.publish(whole(0))
-        slow = await slow_child(one)
-        one.server.publish(large(1))
+    async with running_replica() as replica:
+        replica.server.publish(whole(0))
+        slow = await slow_child(replica)
+        replica.server.publish(large(1))
         await trio.sleep(0.05)
-        one.server.renew(trio.current_time())
+        replica.server.renew(trio.current_time())
         await trio.sleep(0.6)
-        assert (await slow.line())["seq"] == 1
-        one.server.renew(trio.current_time())
-        assert await slow.line() is None
+        assert (await slow.next_line())["seq"] == 1
+        replica.server.renew(trio.current_time())
+        assert await slow.next_line() is None
 
 
-@run
+@trio_test
 async def test_in_a_storm_whole_lists_are_admitted_at_their_rate_while_watches_go_on():
-    async with serving(whole_lists_mb_per_s=0.5, whole_lists_at_once=4) as one:
+    async with running_replica(whole_lists_mb_per_s=0.5, whole_lists_at_once=4) as replica:
         entries = [{**server(n), "note": "x" * 1000} for n in range(100)]  # 100 KB
-        one.server.publish(whole(0))
-        one.server.publish(change(1, *entries))
-        watch = await watching(one, 1)
+        replica.server.publish(whole(0))
+        replica.server.publish(change(1, *entries))
+        watch = await watching(replica, 1)
         codes, waits = [], []
 
         async def ask() -> None:
-            child = await one.connect()
+            child = await replica.connect()
             response = await child.ask("/v1/servers")
             codes.append(response.status_code)
             if response.status_code == 200:
-                assert (await child.whole())["seq"] >= 1
+                assert (await child.read_list())["seq"] >= 1
             else:
                 waits.append(int(dict(response.headers)[b"retry-after"]))
 
-        began_s = trio.current_time()
+        start_s = trio.current_time()
         async with trio.open_nursery() as nursery:
             for _ in range(120):
                 nursery.start_soon(ask)
             for revision in range(2, 12):
-                one.server.publish(change(revision))
-                assert (await watch.line())["seq"] == revision
-        took_s = trio.current_time() - began_s
+                replica.server.publish(change(revision))
+                assert (await watch.next_line())["seq"] == revision
+        took_s = trio.current_time() - start_s
         admitted = codes.count(200)
         assert 1 <= admitted <= (0.5 * (1 << 20) * (1 + took_s)) / 100_000 + 1
-        assert codes.count(503) == len(waits) == 120 - admitted == one.counters.whole_lists_deferred
+        assert codes.count(503) == len(waits) == 120 - admitted == replica.counters.whole_lists_deferred
         assert max(waits) >= 10 and len(set(waits)) >= 8  # 115 lists of 0.2 s each, by chance
 
 
-@run
+@trio_test
 async def test_a_past_revision_is_admitted_as_any_whole_list():
-    async with serving(whole_lists_mb_per_s=0.01) as one:
+    async with running_replica(whole_lists_mb_per_s=0.01) as replica:
         entries = [{**server(n), "note": "x" * 1000} for n in range(100)]
-        one.server.publish(whole(5))
-        one.server.publish(change(6, *entries))
-        assert (await status(one, "/v1/servers"))[0] == 200
-        code, fields = await status(one, "/v1/servers?watch=1&from=1")
-        assert code == 503 and int(fields[b"retry-after"]) >= 1
-        assert (await status(one, "/v1/servers?watch=1&from=6"))[0] == 200
+        replica.server.publish(whole(5))
+        replica.server.publish(change(6, *entries))
+        assert (await status(replica, "/v1/servers"))[0] == 200
+        code, header_fields = await status(replica, "/v1/servers?watch=1&from=1")
+        assert code == 503 and int(header_fields[b"retry-after"]) >= 1
+        assert (await status(replica, "/v1/servers?watch=1&from=6"))[0] == 200
 
 
 def test_a_child_that_does_not_take_its_whole_list_gives_its_place_back(monkeypatch):
     async def main():
-        async with serving(whole_lists_at_once=1) as one:
-            one.server.publish(whole(0))
-            one.server.publish(
+        async with running_replica(whole_lists_at_once=1) as replica:
+            replica.server.publish(whole(0))
+            replica.server.publish(
                 change(1, *LARGE, *({**server(n), "note": "x" * 20_000} for n in range(10, 50)))
             )
-            slow = ChildConnection(small_window(one))
+            slow = ChildConnection(small_window(replica))
             await slow.ask("/v1/servers")
-            assert (await status(one, "/v1/servers"))[0] == 503
-            await until(lambda: one.counters.whole_lists_failed == 1)
-            assert (await status(one, "/v1/servers"))[0] == 200
+            assert (await status(replica, "/v1/servers"))[0] == 503
+            await wait_until(lambda: replica.counters.whole_lists_failed == 1)
+            assert (await status(replica, "/v1/servers"))[0] == 200
 
     monkeypatch.setattr("glenfold.replica.server.LIST_TIMEOUT_S", 0.2)
     trio.run(main)
@@ -441,53 +451,56 @@
 # ---- ends ----
 
 
-@run
+@trio_test
 async def test_at_its_end_watches_end_in_order_over_the_time_given_and_new_ones_are_refused():
-    async with serving() as one:
-        one.server.publish(whole(0))
-        children, ended = [await watching(one) for _ in range(40)], []
+    async with running_replica() as replica:
+        replica.server.publish(whole(0))
+        children, ended_children = [await watching(replica) for _ in range(40)], []
 
-        async def look(number: int, child: ChildConnection) -> None:
+        async def record_end(number: int, child: ChildConnection) -> None:
             with pytest.raises(EOFError):
-                await child.line()
-            ended.append((trio.current_time(), number))
+                await child.next_line()
+            ended_children.append((trio.current_time(), number))
 
         async with trio.open_nursery() as nursery:
             for number, child in enumerate(children):
-                nursery.start_soon(look, number, child)
+                nursery.start_soon(record_end, number, child)
             await trio.sleep(0)
-            began_s = trio.current_time()
-            nursery.start_soon(one.server.end_watches, 0.8)
+            start_s = trio.current_time()
+            nursery.start_soon(replica.server.end_watches, 0.8)
             await trio.sleep(0.1)
-            code, fields = await status(one, "/v1/servers?watch=1&from=0")
-            assert code == 503 and int(fields[b"retry-after"]) in (1, 2)  # a successor may be there by then
-        moments = sorted(at_s - began_s for at_s, _ in ended)
-        assert moments[-1] >= 0.6 and moments[len(moments) // 2] >= 0.2
-        assert max(sum(at <= m < at + 0.1 for m in moments) for at in moments) <= 20
+            code, header_fields = await status(replica, "/v1/servers?watch=1&from=0")
+            assert code == 503 and int(header_fields[b"retry-after"]) in (
+                1,
+                2,
+            )  # a successor may be there by then
+        end_times = sorted(at_s - start_s for at_s, _ in ended_children)
+        assert end_times[-1] >= 0.6 and end_times[len(end_times) // 2] >= 0.2
+        assert max(sum(at <= m < at + 0.1 for m in end_times) for at in end_times) <= 20
 
 
-@run
+@trio_test
 async def test_a_replica_that_dies_in_mid_line_has_told_no_broken_change():
-    async with serving() as one:
-        one.server.publish(whole(0))
-        slow = await slow_child(one)
-        one.server.publish(large(1))
+    async with running_replica() as replica:
+        replica.server.publish(whole(0))
+        slow = await slow_child(replica)
+        replica.server.publish(large(1))
         await trio.sleep(0.05)
-        one.scope.cancel()
-        assert await read_to_the_cut(slow) == []
+        replica.scope.cancel()
+        assert await read_until_cut(slow) == []
 
 
 def test_the_watches_of_a_replica_hold_no_bytes_of_their_own_once_they_are_written():
     """All share those of the history."""
 
     async def main():
-        async with serving() as one:
-            one.server.publish(whole(0))
-            children = [await watching(one) for _ in range(10)]
-            one.server.publish(large(1))
+        async with running_replica() as replica:
+            replica.server.publish(whole(0))
+            children = [await watching(replica) for _ in range(10)]
+            replica.server.publish(large(1))
             for child in children:
-                assert (await child.line())["seq"] == 1
-            watches: Watches = one.server._watches
+                assert (await child.next_line())["seq"] == 1
+            watches: Watches = replica.server._watches
             assert all(len(watch.unsent) == 0 and watch.unsent.obj == b"" for watch in watches._open)
 
     trio.run(main)
--- a/tests/replica/test_tree.py
+++ b/tests/replica/test_tree.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 from relaying import entry
-from serving import ChildConnection
-from stand_in_parent import StandInParent, play
+from running_replica import ChildConnection
+from stand_in_parent import StandInParent, run_script
 
 from glenfold.config.platform import Parent
 from glenfold.config.replica import Limits, Replica, Shutdown, Terms
@@ -50,16 +50,18 @@
             await trio.sleep(0.1)
 
 
-async def seen(child: ChildConnection, until_s: float) -> list[dict[str, Any] | None]:
+async def lines_until(child: ChildConnection, until_s: float) -> list[dict[str, Any] | None]:
     """The lines that come up to that moment."""
     lines = []
     with trio.move_on_at(until_s):
         while True:
-            lines.append(await child.line(math.inf))
+            lines.append(await child.next_line(math.inf))
     return lines
 
 
-async def begun(nursery: trio.Nursery, layers: int) -> tuple[StandInParent, list[Layer], ChildConnection]:
+async def start_layers(
+    nursery: trio.Nursery, layers: int
+) -> tuple[StandInParent, list[Layer], ChildConnection]:
     source = StandInParent(revision=41)
     await source.listen(nursery)
     found: list[Layer] = []
@@ -67,22 +69,22 @@
         found.append(Layer(f"r-{number}", found[-1].port if found else source.port))
         nursery.start_soon(found[-1].run)
     child = await found[-1].watch(41)
-    assert await child.line() is None
+    assert await child.next_line() is None
     return source, found, child
 
 
 @pytest.mark.parametrize("layers", [1, 3])
 def test_renewals_come_at_the_sources_own_pace_through_all_layers(layers):
     async def script(nursery: trio.Nursery) -> None:
-        _, _, child = await begun(nursery, layers)
-        moments = [trio.current_time()]
-        while moments[-1] < moments[0] + 20:
-            assert await child.line() is None
-            moments.append(trio.current_time())
-        assert max(b - a for a, b in zip(moments, moments[1:], strict=False)) <= 2.5
-        assert len(moments) <= 13
+        _, _, child = await start_layers(nursery, layers)
+        times = [trio.current_time()]
+        while times[-1] < times[0] + 20:
+            assert await child.next_line() is None
+            times.append(trio.current_time())
+        assert max(b - a for a, b in zip(times, times[1:], strict=False)) <= 2.5
+        assert len(times) <= 13
 
-    play(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize("layers", [1, 3])
@@ -90,17 +92,17 @@
     """No layer makes a renewal up; who asks is answered with an age that grows."""
 
     async def script(nursery: trio.Nursery) -> None:
-        source, found, child = await begun(nursery, layers)
+        source, found, child = await start_layers(nursery, layers)
         await source.kill()
         killed_at_s = trio.current_time()
-        assert await seen(child, killed_at_s + 60.0) in ([], [None])
-        beside = ChildConnection(await trio.open_tcp_stream("127.0.0.1", found[-1].port))
-        fields = dict((await beside.ask("/v1/servers")).headers)
+        assert await lines_until(child, killed_at_s + 60.0) in ([], [None])
+        second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", found[-1].port))
+        fields = dict((await second_child.ask("/v1/servers")).headers)
         assert 58 <= int(fields[b"age"]) <= 64
-        assert (await beside.whole())["hosts"] == [entry("s-1")]
+        assert (await second_child.read_list())["hosts"] == [entry("s-1")]
         assert all(layer.process.counters["stale"] == 1 for layer in found)
 
-    play(script)
+    run_script(script)
 
 
 def test_replicas_that_may_follow_each_other_keep_nobody_fresh_once_the_source_has_gone():
@@ -116,30 +118,30 @@
         child = await second.watch(41)
         await source.kill()
         gone_at_s = trio.current_time()
-        lines = await seen(child, gone_at_s + 30.0)
+        lines = await lines_until(child, gone_at_s + 30.0)
         assert lines.count(None) <= 2
-        assert await seen(child, gone_at_s + 60.0) == []
+        assert await lines_until(child, gone_at_s + 60.0) == []
         assert first.process.counters["stale"] == second.process.counters["stale"] == 1
-        beside = ChildConnection(await trio.open_tcp_stream("127.0.0.1", second.port))
-        fields = dict((await beside.ask("/v1/servers")).headers)
+        second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", second.port))
+        fields = dict((await second_child.ask("/v1/servers")).headers)
         assert 58 <= int(fields[b"age"]) <= 66
         assert fields[b"via"].count(b"second") == 1 and fields[b"via"].count(b"first") <= 1
 
-    play(script)
+    run_script(script)
 
 
 def test_after_a_cut_children_hear_what_they_missed_and_renewals_again():
     async def script(nursery: trio.Nursery) -> None:
-        source, _, child = await begun(nursery, 2)
+        source, _, child = await start_layers(nursery, 2)
         await source.kill()
-        await seen(child, trio.current_time() + 3 * LEASE_S)
+        await lines_until(child, trio.current_time() + 3 * LEASE_S)
         await source.change(entry("s-2"))
         await source.listen(nursery)
         lines: list[dict[str, Any] | None] = []
         while {"seq": 42, "whole": False, "hosts": [entry("s-2")]} not in lines or lines[-1] is not None:
-            lines.append(await child.line(math.inf))
+            lines.append(await child.next_line(math.inf))
 
-    play(script)
+    run_script(script)
 
 
 def test_earlier_changes_are_those_that_lead_to_a_position_and_none_else():
@@ -164,25 +166,25 @@
         await source.kill()
         assert await earlier_changes(Parent(("127.0.0.1", source.port)), 42, Position(0, 45)) == ()
 
-    play(script)
+    run_script(script)
 
 
 async def revisions(child: ChildConnection, found: list[tuple[float, int]]) -> None:
     while True:
-        if (line := await child.line(math.inf)) is not None:
+        if (line := await child.next_line(math.inf)) is not None:
             assert not line["whole"]
             found.append((trio.current_time(), line["seq"]))
 
 
-async def changes(source: StandInParent, count: int, told: dict[int, float]) -> None:
+async def changes(source: StandInParent, count: int, changed_at_s: dict[int, float]) -> None:
     for _ in range(count):
-        told[source.revision + 1] = trio.current_time()
+        changed_at_s[source.revision + 1] = trio.current_time()
         await source.change(entry(f"s-{source.revision % 7}", share=float(source.revision)))
         await trio.sleep(0.3)
 
 
-@pytest.mark.parametrize("how", ["killed", "ended in order", "both restarted"])
-def test_children_of_children_lose_and_double_no_version_when_replicas_between_go(how):
+@pytest.mark.parametrize("failure", ["killed", "ended in order", "both restarted"])
+def test_children_of_children_lose_and_double_no_version_when_replicas_between_go(failure):
     """Each change is with them within 4 s all the same."""
 
     async def script(nursery: trio.Nursery) -> None:
@@ -194,24 +196,24 @@
             nursery.start_soon(layer.run)
         child = await lower.watch(41)
         found: list[tuple[float, int]] = []
-        told: dict[int, float] = {}
+        changed_at_s: dict[int, float] = {}
         nursery.start_soon(revisions, child, found)
         await trio.sleep(3.0)
-        nursery.start_soon(changes, source, 40, told)
+        nursery.start_soon(changes, source, 40, changed_at_s)
         await trio.sleep(3.0)
         for layer in upper:
-            if how != "both restarted" and not layer.process.children:
+            if failure != "both restarted" and not layer.process.children:
                 continue  # the other one is followed
-            if how == "ended in order":
+            if failure == "ended in order":
                 layer.process.stop()
             else:
                 layer.scope.cancel()
-        if how == "both restarted":
+        if failure == "both restarted":
             await trio.sleep(0.5)
             for layer in upper:
                 nursery.start_soon(Layer(f"again-{layer.port}", source.port, port=layer.port).run)
         await trio.sleep(16.0)
         assert [revision for _, revision in found] == list(range(42, 82))
-        assert max(at_s - told[revision] for at_s, revision in found) <= 4.0
+        assert max(at_s - changed_at_s[revision] for at_s, revision in found) <= 4.0
 
-    play(script)
+    run_script(script)
