--- a/tests/replica/running_replica.py
+++ b/tests/replica/running_replica.py
@@ -1,4 +1,4 @@
-"""A replica's server in this process on an ephemeral loopback port, and children that a test scripts."""
+"""A replica's server in this process on an ephemeral loopback port, and children driven by a test."""
 
 import json
 import random
@@ -14,11 +14,13 @@
 from glenfold.replica.counters import ReplicaCounters
 from glenfold.replica.server import EarlierChanges, Server
 
-WITHIN_S = 10.0  # for what must happen; a fault shows as trio.TooSlowError
+WITHIN_S = 10.0  # time limit for each expected event; exceeding it raises trio.TooSlowError
 
 
 @dataclass
 class RunningReplica:
+    """A replica's server that is running, and its port."""
+
     server: Server
     counters: ReplicaCounters
     port: int
@@ -46,8 +48,10 @@
 
 
 class ChildConnection:
-    """One connection of a child, by h11's own reading. `lines` of a watch are documents; None is the empty
-    line."""
+    """One connection of a child, parsed with h11.
+
+    `lines` holds the documents of a watch that were read ahead, with None for an empty line.
+    """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
@@ -72,7 +76,7 @@
         return event
 
     async def read_list(self) -> dict[str, Any]:
-        """The body of a whole list."""
+        """Returns the body of a whole list."""
         body = b""
         while isinstance(event := await self.next_event(), h11.Data):
             body += bytes(event.data)
@@ -80,7 +84,10 @@
         return dict(json.loads(body))
 
     async def next_line(self, within_s: float = WITHIN_S) -> dict[str, Any] | None:
-        """The next one of a watch. Raises h11.RemoteProtocolError where it broke off, EOFError at its end."""
+        """Returns the next line of a watch.
+
+        Raises h11.RemoteProtocolError if the watch was interrupted, and EOFError at its regular end.
+        """
         while not self.lines:
             event = await self.next_event(within_s)
             if not isinstance(event, h11.Data):
@@ -90,7 +97,7 @@
         return self.lines.pop(0)
 
     async def read_until_closed(self) -> bytes:
-        """What else came until the other side closed or reset it."""
+        """Returns the bytes that arrive until the replica closes or resets the connection."""
         received = b""
         with trio.fail_after(WITHIN_S):
             try:
@@ -102,7 +109,7 @@
 
 
 async def wait_until(condition: Any) -> None:
-    """Polls, as counters have no event."""
+    """Polls until the condition is true, as counters have no event."""
     with trio.fail_after(WITHIN_S):
         while not condition():
             await trio.sleep(0.002)
--- a/tests/replica/stand_in_parent.py
+++ b/tests/replica/stand_in_parent.py
@@ -1,4 +1,4 @@
-"""Parents to be followed, on loopback sockets: a source or a replica of it, that a test moves by hand."""
+"""Parents for a follower under test, on loopback sockets: a source or a replica, controlled by the test."""
 
 import json
 import random
@@ -22,8 +22,11 @@
 
 
 class StandInParent:
-    """`via`: the replicas up to it, itself included; none: it is the source. `renewing`: an empty line goes
-    out every 2 s. `answers`: what its next calls get in place of an answer, None for a usual one."""
+    """A parent that is the source if `via` is empty, and otherwise the last replica in `via`.
+
+    While `renewing` is set it sends an empty line every 2 s. `scripted_answers` are sent to the next calls in
+    place of the regular answer, which None stands for.
+    """
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
         self.oldest = revision
         self.renewed_at_s = -age_s
         self.requests: list[tuple[float, str]] = []
-        self.hangs = False  # it takes calls, and answers none
+        self.hangs = False  # accepts calls but never answers
         self.scripted_answers: list[bytes | None] = []
         self.watches: list[trio.SocketStream] = []
         self.port = 0
@@ -73,14 +76,14 @@
         self._stopped.set()
 
     async def kill(self) -> None:
-        """All its connections are reset, and new ones refused."""
+        """Resets all watches and refuses new connections."""
         for stream in self.watches:
             stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.watches.clear()
         self._scope.cancel()
         await self._stopped.wait()
 
-    # ---- what it tells ----
+    # ---- changes and renewals ----
 
     async def change(self, *entries: dict[str, Any], revision: int | None = None) -> None:
         self.revision = self.revision + 1 if revision is None else revision
@@ -92,7 +95,7 @@
         await self.send(self._object(self.revision, False, list(entries)))
 
     async def send(self, text: bytes, complete_chunk: bool = True) -> None:
-        """To all who watch. Without the whole chunk, more must come."""
+        """Sends a chunk to all watches. An incomplete chunk announces twice the bytes that it has."""
         size = len(text) if complete_chunk else 2 * len(text)
         async with self._sending:
             for stream in list(self.watches):
@@ -113,7 +116,7 @@
     def _object(revision: int, whole: bool, entries: list[dict[str, Any]]) -> bytes:
         return json.dumps({"seq": revision, "whole": whole, "hosts": entries}).encode() + b"\n"
 
-    # ---- its calls ----
+    # ---- calls of followers ----
 
     def head(self, status: str, *fields: str) -> bytes:
         lines = [f"HTTP/1.1 {status}", *fields]
@@ -168,11 +171,11 @@
 
 
 class RecordingPublisher:
-    """A publisher that keeps what it is told, with its moments."""
+    """A publisher that records each call with its time."""
 
     def __init__(self) -> None:
         self.documents: list[tuple[float, ListDocument]] = []
-        self.renewals: list[tuple[float, float]] = []  # when told, and the moment told
+        self.renewals: list[tuple[float, float]] = []  # time of the call and `renewed_at_s`
         self.stale_at_s: list[float] = []
         self.chains: list[tuple[str, ...]] = []
         self._update = trio.Event()
@@ -201,11 +204,11 @@
         self._update = trio.Event()
 
     async def wait_for_update(self) -> None:
-        """Until it is told anything but a renewal."""
+        """Waits for the next call other than a renewal."""
         await self._update.wait()
 
     async def wait_for_revision(self, revision: int) -> float:
-        """When that revision was published."""
+        """Waits for that revision and returns when it was published."""
         while True:
             for at_s, document in self.documents:
                 if document.position.revision == revision:
@@ -214,7 +217,7 @@
 
 
 class Child:
-    """A follower with what it publishes. `random_seed`: of its waits."""
+    """A follower and what it publishes. `seed` seeds the random delays of its parent choice."""
 
     def __init__(
         self,
@@ -244,14 +247,14 @@
 
 
 def jump_clock(seconds: float) -> None:
-    """All that falls due within them falls due at once."""
+    """Advances the mock clock, so that everything due within these seconds is due at once."""
     clock = trio.lowlevel.current_clock()
     assert isinstance(clock, trio.testing.MockClock)
     clock.jump(seconds)
 
 
 def run_script(script: Callable[[trio.Nursery], Awaitable[None]]) -> None:
-    """Runs it on a clock that jumps, and ends all that it started. Raises what the script itself raises."""
+    """Runs the script on a mock clock and cancels all tasks that it started. Raises its AssertionError."""
     failed: list[AssertionError] = []
 
     async def main() -> None:
--- a/tests/replica/test_follower.py
+++ b/tests/replica/test_follower.py
@@ -1,4 +1,4 @@
-"""Following one of several parents, on loopback sockets with a clock that jumps."""
+"""Tests of following one of several parents, on loopback sockets with a mock clock."""
 
 from typing import Any
 
@@ -40,7 +40,7 @@
 
 
 def requested_revisions(parent: StandInParent) -> list[int]:
-    """The revisions that it was asked to go on from; -1: the whole list."""
+    """Returns the revisions that watches were requested from, with -1 for a request of the whole list."""
     return [int(target.rpartition("=")[2]) if "=" in target else -1 for _, target in parent.requests]
 
 
@@ -84,14 +84,14 @@
 
 
 async def follow_parent(nursery: trio.Nursery, child: Child, parent: StandInParent) -> None:
-    """Its first parent, and a moment more, so that what follows is no part of the start."""
+    """Waits until the child follows the parent, and 1 s more, so that the start is over."""
     nursery.start_soon(child.follower.follow)
     await child.wait_for(parent)
     await trio.sleep(1)
 
 
 def test_the_children_of_a_dead_replica_spread_over_the_others_and_over_time() -> None:
-    """Each resumes from what it knows, and is told a change within 4 s of the death."""
+    """Each child resumes from its revision and receives a change within 4 s of the parent's death."""
 
     async def script(nursery: trio.Nursery) -> None:
         dead, *others = parents = [
@@ -148,7 +148,7 @@
 
 
 def test_only_what_the_source_renewed_renews() -> None:
-    """A stale parent answers, sends what it has in memory and keeps the watch open: none of it counts."""
+    """A stale parent answers, sends its list and keeps the watch open; none of this renews the lease."""
 
     async def script(nursery: trio.Nursery) -> None:
         stale = replica("r-1", 41, renewing=False, age_s=100.0)
@@ -158,7 +158,7 @@
         await child.published.wait_for_revision(41)
         await child.wait_for(stale)
         await trio.sleep(1)
-        await stale.change(entry("s-2"))  # it was told by one that is as stale
+        await stale.change(entry("s-2"))  # received from a parent that is stale too
         await child.published.wait_for_revision(42)
         await trio.sleep(10)
         assert child.follower.renewed_at_s == pytest.approx(-100, abs=0.1)
@@ -203,8 +203,10 @@
 
 
 def test_where_all_are_stale_nobody_goes_round() -> None:
-    """Without the source each child stays where it is, asks the others slowly, and is told as soon as one of
-    them, whichever it is, is renewed."""
+    """Without the source each child stays with its parent and polls the others slowly.
+
+    It receives a change as soon as any one of the parents is renewed.
+    """
 
     async def script(nursery: trio.Nursery) -> None:
         parents = [replica(f"r-{n}", 41) for n in range(4)]
@@ -243,7 +245,7 @@
         await start_parents(nursery, cut, source_side)
         child = Child(cut, source_side, region="east")
         await follow_parent(nursery, child, source_side)
-        cut.renewing = False  # for an hour, in which a server drains and leaves
+        cut.renewing = False  # cut off for an hour, in which a server drains and leaves
         await source_side.change(entry("s-2", health="terminating"))
         await source_side.change(entry("s-2", health="terminated"))
         await child.published.wait_for_revision(43)
@@ -251,12 +253,12 @@
         await trio.sleep(30)
         jump_clock(3600)
         await trio.sleep(10)
-        assert child.parent() is None  # the other is behind: what is known is newer
+        assert child.parent() is None  # the other parent is behind the known list
         assert child.published.positions[-1] == Position(0, 43)
         assert requested_revisions(cut).count(-1) == 0
         await cut.change(entry("s-2", health="terminating"))
         await cut.change(entry("s-2", health="terminated"))
-        cut.renewing = True  # once it has caught up
+        cut.renewing = True  # the region has caught up
         await child.wait_for(cut)
         await cut.change(entry("s-3"))
         await child.published.wait_for_revision(44)
@@ -277,7 +279,7 @@
         await start_parents(nursery, source)
         child = Child(source)
         await follow_parent(nursery, child, source)
-        await source.change(entry("s-2", health="terminating"), revision=1010)  # it skips, too
+        await source.change(entry("s-2", health="terminating"), revision=1010)  # revisions may skip numbers
         await child.published.wait_for_revision(1010)
         await source.kill()
         source.revision, source.oldest, source.history = 3, 3, []
@@ -293,15 +295,18 @@
         ]
         lists = [document for _, document in child.published.documents]
         assert lists[2].whole and [one["health"] for one in lists[2].entries] == ["in_service", "terminating"]
-        assert lists[3].entries[0]["health"] == "in_service"  # it has started again
+        assert lists[3].entries[0]["health"] == "in_service"  # the server has restarted
 
     run_script(script)
 
 
 @pytest.mark.parametrize("incarnation, revision", [(0, 3), (0, 2000), (1, 3)])
 def test_what_the_source_renews_holds_whatever_its_numbers(incarnation: int, revision: int) -> None:
-    """A source that counted anew once, and a replica that has started again and does not know: its lists
-    are behind. Nobody else is renewed, so they are taken; who drained stays so by a lower number."""
+    """The source started a new history once, and a restarted replica does not know of it.
+
+    The lists of this replica are behind, but no other parent is renewed, so they are accepted. A server that
+    was draining stays so if the list has a lower revision.
+    """
 
     async def script(nursery: trio.Nursery) -> None:
         parent = StandInParent("r-1", incarnation=1, revision=1000, hosts=("s-1", "s-2"))
@@ -347,7 +352,7 @@
 
 
 def test_what_was_missed_comes_before_the_renewal_of_a_new_parent() -> None:
-    """Else a child would pass an old list on as one that the source has just renewed."""
+    """Otherwise a child would pass on an old list as one that the source has just renewed."""
 
     async def script(nursery: trio.Nursery) -> None:
         one, other = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
@@ -458,7 +463,7 @@
 
 @pytest.mark.parametrize("fields", [True, False])
 def test_a_parent_that_is_behind_sends_no_whole_list(fields: bool) -> None:
-    """Its refusal of a revision of the future names it as a replica, or only its next answer does."""
+    """The 410 response identifies the parent as a replica, or only its next response does."""
 
     async def script(nursery: trio.Nursery) -> None:
         ahead, lags = replica("r-1", 42, zone="cardiff"), replica("r-2", 41)
@@ -515,7 +520,7 @@
         await start_parents(nursery, *parents)
         child = Child(one)
         await follow_parent(nursery, child, one)
-        child.follower.move_to([one.as_parent, two.as_parent])  # the one followed stays
+        child.follower.move_to([one.as_parent, two.as_parent])  # the current parent stays in the list
         await trio.sleep(1)
         assert child.parent() == one.as_parent and len(one.watches) == 1
         child.follower.move_to([three.as_parent])
@@ -524,7 +529,7 @@
         await child.published.wait_for_revision(42)
         assert requested_revisions(three) == [41] and one.watches == []
         two.renewing, two.renewed_at_s = False, -100.0
-        child.follower.move_to([two.as_parent])  # which is behind, and cut off: what is known holds
+        child.follower.move_to([two.as_parent])  # behind and cut off, so the known list is kept
         await trio.sleep(10)
         assert child.published.positions[-1] == Position(0, 42)
         await two.change(entry("s-2"))
@@ -544,7 +549,7 @@
         two.renewing = False
         await one.kill()
         await trio.sleep(20)
-        assert child.published.positions == [Position(0, 41)]  # the other one lags, as far as is known
+        assert child.published.positions == [Position(0, 41)]  # the other parent seems to lag behind
         child.follower.move_to([two.as_parent])
         await child.wait_for(two)
         assert child.published.positions == [Position(0, 41), Position(1, 7)]
@@ -573,7 +578,7 @@
 
 
 def test_a_source_that_answers_and_says_nothing_is_no_better_parent() -> None:
-    """As an agent that is cut off from discovery."""
+    """A local agent that is cut off from discovery behaves like this."""
 
     async def script(nursery: trio.Nursery) -> None:
         agent, other = StandInParent(zone="cardiff"), replica("r-2")
--- a/tests/replica/test_follower_mutants.py
+++ b/tests/replica/test_follower_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into the follower on purpose: its tests find each."""
+"""Faults injected into the follower, each of which its tests must detect."""
 
 import pytest
 import test_follower as tests
--- a/tests/replica/test_process.py
+++ b/tests/replica/test_process.py
@@ -1,4 +1,4 @@
-"""`glenfold replica` as real processes on loopback, behind a source that the test moves by hand."""
+"""Tests of `glenfold replica` as real processes on loopback, behind a source controlled by the test."""
 
 import os
 import signal
@@ -33,7 +33,7 @@
 
 
 class Replica:
-    """One file, and the process that was started with it."""
+    """A configuration file and the replica process that was started with it."""
 
     def __init__(self, folder: Path, name: str, parent: int) -> None:
         self.folder, self.name = folder, name
@@ -62,7 +62,7 @@
         self.process.send_signal(number)
 
     async def watch(self, revision: int) -> ChildConnection:
-        """Once it serves, and has that revision."""
+        """Opens a watch once the replica serves that revision."""
         with trio.fail_after(WITHIN_S):
             while True:
                 try:
--- a/tests/replica/test_relay_lists.py
+++ b/tests/replica/test_relay_lists.py
@@ -1,4 +1,4 @@
-"""A relay that follows one of several parents, on loopback sockets with a clock that jumps."""
+"""Tests of a relay that follows one of several parents, on loopback sockets with a mock clock."""
 
 import json
 import socket
@@ -26,7 +26,7 @@
 
 @dataclass
 class Relay:
-    """With the configuration that it reads again."""
+    """A relay process, and the configuration `now` that its next reload reads."""
 
     process: Process
     now: Config
@@ -97,7 +97,7 @@
 
 
 def test_what_a_silent_parent_missed_is_told_within_six_seconds(tmp_path: Path) -> None:
-    """The last renewal was just before the parent was cut off, with 250 children."""
+    """The parent is cut off just after a renewal and has 250 children."""
 
     async def main(nursery: trio.Nursery) -> None:
         near, far = replica("r-1"), replica("r-2", "wrexham")
--- a/tests/replica/test_replica_mutants.py
+++ b/tests/replica/test_replica_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into the serving side of a replica: the tests catch each of them."""
+"""Faults injected into the server of a replica, each of which its tests must detect."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 def test_a_lease_that_is_passed_on_though_the_source_did_not_renew(monkeypatch):
-    """A timer of the replica's own, as an agent has."""
+    """The replica sends empty lines on a timer of its own, as an agent does."""
     monkeypatch.setattr(Lease, "due_at_s", lambda self: self._last_line_at_s + 0.5)
     monkeypatch.setattr(Lease, "take_renewal", lambda self, now_s: not self.line_went_out(now_s))
     caught(
@@ -100,7 +100,7 @@
 
 
 def test_a_renewal_in_the_middle_of_a_change(monkeypatch):
-    """Sent without a look at what came before."""
+    """The empty line is sent without regard to unsent bytes before it."""
 
     def renew(self, watch):
         from glenfold.net.sockets import send_now
--- a/tests/replica/test_replica_page.py
+++ b/tests/replica/test_replica_page.py
@@ -1,4 +1,4 @@
-"""The operators' page on replicas: complete, true bounds and defaults, and its example as it is shown."""
+"""Tests that the operators' page on replicas is complete and correct, and that its example works as shown."""
 
 import re
 import socket
@@ -44,7 +44,7 @@
 
 
 def test_the_example_gives_what_it_shows(tmp_path: Path) -> None:
-    """With other ports, as those of the page may be taken."""
+    """The example runs with other ports, as those on the page may be in use."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -87,7 +87,7 @@
 
 
 async def wait_until_serving(port: int) -> tuple[ChildConnection, dict[str, str]]:
-    """Once it answers with a list; and the header fields of that."""
+    """Waits until the replica answers with a list. Returns the connection and the header fields."""
     start_s = time.monotonic()
     while time.monotonic() < start_s + WITHIN_S:
         with suppress(OSError):
@@ -96,4 +96,4 @@
             if response.status_code == 200:
                 return child, {name.decode().title(): value.decode() for name, value in response.headers}
         await trio.sleep(0.05)
-    raise TimeoutError(f"nobody serves a list at {port}")
+    raise TimeoutError(f"no replica serves a list on port {port}")
--- a/tests/replica/test_server.py
+++ b/tests/replica/test_server.py
@@ -1,4 +1,4 @@
-"""A replica's server over real sockets: what children get, and what befalls those that misbehave."""
+"""Tests of a replica's server over real sockets, with children that behave and children that do not."""
 
 import socket
 from contextlib import suppress
@@ -14,7 +14,7 @@
 
 
 def trio_test(test):
-    """As a test in trio."""
+    """Turns an async test into a test that pytest can run."""
 
     def run_test(*args):
         trio.run(test, *args)
@@ -32,7 +32,7 @@
 
 async def expect_silence(child: ChildConnection, for_s: float) -> None:
     with trio.move_on_after(for_s):
-        pytest.fail(f"nobody told {await child.next_line()}")
+        pytest.fail(f"unexpected line: {await child.next_line()}")
 
 
 async def status(
@@ -106,14 +106,14 @@
     async with running_replica() as replica:
         replica.server.publish(whole(0))
         child = await watching(replica)
-        replica.server.renew(trio.current_time() - 60.0)  # heard of by a parent that is cut off itself
+        replica.server.renew(trio.current_time() - 60.0)  # an old renewal from a parent that is cut off
         await expect_silence(child, 0.2)
         replica.server.renew(trio.current_time())
         assert await child.next_line() is None
         await expect_silence(child, 0.7)
         replica.server.stale()
         await expect_silence(child, 0.2)
-        replica.server.publish(change(1))  # serving goes on, and the watch stood open
+        replica.server.publish(change(1))  # the replica keeps serving and the watch stays open
         assert (await child.next_line())["seq"] == 1
         replica.server.renew(trio.current_time())
         assert await child.next_line() is None
@@ -263,7 +263,7 @@
 
     async def earlier(since: int, upto: Position) -> list[ListDocument]:
         requested.append((since, upto))
-        if since < 480:  # longer ago than is known
+        if since < 480:  # older than the parent's history
             return []
         await history_ready.wait()
         return [change(revision) for revision in range(since + 1, upto.revision + 1)]
@@ -302,7 +302,7 @@
 
 
 def small_window(replica: RunningReplica) -> trio.SocketStream:
-    """A child whose kernel takes little."""
+    """Returns a connection with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect(("127.0.0.1", replica.port))
@@ -321,7 +321,7 @@
 
 
 async def read_until_cut(child: ChildConnection) -> list[int]:
-    """The revisions of whole lines; one that broke off is none."""
+    """Returns the revisions of the complete lines up to the reset. An incomplete line does not count."""
     found = []
     try:
         while True:
@@ -416,7 +416,7 @@
         admitted = codes.count(200)
         assert 1 <= admitted <= (0.5 * (1 << 20) * (1 + took_s)) / 100_000 + 1
         assert codes.count(503) == len(waits) == 120 - admitted == replica.counters.whole_lists_deferred
-        assert max(waits) >= 10 and len(set(waits)) >= 8  # 115 lists of 0.2 s each, by chance
+        assert max(waits) >= 10 and len(set(waits)) >= 8  # about 115 lists of 0.2 s each, spread at random
 
 
 @trio_test
@@ -448,7 +448,7 @@
     trio.run(main)
 
 
-# ---- ends ----
+# ---- shutdown ----
 
 
 @trio_test
@@ -470,10 +470,8 @@
             nursery.start_soon(replica.server.end_watches, 0.8)
             await trio.sleep(0.1)
             code, header_fields = await status(replica, "/v1/servers?watch=1&from=0")
-            assert code == 503 and int(header_fields[b"retry-after"]) in (
-                1,
-                2,
-            )  # a successor may be there by then
+            # The delay is short, as a successor may be running by then.
+            assert code == 503 and int(header_fields[b"retry-after"]) in (1, 2)
         end_times = sorted(at_s - start_s for at_s, _ in ended_children)
         assert end_times[-1] >= 0.6 and end_times[len(end_times) // 2] >= 0.2
         assert max(sum(at <= m < at + 0.1 for m in end_times) for at in end_times) <= 20
@@ -491,7 +489,7 @@
 
 
 def test_the_watches_of_a_replica_hold_no_bytes_of_their_own_once_they_are_written():
-    """All share those of the history."""
+    """All watches share the bytes of the history."""
 
     async def main():
         async with running_replica() as replica:
--- a/tests/replica/test_tree.py
+++ b/tests/replica/test_tree.py
@@ -1,4 +1,4 @@
-"""Replicas behind replicas in one process, on a clock that jumps: what children are told, and when."""
+"""Tests of replicas behind replicas in one process, on a mock clock: what children receive, and when."""
 
 import math
 import socket
@@ -20,7 +20,7 @@
 
 
 class Layer:
-    """A replica that follows these ports."""
+    """A replica that follows the parents on these ports."""
 
     def __init__(self, name: str, *parents: int, port: int = 0, **limits: Any) -> None:
         self.listener = socket.create_server(("127.0.0.1", port), backlog=512)
@@ -41,7 +41,7 @@
             await self.process.run(self.listener)
 
     async def watch(self, revision: int) -> ChildConnection:
-        """Once it has that revision."""
+        """Opens a watch once the replica has that revision."""
         while True:
             child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", self.port))
             if (await child.ask(f"/v1/servers?watch=1&from={revision}")).status_code == 200:
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("layers", [1, 3])
 def test_a_source_that_is_cut_off_leaves_all_layers_silent_and_serving(layers):
-    """No layer makes a renewal up; who asks is answered with an age that grows."""
+    """No layer invents a renewal, and responses carry an age that grows."""
 
     async def script(nursery: trio.Nursery) -> None:
         source, found, child = await start_layers(nursery, layers)
@@ -154,13 +154,17 @@
         for _ in range(4):
             await source.change(entry(f"s-{source.revision}"))
         await trio.sleep(0.5)
-        for port in (source.port, layer.port):  # a source, and a replica
+        for port in (source.port, layer.port):  # a source and a replica
             parent = Parent(("127.0.0.1", port))
             found = await earlier_changes(parent, 42, Position(0, 45))
             assert [change.position.revision for change in found] == [43, 44, 45]
             assert found[0].entries == (entry("s-42"),) and not found[0].whole
-            assert await earlier_changes(parent, 40, Position(0, 45)) == ()  # it begins with a whole list
-            assert await earlier_changes(parent, 42, Position(0, 46)) == ()  # it is not there yet
+            assert (
+                await earlier_changes(parent, 40, Position(0, 45)) == ()
+            )  # the answer starts with a whole list
+            assert (
+                await earlier_changes(parent, 42, Position(0, 46)) == ()
+            )  # the parent does not have this revision yet
             assert await earlier_changes(parent, 46, Position(0, 47)) == ()
         assert await earlier_changes(Parent(("127.0.0.1", layer.port)), 42, Position(1, 45)) == ()
         await source.kill()
@@ -185,7 +189,7 @@
 
 @pytest.mark.parametrize("failure", ["killed", "ended in order", "both restarted"])
 def test_children_of_children_lose_and_double_no_version_when_replicas_between_go(failure):
-    """Each change is with them within 4 s all the same."""
+    """Each change still reaches the children within 4 s."""
 
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
@@ -203,7 +207,7 @@
         await trio.sleep(3.0)
         for layer in upper:
             if failure != "both restarted" and not layer.process.children:
-                continue  # the other one is followed
+                continue  # the lower replica follows the other one
             if failure == "ended in order":
                 layer.process.stop()
             else:
--- a/tests/replica/test_tree_changes.py
+++ b/tests/replica/test_tree_changes.py
@@ -1,4 +1,7 @@
-"""Children behind two layers of replicas while replicas die: every change once, in order and in time."""
+"""Tests that children behind two layers of replicas receive every change once, in order and in time.
+
+Replicas of either layer are killed meanwhile.
+"""
 
 import random
 from typing import Any
@@ -17,8 +20,10 @@
 
 
 class Tree:
-    """A source, two roots that follow it, three replicas behind them, and children that may follow each of
-    these."""
+    """A source, two root replicas that follow it, three leaf replicas behind them, and their children.
+
+    Each child may follow any of the leaves.
+    """
 
     def __init__(self, seed: int) -> None:
         self.source = StandInParent(revision=100, hosts=("s-0", "s-1"))
@@ -67,7 +72,10 @@
 
 
 def delays(child: Child, source_changes: dict[int, tuple[float, dict[str, dict[str, Any]]]]) -> list[float]:
-    """From each change at the source until the child had it, by itself or with later ones."""
+    """Returns the seconds from each change at the source until the child had it.
+
+    The child may receive a change merged with later ones.
+    """
     delays_s = []
     for revision, (changed_at_s, _) in sorted(source_changes.items())[1:]:
         received_at_s = next(
@@ -80,7 +88,7 @@
 def check_child(
     documents: list[ListDocument], source_changes: dict[int, tuple[float, dict[str, dict[str, Any]]]]
 ) -> None:
-    """Each revision at most once and in order; after each, the child's list is the source's at that one."""
+    """Checks that revisions are unique and in order, and that each gives the source's list of that time."""
     positions = [document.position for document in documents]
     assert all(before < after for before, after in zip(positions, positions[1:], strict=False))
     assert [document.whole for document in documents] == [True] + [False] * (len(documents) - 1)
