--- a/tests/replica/test_follower.py
+++ b/tests/replica/test_follower.py
@@ -18,7 +18,7 @@
         await parent.listen(nursery)
 
 
-def test_the_source_is_followed_and_its_lists_go_out_as_they_came() -> None:
+def test_lists_of_the_source_are_published_unchanged() -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await start_parents(nursery, source)
@@ -48,7 +48,7 @@
     return StandInParent(name, incarnation=0, revision=revision, **more)
 
 
-def test_a_killed_parent_costs_no_whole_list_and_is_replaced_within_the_time() -> None:
+def test_a_killed_parent_is_replaced_within_4_s_without_a_whole_list() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, other = replica("r-1", 41, children=250), replica("r-2", 41, children=250)
         await start_parents(nursery, one, other)
@@ -67,7 +67,7 @@
     run_script(script)
 
 
-def test_a_parent_that_falls_silent_is_left_for_one_that_is_renewed() -> None:
+def test_a_silent_parent_is_left_for_one_that_is_renewed() -> None:
     async def script(nursery: trio.Nursery) -> None:
         near, far = replica("r-1", zone="cardiff"), replica("r-2", zone="wrexham")
         await start_parents(nursery, near, far)
@@ -90,7 +90,7 @@
     await trio.sleep(1)
 
 
-def test_the_children_of_a_dead_replica_spread_over_the_others_and_over_time() -> None:
+def test_children_of_a_killed_replica_spread_over_the_others_and_over_time() -> None:
     """Each child resumes from its revision and receives a change within 4 s of the parent's death."""
 
     async def script(nursery: trio.Nursery) -> None:
@@ -120,7 +120,7 @@
     run_script(script)
 
 
-def test_a_parent_that_follows_this_replica_is_refused_at_once() -> None:
+def test_a_parent_that_follows_this_replica_is_refused() -> None:
     async def script(nursery: trio.Nursery) -> None:
         loop, sound = StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"), replica("r-3")
         await start_parents(nursery, loop, sound)
@@ -132,7 +132,7 @@
     run_script(script)
 
 
-def test_a_loop_is_no_parent_where_there_is_no_other() -> None:
+def test_a_parent_in_a_loop_is_refused_even_as_the_only_one() -> None:
     async def script(nursery: trio.Nursery) -> None:
         loop, sound = StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"), replica("r-3")
         await start_parents(nursery, loop, sound)
@@ -147,7 +147,7 @@
     run_script(script)
 
 
-def test_only_what_the_source_renewed_renews() -> None:
+def test_only_a_renewal_by_the_source_renews_the_lease() -> None:
     """A stale parent answers, sends its list and keeps the watch open; none of this renews the lease."""
 
     async def script(nursery: trio.Nursery) -> None:
@@ -170,7 +170,7 @@
     run_script(script)
 
 
-def test_changes_of_a_parent_that_is_renewed_renew_without_empty_lines() -> None:
+def test_changes_of_a_renewed_parent_renew_the_lease_without_empty_lines() -> None:
     async def script(nursery: trio.Nursery) -> None:
         parent = replica()
         await start_parents(nursery, parent)
@@ -187,7 +187,7 @@
     run_script(script)
 
 
-def test_the_lease_ends_six_seconds_after_the_source_renewed_it_last() -> None:
+def test_the_lease_ends_six_seconds_after_the_last_renewal_by_the_source() -> None:
     async def script(nursery: trio.Nursery) -> None:
         parent = replica()
         await start_parents(nursery, parent)
@@ -202,7 +202,7 @@
     run_script(script)
 
 
-def test_where_all_are_stale_nobody_goes_round() -> None:
+def test_children_stay_with_their_parents_while_all_are_stale() -> None:
     """Without the source each child stays with its parent and polls the others slowly.
 
     It receives a change as soon as any one of the parents is renewed.
@@ -238,7 +238,7 @@
     run_script(script)
 
 
-def test_a_region_cut_off_joins_again_without_bringing_back_who_drained() -> None:
+def test_a_region_that_was_cut_off_does_not_bring_back_drained_servers() -> None:
     async def script(nursery: trio.Nursery) -> None:
         cut = replica("r-1", 41, hosts=("s-1", "s-2"), region="west")
         source_side = replica("r-2", 41, hosts=("s-1", "s-2"), region="east")
@@ -273,7 +273,7 @@
     run_script(script)
 
 
-def test_a_source_whose_revisions_go_back_begins_a_new_incarnation() -> None:
+def test_a_source_whose_revisions_go_back_starts_a_new_incarnation() -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=1000, hosts=("s-1", "s-2"))
         await start_parents(nursery, source)
@@ -301,7 +301,7 @@
 
 
 @pytest.mark.parametrize("incarnation, revision", [(0, 3), (0, 2000), (1, 3)])
-def test_what_the_source_renews_holds_whatever_its_numbers(incarnation: int, revision: int) -> None:
+def test_a_list_renewed_by_the_source_is_accepted_at_any_position(incarnation: int, revision: int) -> None:
     """The source started a new history once, and a restarted replica does not know of it.
 
     The lists of this replica are behind, but no other parent is renewed, so they are accepted. A server that
@@ -334,7 +334,7 @@
     run_script(script)
 
 
-def test_a_source_that_says_nothing_is_not_believed_to_count_anew() -> None:
+def test_a_silent_source_does_not_start_a_new_history() -> None:
     async def script(nursery: trio.Nursery) -> None:
         ahead, agent = replica("r-1", 43, zone="cardiff"), StandInParent(revision=41)
         await start_parents(nursery, ahead, agent)
@@ -351,7 +351,7 @@
     run_script(script)
 
 
-def test_what_was_missed_comes_before_the_renewal_of_a_new_parent() -> None:
+def test_missed_changes_come_before_the_renewal_of_a_new_parent() -> None:
     """Otherwise a child would pass on an old list as one that the source has just renewed."""
 
     async def script(nursery: trio.Nursery) -> None:
@@ -393,7 +393,7 @@
     run_script(script)
 
 
-def test_a_line_that_broke_off_is_not_taken() -> None:
+def test_an_incomplete_line_is_not_accepted() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, other = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
         await start_parents(nursery, one, other)
@@ -423,7 +423,7 @@
         b"[" * 100_000 + b"\n\n",
     ],
 )
-def test_a_faulty_list_keeps_the_last(faulty: bytes) -> None:
+def test_the_last_list_is_kept_after_an_invalid_one(faulty: bytes) -> None:
     async def script(nursery: trio.Nursery) -> None:
         parent = replica("r-1", 41)
         await start_parents(nursery, parent)
@@ -441,7 +441,7 @@
     run_script(script)
 
 
-def test_parents_on_machines_that_vanished_do_not_keep_it_from_the_others_for_long() -> None:
+def test_parents_on_vanished_machines_do_not_delay_the_move_to_another() -> None:
     async def script(nursery: trio.Nursery) -> None:
         near = [replica(f"r-{n}", 41, zone="cardiff") for n in range(5)]
         far = replica("r-9", 41)
@@ -487,7 +487,7 @@
     "field",
     ["Age: -1", "Age: soon", "Glenfold-Children: 1e9", "Via: 1.1", "Via: " + "1.1 a, " * 16 + "1.1 b"],
 )
-def test_a_header_that_cannot_be_read_is_the_parents_fault(field: str) -> None:
+def test_a_parent_with_an_invalid_header_field_is_faulty(field: str) -> None:
     async def script(nursery: trio.Nursery) -> None:
         bad, sound = StandInParent(zone="cardiff"), replica()
         bad.scripted_answers = [f"HTTP/1.1 200 OK\r\n{field}\r\nContent-Length: 0\r\n\r\n".encode()] * 9
@@ -499,7 +499,7 @@
     run_script(script)
 
 
-def test_a_parent_that_is_full_is_asked_again_when_it_said() -> None:
+def test_a_busy_parent_is_called_again_after_its_retry_after() -> None:
     async def script(nursery: trio.Nursery) -> None:
         full = replica()
         busy = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
@@ -514,7 +514,7 @@
     run_script(script)
 
 
-def test_parents_are_moved_while_it_follows() -> None:
+def test_parents_are_replaced_while_one_is_followed() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, two, three = parents = [replica(f"r-{n}", 41) for n in range(3)]
         await start_parents(nursery, *parents)
@@ -538,7 +538,7 @@
     run_script(script)
 
 
-def test_a_moved_source_may_count_anew() -> None:
+def test_a_replaced_source_may_start_a_new_history() -> None:
     async def script(nursery: trio.Nursery) -> None:
         one, two = StandInParent(revision=41), StandInParent(revision=7, hosts=("s-7",))
         await start_parents(nursery, one, two)
@@ -557,7 +557,7 @@
     run_script(script)
 
 
-def test_a_nearer_parent_is_followed_again_once_it_has_been_sound_for_a_while() -> None:
+def test_a_nearer_parent_is_followed_again_once_it_has_worked_for_a_while() -> None:
     async def script(nursery: trio.Nursery) -> None:
         near, far = replica("r-1", zone="cardiff"), replica("r-2", zone="wrexham")
         await start_parents(nursery, near, far)
@@ -577,7 +577,7 @@
     run_script(script)
 
 
-def test_a_source_that_answers_and_says_nothing_is_no_better_parent() -> None:
+def test_a_source_that_answers_but_stays_silent_is_not_followed() -> None:
     """A local agent that is cut off from discovery behaves like this."""
 
     async def script(nursery: trio.Nursery) -> None:
--- a/tests/replica/test_follower_mutants.py
+++ b/tests/replica/test_follower_mutants.py
@@ -10,38 +10,38 @@
 from glenfold.rules.succession import Succession
 
 
-def test_a_stale_lease_passed_on_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_passing_on_a_stale_lease_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Call, "renewed_at_s", property(lambda self: self.started_at_s))
     with pytest.raises(AssertionError):
-        tests.test_only_what_the_source_renewed_renews()
+        tests.test_only_a_renewal_by_the_source_renews_the_lease()
 
 
-def test_a_lease_renewed_by_any_change_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_renewing_the_lease_by_any_change_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follower, "FRESH_AGE_S", 1e9)
     with pytest.raises(AssertionError):
-        tests.test_only_what_the_source_renewed_renews()
+        tests.test_only_a_renewal_by_the_source_renews_the_lease()
 
 
-def test_no_jitter_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_jitter_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ParentChoice, "leave_s", lambda self, children: 0.0)
     with pytest.raises(AssertionError):
-        tests.test_the_children_of_a_dead_replica_spread_over_the_others_and_over_time()
+        tests.test_children_of_a_killed_replica_spread_over_the_others_and_over_time()
 
 
-def test_an_older_list_taken_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_accepting_an_older_list_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Succession, "behind", lambda self, origin, gone: False)
     monkeypatch.setattr(Succession, "_refused", lambda self, received, position: None)
     with pytest.raises(AssertionError):
         tests.test_a_later_incarnation_of_another_parent_wins_and_an_earlier_one_is_behind()
 
 
-def test_going_round_among_stale_parents_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_moving_among_stale_parents_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follower, "MIN_AGE_GAIN_S", -1e9)
     with pytest.raises(AssertionError):
-        tests.test_where_all_are_stale_nobody_goes_round()
+        tests.test_children_stay_with_their_parents_while_all_are_stale()
 
 
-def test_a_loop_that_is_not_looked_for_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_loop_check_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     check = ParentCalls._check
 
     def careless(self: ParentCalls, found: Call) -> None:
@@ -53,16 +53,16 @@
 
     monkeypatch.setattr(ParentCalls, "_check", careless)
     with pytest.raises(AssertionError):
-        tests.test_a_parent_that_follows_this_replica_is_refused_at_once()
+        tests.test_a_parent_that_follows_this_replica_is_refused()
 
 
-def test_parents_asked_strictly_one_after_the_other_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calling_parents_strictly_one_at_a_time_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(parent_calls, "STAGGER_S", 60.0)
     with pytest.raises(AssertionError):
-        tests.test_parents_on_machines_that_vanished_do_not_keep_it_from_the_others_for_long()
+        tests.test_parents_on_vanished_machines_do_not_delay_the_move_to_another()
 
 
-def test_a_renewal_before_what_was_missed_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_renewal_before_missed_changes_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     hold = follower.Follower._hold_watch
 
     async def hasty(self: follower.Follower, watch: follower.Watch) -> follower.Watch | None:
@@ -71,4 +71,4 @@
 
     monkeypatch.setattr(follower.Follower, "_hold_watch", hasty)
     with pytest.raises(AssertionError):
-        tests.test_what_was_missed_comes_before_the_renewal_of_a_new_parent()
+        tests.test_missed_changes_come_before_the_renewal_of_a_new_parent()
--- a/tests/replica/test_process.py
+++ b/tests/replica/test_process.py
@@ -107,7 +107,7 @@
     return line
 
 
-def test_two_layers_pass_on_lists_changes_and_renewals_and_end_in_order(make_replica: MakeReplica) -> None:
+def test_two_layers_pass_on_lists_changes_and_renewals_and_exit_cleanly(make_replica: MakeReplica) -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
@@ -133,7 +133,7 @@
     run_script(script)
 
 
-def test_sighup_moves_it_to_other_parents_and_a_faulty_file_changes_nothing(
+def test_sighup_replaces_the_parents_and_an_invalid_file_changes_nothing(
     make_replica: MakeReplica,
 ) -> None:
     async def script(nursery: trio.Nursery) -> None:
@@ -160,7 +160,7 @@
     run_script(script)
 
 
-def test_a_faulty_file_is_told_by_line_and_key_with_status_2(tmp_path: Path) -> None:
+def test_an_invalid_file_is_reported_by_line_and_key_with_status_2(tmp_path: Path) -> None:
     file = tmp_path / "replica.toml"
     file.write_text(CONFIG_TEMPLATE.format(name="a b", port=7100, parent=7000))
     program = [sys.executable, "-m", "glenfold", "replica", file]
@@ -170,7 +170,7 @@
     )
 
 
-def test_an_address_that_is_taken_is_told_with_status_4(tmp_path: Path) -> None:
+def test_an_address_in_use_is_reported_with_status_4(tmp_path: Path) -> None:
     file = tmp_path / "replica.toml"
     with socket.create_server(("127.0.0.1", 0)) as sock:
         file.write_text(CONFIG_TEMPLATE.format(name="one", port=sock.getsockname()[1], parent=7000))
@@ -179,7 +179,7 @@
     assert completed.returncode == 4 and "not started" in completed.stderr
 
 
-def test_signals_in_its_first_moments_do_not_end_it(make_replica: MakeReplica) -> None:
+def test_signals_during_startup_do_not_end_the_process(make_replica: MakeReplica) -> None:
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
--- a/tests/replica/test_relay_lists.py
+++ b/tests/replica/test_relay_lists.py
@@ -72,7 +72,7 @@
     return StandInParent(name, incarnation=0, revision=revision, zone=zone, **more)
 
 
-def test_a_relay_takes_its_list_from_a_parent_and_changes_of_its_parent_without_a_whole_one(
+def test_a_relay_changes_its_parent_without_a_whole_list(
     tmp_path: Path,
 ) -> None:
     async def main(nursery: trio.Nursery) -> None:
@@ -96,7 +96,7 @@
     run_script(main)
 
 
-def test_what_a_silent_parent_missed_is_told_within_six_seconds(tmp_path: Path) -> None:
+def test_changes_missed_by_a_silent_parent_arrive_within_six_seconds(tmp_path: Path) -> None:
     """The parent is cut off just after a renewal and has 250 children."""
 
     async def main(nursery: trio.Nursery) -> None:
@@ -118,7 +118,7 @@
     run_script(main)
 
 
-def test_a_restarted_relay_goes_on_from_the_list_it_has(tmp_path: Path) -> None:
+def test_a_restarted_relay_resumes_from_its_known_list(tmp_path: Path) -> None:
     async def main(nursery: trio.Nursery) -> None:
         parent = replica("r-1", revision=40)
         parent.incarnation = 7
@@ -137,7 +137,7 @@
     run_script(main)
 
 
-def test_a_relay_whose_list_no_parent_knows_takes_the_whole_one(tmp_path: Path) -> None:
+def test_a_relay_whose_revision_no_parent_has_requests_the_whole_list(tmp_path: Path) -> None:
     async def main(nursery: trio.Nursery) -> None:
         parent = replica("r-1", revision=3)
         await start_parents(nursery, parent)
@@ -151,7 +151,7 @@
     run_script(main)
 
 
-def test_parents_are_moved_by_reload(tmp_path: Path) -> None:
+def test_parents_are_replaced_by_reload(tmp_path: Path) -> None:
     async def main(nursery: trio.Nursery) -> None:
         one, other = replica("r-1"), replica("r-2")
         await start_parents(nursery, one, other)
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("configured", [False, True])
-def test_nothing_of_it_is_loaded_unless_the_file_asks_for_it(tmp_path: Path, configured: bool) -> None:
+def test_replica_modules_are_loaded_only_if_the_file_lists_parents(tmp_path: Path, configured: bool) -> None:
     follows = 'parents = [{address = "127.0.0.1:9"}]' if configured else 'discovery = "127.0.0.1:9"'
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
@@ -201,7 +201,7 @@
     assert status == 0 and bool(loaded) == configured
 
 
-def test_the_platforms_run_loads_nothing_of_it() -> None:
+def test_the_platforms_run_loads_no_replica_modules() -> None:
     code = (
         "import sys; sys.argv = ['glenfold']; from glenfold.__main__ import main; main();"
         "print(sorted(name for name in sys.modules if name.startswith('glenfold.re') "
--- a/tests/replica/test_replica_mutants.py
+++ b/tests/replica/test_replica_mutants.py
@@ -22,26 +22,26 @@
             test()
 
 
-def test_a_lease_that_is_passed_on_though_the_source_did_not_renew(monkeypatch):
+def test_passing_on_a_lease_that_the_source_did_not_renew_is_detected(monkeypatch):
     """The replica sends empty lines on a timer of its own, as an agent does."""
     monkeypatch.setattr(Lease, "due_at_s", lambda self: self._last_line_at_s + 0.5)
     monkeypatch.setattr(Lease, "take_renewal", lambda self, now_s: not self.line_went_out(now_s))
     caught(
         lease_tests.test_who_is_stale_tells_nothing_and_ages,
         lease_tests.test_an_empty_line_goes_out_once_for_each_renewal,
-        test_server.test_an_empty_line_goes_out_only_when_the_source_renewed,
+        test_server.test_an_empty_line_is_sent_only_when_the_source_renewed,
     )
 
 
-def test_a_lease_that_is_passed_on_however_old_it_is(monkeypatch):
+def test_passing_on_a_lease_of_any_age_is_detected(monkeypatch):
     monkeypatch.setattr("glenfold.rules.replication_lease.FRESH_S", float("inf"))
     caught(
         lease_tests.test_one_that_became_old_while_it_waited_is_not_passed_on,
-        test_server.test_an_empty_line_goes_out_only_when_the_source_renewed,
+        test_server.test_an_empty_line_is_sent_only_when_the_source_renewed,
     )
 
 
-def test_a_history_that_is_not_bounded(monkeypatch):
+def test_an_unbounded_history_is_detected(monkeypatch):
     def hold(self, change):
         self._changes.append(change)
         self._bytes += len(change.chunk)
@@ -51,45 +51,45 @@
     caught(
         history_tests.test_the_history_is_bounded_by_count,
         history_tests.test_the_history_is_bounded_by_bytes_also_where_one_change_is_too_large,
-        test_server.test_a_watch_resumes_from_its_revision_and_a_past_one_begins_with_the_whole_list,
+        test_server.test_a_watch_resumes_from_its_revision_or_starts_with_the_whole_list,
     )
 
 
-def test_whole_lists_that_are_all_admitted(monkeypatch):
+def test_admitting_all_whole_lists_is_detected(monkeypatch):
     monkeypatch.setattr(WholeListAdmission, "admit", lambda self, now_s, size: True)
     caught(
         admission_tests.test_no_window_holds_more_bytes_than_the_rate_allows,
         admission_tests.test_answers_under_way_are_bounded_and_one_that_ends_makes_room,
-        test_server.test_in_a_storm_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
-        test_server.test_a_past_revision_is_admitted_as_any_whole_list,
+        test_server.test_in_a_burst_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
+        test_server.test_a_watch_from_a_past_revision_is_admitted_like_a_whole_list,
     )
 
 
-def test_waits_without_jitter(monkeypatch):
+def test_retry_delays_without_jitter_are_detected(monkeypatch):
     monkeypatch.setattr(random.Random, "uniform", lambda self, least, most: most)
     caught(
         admission_tests.test_two_replicas_spread_alike_children_differently,
     )
 
 
-def test_waits_that_are_not_spread(monkeypatch):
+def test_retry_delays_that_are_not_spread_are_detected(monkeypatch):
     monkeypatch.setattr(WholeListAdmission, "retry_after_s", lambda self, now_s, size: 1)
     caught(
         admission_tests.test_those_who_wait_are_spread_over_the_time_that_they_all_need,
-        test_server.test_in_a_storm_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
+        test_server.test_in_a_burst_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
     )
 
 
-def test_watches_that_all_end_at_once(monkeypatch):
+def test_ending_all_watches_at_once_is_detected(monkeypatch):
     async def end_all(self, spread_s):
         for watch in tuple(self._open):
             self._end(watch)
 
     monkeypatch.setattr(Watches, "end_all", end_all)
-    caught(test_server.test_at_its_end_watches_end_in_order_over_the_time_given_and_new_ones_are_refused)
+    caught(test_server.test_at_shutdown_watches_end_evenly_over_the_given_time_and_new_ones_are_refused)
 
 
-def test_a_resumed_watch_that_begins_one_change_late(monkeypatch):
+def test_resuming_a_watch_one_change_late_is_detected(monkeypatch):
     index_after = RevisionHistory.index_after
 
     def late(self, revision, incarnation=None):
@@ -99,7 +99,7 @@
     caught(history_tests.test_a_watch_resumes_after_its_revision_also_where_revisions_skip)
 
 
-def test_a_renewal_in_the_middle_of_a_change(monkeypatch):
+def test_a_renewal_within_a_change_is_detected(monkeypatch):
     """The empty line is sent without regard to unsent bytes before it."""
 
     def renew(self, watch):
@@ -118,4 +118,4 @@
 
     monkeypatch.setattr(Watches, "_renew", renew)
     monkeypatch.setattr(Watches, "_write_each", all_of_them)
-    caught(test_server.test_a_slow_child_is_told_of_renewals_only_behind_what_came_before)
+    caught(test_server.test_a_slow_child_receives_renewals_only_after_earlier_changes)
--- a/tests/replica/test_replica_page.py
+++ b/tests/replica/test_replica_page.py
@@ -30,11 +30,11 @@
     assert rows(PAGE, heading) == {field.name: cells(field) for field in msgspec.structs.fields(kind)}
 
 
-def test_no_section_tells_of_a_table_that_is_not_there() -> None:
+def test_no_section_describes_a_missing_table() -> None:
     assert sorted(re.findall(r"\n(### `\[+.+)", PAGE)) == sorted(heading for heading, _ in tables(Terms))
 
 
-def test_each_counter_is_told() -> None:
+def test_each_counter_is_listed() -> None:
     section = PAGE[PAGE.index("| counter |") : PAGE.index("## What goes wrong")]
     counter_names = re.findall(
         r"`(\w+)`", "".join(line.split("|")[1] for line in section.splitlines() if "|" in line)
@@ -43,7 +43,7 @@
     assert counter_names == [*ReplicaCounters().plain(), *parent_counters]
 
 
-def test_the_example_gives_what_it_shows(tmp_path: Path) -> None:
+def test_the_example_gives_the_response_shown(tmp_path: Path) -> None:
     """The example runs with other ports, as those on the page may be in use."""
 
     async def main() -> None:
--- a/tests/replica/test_server.py
+++ b/tests/replica/test_server.py
@@ -56,7 +56,7 @@
 
 
 @trio_test
-async def test_answers_tell_incarnation_age_way_and_children():
+async def test_responses_carry_incarnation_age_via_and_children():
     async with running_replica() as replica:
         replica.server.via(("top",))
         replica.server.publish(whole(5, 1, incarnation=3))
@@ -85,7 +85,7 @@
 
 
 @trio_test
-async def test_a_watch_resumes_from_its_revision_and_a_past_one_begins_with_the_whole_list():
+async def test_a_watch_resumes_from_its_revision_or_starts_with_the_whole_list():
     async with running_replica(history_revisions=3) as replica:
         replica.server.publish(whole(0))
         for revision in range(1, 9):
@@ -102,7 +102,7 @@
 
 
 @trio_test
-async def test_an_empty_line_goes_out_only_when_the_source_renewed():
+async def test_an_empty_line_is_sent_only_when_the_source_renewed():
     async with running_replica() as replica:
         replica.server.publish(whole(0))
         child = await watching(replica)
@@ -121,7 +121,7 @@
 
 
 @trio_test
-async def test_a_stale_replica_answers_new_children_from_what_is_known_with_its_age():
+async def test_a_stale_replica_answers_new_children_with_the_age_of_its_list():
     async with running_replica() as replica:
         replica.server.publish(whole(7, 1))
         replica.server.renew(trio.current_time() - 600.0)
@@ -133,7 +133,7 @@
 
 
 @trio_test
-async def test_another_incarnation_ends_all_watches_in_order():
+async def test_another_incarnation_ends_all_watches_cleanly():
     async with running_replica() as replica:
         replica.server.publish(whole(50, 1))
         child = await watching(replica, 50)
@@ -157,7 +157,7 @@
         ("/v1/servers", {"method": "DELETE"}, 405, "wrong_method"),
     ],
 )
-def test_bad_requests_have_their_status_are_counted_and_disturb_nobody(
+def test_bad_requests_are_answered_and_counted_and_disturb_no_other_child(
     target, header_fields, expected, counter
 ):
     async def main():
@@ -192,7 +192,7 @@
         b"GET /v1/servers HTTP/1.0\r\nHost: a\r\n\r\n",
     ],
 )
-def test_what_is_no_request_or_too_long_is_answered_400(request_bytes):
+def test_invalid_and_overlong_requests_are_answered_400(request_bytes):
     async def main():
         async with running_replica() as replica:
             replica.server.publish(whole(7, 1))
@@ -211,7 +211,7 @@
 
 
 @trio_test
-async def test_before_the_first_list_children_are_told_to_come_again():
+async def test_before_the_first_list_children_are_told_to_retry():
     async with running_replica() as replica:
         for target in ("/v1/servers", "/v1/servers?watch=1&from=0"):
             code, header_fields = await status(replica, target)
@@ -220,7 +220,7 @@
 
 
 @trio_test
-async def test_children_are_bounded_and_those_beyond_are_told_to_come_again():
+async def test_children_above_the_limit_are_told_to_retry():
     async with running_replica(children=5) as replica:
         replica.server.publish(whole(0))
         children = [await watching(replica) for _ in range(5)]
@@ -235,7 +235,7 @@
 
 
 @trio_test
-async def test_idle_connections_crowd_out_each_other_and_no_child():
+async def test_idle_connections_above_the_limit_close_each_other_and_no_child():
     async with running_replica(idle_connections=20, idle_s=60.0) as replica:
         replica.server.publish(whole(0))
         child = await watching(replica)
@@ -248,7 +248,7 @@
 
 
 @trio_test
-async def test_connections_without_a_whole_request_end_in_time_also_where_they_trickle():
+async def test_connections_without_a_complete_request_are_closed_even_if_bytes_trickle_in():
     async with running_replica(idle_s=0.3) as replica:
         replica.server.publish(whole(0))
         silent, trickling = await replica.connect(), await replica.connect()
@@ -258,7 +258,7 @@
 
 
 @trio_test
-async def test_after_a_restart_children_that_knew_a_little_less_resume_without_a_whole_list():
+async def test_after_a_restart_children_slightly_behind_resume_without_a_whole_list():
     requested, history_ready = [], trio.Event()
 
     async def earlier(since: int, upto: Position) -> list[ListDocument]:
@@ -284,7 +284,7 @@
         assert (await child.next_line())["seq"] == (await resumed.next_line())["seq"] == 501
 
 
-def test_a_parent_that_tells_nothing_of_earlier_changes_holds_children_up_for_a_moment_only(monkeypatch):
+def test_a_parent_that_hangs_on_earlier_changes_delays_children_only_briefly(monkeypatch):
     async def main():
         async with running_replica(lambda since, upto: trio.sleep_forever()) as replica:
             replica.server.publish(whole(500, 1))
@@ -331,7 +331,7 @@
 
 
 @trio_test
-async def test_a_child_that_takes_nothing_is_cut_and_resumes_with_nothing_lost_or_doubled():
+async def test_a_child_that_reads_nothing_is_cut_and_resumes_without_loss_or_repeats():
     async with running_replica(blocked_s=0.3) as replica:
         replica.server.publish(whole(0))
         slow, steady = await slow_child(replica), await watching(replica)
@@ -374,7 +374,7 @@
 
 
 @trio_test
-async def test_a_slow_child_is_told_of_renewals_only_behind_what_came_before():
+async def test_a_slow_child_receives_renewals_only_after_earlier_changes():
     async with running_replica() as replica:
         replica.server.publish(whole(0))
         slow = await slow_child(replica)
@@ -388,7 +388,7 @@
 
 
 @trio_test
-async def test_in_a_storm_whole_lists_are_admitted_at_their_rate_while_watches_go_on():
+async def test_in_a_burst_whole_lists_are_admitted_at_their_rate_while_watches_go_on():
     async with running_replica(whole_lists_mb_per_s=0.5, whole_lists_at_once=4) as replica:
         entries = [{**server(n), "note": "x" * 1000} for n in range(100)]  # 100 KB
         replica.server.publish(whole(0))
@@ -420,7 +420,7 @@
 
 
 @trio_test
-async def test_a_past_revision_is_admitted_as_any_whole_list():
+async def test_a_watch_from_a_past_revision_is_admitted_like_a_whole_list():
     async with running_replica(whole_lists_mb_per_s=0.01) as replica:
         entries = [{**server(n), "note": "x" * 1000} for n in range(100)]
         replica.server.publish(whole(5))
@@ -431,7 +431,7 @@
         assert (await status(replica, "/v1/servers?watch=1&from=6"))[0] == 200
 
 
-def test_a_child_that_does_not_take_its_whole_list_gives_its_place_back(monkeypatch):
+def test_a_child_that_does_not_read_its_whole_list_frees_its_slot(monkeypatch):
     async def main():
         async with running_replica(whole_lists_at_once=1) as replica:
             replica.server.publish(whole(0))
@@ -452,7 +452,7 @@
 
 
 @trio_test
-async def test_at_its_end_watches_end_in_order_over_the_time_given_and_new_ones_are_refused():
+async def test_at_shutdown_watches_end_evenly_over_the_given_time_and_new_ones_are_refused():
     async with running_replica() as replica:
         replica.server.publish(whole(0))
         children, ended_children = [await watching(replica) for _ in range(40)], []
@@ -478,7 +478,7 @@
 
 
 @trio_test
-async def test_a_replica_that_dies_in_mid_line_has_told_no_broken_change():
+async def test_a_replica_killed_within_a_line_delivers_no_incomplete_change():
     async with running_replica() as replica:
         replica.server.publish(whole(0))
         slow = await slow_child(replica)
@@ -488,7 +488,7 @@
         assert await read_until_cut(slow) == []
 
 
-def test_the_watches_of_a_replica_hold_no_bytes_of_their_own_once_they_are_written():
+def test_watches_hold_no_bytes_of_their_own_once_written():
     """All watches share the bytes of the history."""
 
     async def main():
--- a/tests/replica/test_tree.py
+++ b/tests/replica/test_tree.py
@@ -51,7 +51,7 @@
 
 
 async def lines_until(child: ChildConnection, until_s: float) -> list[dict[str, Any] | None]:
-    """The lines that come up to that moment."""
+    """Returns the lines that arrive up to `until_s`."""
     lines = []
     with trio.move_on_at(until_s):
         while True:
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("layers", [1, 3])
-def test_renewals_come_at_the_sources_own_pace_through_all_layers(layers):
+def test_renewals_pass_through_all_layers_at_the_rate_of_the_source(layers):
     async def script(nursery: trio.Nursery) -> None:
         _, _, child = await start_layers(nursery, layers)
         times = [trio.current_time()]
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("layers", [1, 3])
-def test_a_source_that_is_cut_off_leaves_all_layers_silent_and_serving(layers):
+def test_without_the_source_all_layers_keep_serving_and_send_no_renewals(layers):
     """No layer invents a renewal, and responses carry an age that grows."""
 
     async def script(nursery: trio.Nursery) -> None:
@@ -105,7 +105,7 @@
     run_script(script)
 
 
-def test_replicas_that_may_follow_each_other_keep_nobody_fresh_once_the_source_has_gone():
+def test_replicas_that_follow_each_other_do_not_renew_each_other_without_the_source():
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
@@ -130,7 +130,7 @@
     run_script(script)
 
 
-def test_after_a_cut_children_hear_what_they_missed_and_renewals_again():
+def test_after_an_outage_children_receive_missed_changes_and_renewals():
     async def script(nursery: trio.Nursery) -> None:
         source, _, child = await start_layers(nursery, 2)
         await source.kill()
@@ -144,7 +144,7 @@
     run_script(script)
 
 
-def test_earlier_changes_are_those_that_lead_to_a_position_and_none_else():
+def test_earlier_changes_are_exactly_those_that_lead_to_a_position():
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("failure", ["killed", "ended in order", "both restarted"])
-def test_children_of_children_lose_and_double_no_version_when_replicas_between_go(failure):
+def test_no_revision_is_lost_or_repeated_when_replicas_in_between_go_away(failure):
     """Each change still reaches the children within 4 s."""
 
     async def script(nursery: trio.Nursery) -> None:
