--- a/glenfold/replica/accepted_lists.py
+++ b/glenfold/replica/accepted_lists.py
@@ -41,12 +41,12 @@
             events.list_entry_left_out(fault=f"{body.left_out} entries are not JSON objects")
         async with self._accept_lock:
             received = Received(call.origin, body.revision, body.whole, body.entries, after)
-            verdict = self.succession.judge(received)
-            if not isinstance(verdict, ListDocument):
-                return verdict
+            judged = self.succession.judge(received)
+            if not isinstance(judged, ListDocument):
+                return judged
             self.documents += 1
             with trio.CancelScope(shield=True):  # a cancellation must not separate the two steps
-                self._publisher.publish(verdict)
+                self._publisher.publish(judged)
                 await self._after_publish()
         await trio.lowlevel.checkpoint_if_cancelled()
         return None
--- a/glenfold/replica/follower.py
+++ b/glenfold/replica/follower.py
@@ -168,7 +168,7 @@
                     self._renew(watch, trio.current_time())
                     self._choice.sound(watch.parent, trio.current_time())
                 else:
-                    await self._take_change(watch, body)
+                    await self._accept_change(watch, body)
             raise h11.RemoteProtocolError("the watch ended")
         except BadList as error:
             self._lists.succession.distrust(watch.call.origin)
@@ -176,7 +176,7 @@
         except (*CALL_ERRORS, Refused) as error:
             self._calls.refuse(watch.parent, error)
 
-    async def _take_change(self, watch: Watch, body: Body) -> None:
+    async def _accept_change(self, watch: Watch, body: Body) -> None:
         verdict = await self._lists.accept(watch.call, body, watch.after)
         if verdict in (Verdict.BEHIND, Verdict.INCOMPLETE):
             raise Refused(Refusal.BEHIND)
@@ -205,9 +205,8 @@
             else:
                 parents = []
             other = await self._find_watch(parents, watch)
-            if (
-                other is not None and other.parent in self._choice.parents
-            ):  # the list of parents may have changed meanwhile
+            # The list of parents may have changed meanwhile.
+            if other is not None and other.parent in self._choice.parents:
                 self._next_watch = other
                 scope.cancel()
                 return
@@ -243,7 +242,7 @@
         renewed most recently, if that is a gain over the watch held.
         """
         self._calls.behind.clear()
-        watch, least_old = await self._find_fresh(parents, held)
+        watch, freshest_call = await self._find_fresh(parents, held)
         if watch is not None:
             return watch
         if (
@@ -251,18 +250,18 @@
             and (watch := await self._find_restarted_source()) is not None
         ):
             return watch
-        if least_old is None:
+        if freshest_call is None:
             return None
-        if held is not None and least_old.renewed_at_s <= self.renewed_at_s + MIN_AGE_GAIN_S:
-            self._calls.close(least_old)  # no parent is fresher than the known list
+        if held is not None and freshest_call.renewed_at_s <= self.renewed_at_s + MIN_AGE_GAIN_S:
+            self._calls.close(freshest_call)  # no parent is fresher than the known list
             return None
-        return await self._adopt(least_old)
+        return await self._adopt(freshest_call)
 
     async def _find_fresh(
         self, parents: Sequence[Parent], held: Watch | None
     ) -> tuple[Watch | None, Call | None]:
         """Returns a watch of the first fresh parent, or else the call to the one renewed most recently."""
-        watch, least_old = None, None
+        watch, freshest_call = None, None
         send, answers = trio.open_memory_channel[Answer](len(parents))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._calls.ask_all, parents, send)
@@ -272,12 +271,12 @@
                     watch = await self._adopt_fresh(call, held)
                 elif call is not None:
                     self._calls.refuse(call.parent, Refused(Refusal.STALE))
-                    least_old = self._keep_fresher(least_old, call)
+                    freshest_call = self._keep_fresher(freshest_call, call)
                 answer.handled.set()
                 if watch is not None:
                     nursery.cancel_scope.cancel()
                     break
-        return watch, least_old
+        return watch, freshest_call
 
     def _keep_fresher(self, earlier_call: Call | None, call: Call) -> Call:
         """Returns the call whose parent was renewed more recently, and closes the other."""
@@ -306,10 +305,10 @@
 
     async def _adopt_fresh(self, fresh: Call, held: Watch | None) -> Watch | None:
         """Adopts a fresh parent. A working watch is left only for a parent that has worked for a while."""
-        long_sound = self._choice.sound(fresh.parent, trio.current_time())
+        has_worked_long = self._choice.sound(fresh.parent, trio.current_time())
         if held is None or held.is_silent(trio.current_time()):
             return await self._adopt(fresh)
-        if long_sound and await self._calls.is_renewed(fresh):
+        if has_worked_long and await self._calls.is_renewed(fresh):
             return await self._adopt(fresh)
         self._calls.close(fresh)
         return None
--- a/glenfold/replica/parent_calls.py
+++ b/glenfold/replica/parent_calls.py
@@ -85,7 +85,7 @@
     async def ask(self, parent: Parent) -> Call | None:
         """Requests a watch from the known revision. Returns None if the parent was refused."""
         try:
-            call = await self._call(parent)
+            call = await self._open_call(parent)
             self._check(call)
         except (*CALL_ERRORS, Refused) as error:
             self.refuse(parent, error)
@@ -100,8 +100,8 @@
         succession = self._lists.succession
         try:
             if succession.needs_whole(call.origin, call.status == GONE):
-                await self._take_whole(call)
-                call = await self._call(call.parent)
+                await self._accept_whole_list(call)
+                call = await self._open_call(call.parent)
                 self._check(call)
                 if call.status != 200:
                     raise Refused(Refusal.FAULTY)
@@ -122,20 +122,20 @@
             return False
         if not fresh.greeting.source:
             return True
-        trial = None
+        trial_call = None
         try:
-            whole = await self._call(fresh.parent, whole=True)
-            revision = (await whole.whole()).revision
-            self.close(whole)
-            trial = await open_call(fresh.parent, revision, None)
+            list_call = await self._open_call(fresh.parent, whole=True)
+            revision = (await list_call.read_list()).revision
+            self.close(list_call)
+            trial_call = await open_call(fresh.parent, revision, None)
             with trio.move_on_after(SILENCE_S):
-                async for _ in trial.lines():
+                async for _ in trial_call.lines():
                     return True
         except (*CALL_ERRORS, BadList) as error:
             self.refuse(fresh.parent, error)
         finally:
-            if trial is not None:
-                trial.close()
+            if trial_call is not None:
+                trial_call.close()
         return False
 
     def refuse(self, parent: Parent, error: Exception) -> None:
@@ -163,7 +163,7 @@
             if call is not but:
                 self.close(call)
 
-    async def _call(self, parent: Parent, whole: bool = False) -> Call:
+    async def _open_call(self, parent: Parent, whole: bool = False) -> Call:
         succession = self._lists.succession
         position = None if whole else succession.position
         revision = None if position is None else position.revision
@@ -189,7 +189,7 @@
             self.close(call)
             raise
 
-    async def _take_whole(self, call: Call) -> None:
+    async def _accept_whole_list(self, call: Call) -> None:
         """Reads the whole list, over a new call if the given one is a watch. The given call is closed.
 
         Raises CALL_ERRORS, BadList and Refused.
@@ -198,11 +198,11 @@
             if call.revision is not None:
                 self.close(call)
                 gone = call.status == GONE
-                call = await self._call(call.parent, whole=True)
+                call = await self._open_call(call.parent, whole=True)
                 self._check(call, gone)
             if call.status != 200:
                 raise Refused(Refusal.FAULTY)
-            verdict = await self._lists.accept(call, await call.whole(), 0)
+            verdict = await self._lists.accept(call, await call.read_list(), 0)
             if verdict in (Verdict.BEHIND, Verdict.INCOMPLETE):
                 raise Refused(Refusal.BEHIND)
         finally:
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -80,7 +80,7 @@
         """When the source last renewed the list, by the age in the response head: 0 for the source itself."""
         return self.started_at_s - self.greeting.age_s
 
-    async def whole(self) -> Body:
+    async def read_list(self) -> Body:
         """Reads the body of a response that is one list. Raises BadList."""
         body = bytearray()
         with trio.fail_at(self.started_at_s + WHOLE_LIST_TIMEOUT_S):
@@ -97,8 +97,8 @@
         """
         objects, line = Objects(), bytearray()
         while (part := await self._exchange.part(_receive)) is not None:
-            *ended, rest = part.split(b"\n")
-            for end in ended:
+            *complete_lines, rest = part.split(b"\n")
+            for end in complete_lines:
                 text = objects.take(bytes(line) + end)
                 line.clear()
                 if text:
--- a/glenfold/replica/relay_lists.py
+++ b/glenfold/replica/relay_lists.py
@@ -26,14 +26,16 @@
         self, config: Config, decisions: Decisions, destinations: DestinationSet, counters: Counters
     ) -> None:
         assert config.parents is not None
-        listed = config.parents
+        parent_config = config.parents
         self._decisions = decisions
         self._destinations = destinations
         self._counters = counters
         self._last_reported = ""
         self._unsent_list: interface.ServerList | None = None
         self._succession = Succession()
-        choice = ParentChoice(listed.parents, listed.zone, listed.region, random.Random(config.seed))
+        choice = ParentChoice(
+            parent_config.parents, parent_config.zone, parent_config.region, random.Random(config.seed)
+        )
         self._follower = Follower(choice, self._succession, self, after_publish=self._submit)
 
     @property
--- a/glenfold/replica/requests.py
+++ b/glenfold/replica/requests.py
@@ -7,7 +7,7 @@
 from glenfold.net.sockets import SocketType
 from glenfold.rules.replication_http import MOST_REQUEST_BYTES, Refusal
 
-READ_BYTES = 4096
+MAX_READ_BYTES = 4096
 
 
 class RequestReader:
@@ -21,12 +21,12 @@
         self._sock = sock
         self._ahead = b""  # bytes read after the end of the previous request
 
-    async def next(self) -> h11.Request | None:
+    async def next_request(self) -> h11.Request | None:
         """Returns the next request, or None if the child has disconnected.
 
         Raises Refusal if the input is not a valid request or the request has a body.
         """
-        data = self._ahead or await self._sock.recv(READ_BYTES)
+        data = self._ahead or await self._sock.recv(MAX_READ_BYTES)
         if not data:
             return None
         self._ahead = b""
@@ -37,7 +37,7 @@
             while True:
                 event = connection.next_event()
                 if event is h11.NEED_DATA:
-                    if not (data := await self._sock.recv(READ_BYTES)):
+                    if not (data := await self._sock.recv(MAX_READ_BYTES)):
                         return None
                     connection.receive_data(data)
                 elif isinstance(event, h11.Request):
--- a/glenfold/replica/server.py
+++ b/glenfold/replica/server.py
@@ -18,7 +18,7 @@
 from glenfold.net.sockets import SocketType, finish, send, send_pieces, without_delay
 from glenfold.replica import events
 from glenfold.replica.counters import ReplicaCounters
-from glenfold.replica.requests import READ_BYTES, RequestReader
+from glenfold.replica.requests import MAX_READ_BYTES, RequestReader
 from glenfold.replica.watches import Watch, Watches
 from glenfold.rules.replication import ListDocument, Position
 from glenfold.rules.replication_admission import WholeListAdmission
@@ -85,18 +85,19 @@
         self._children = 0  # connections being answered or watching
         self._closing = 0
         self._is_shutting_down = False
-        self._earlier = earlier
+        self._read_earlier = earlier
         self._history_started = trio.Event()
         self._is_reading_history = False  # children that resume wait for it to avoid a whole list
 
     # ---- the Publisher interface, called by the follower ----
 
     def publish(self, document: ListDocument) -> None:
+        """Adds the document to the history and wakes the watches."""
         before = self._history.position
         self._history.add(document)
         self._counters.published += 1
         if document.anew or before is None or before.incarnation != document.position.incarnation:
-            self._is_reading_history = self._earlier is not None
+            self._is_reading_history = self._read_earlier is not None
             self._history_started.set()
             self._counters.incarnations += 1
             events.history_begun(
@@ -105,6 +106,7 @@
         self._watches.wake()
 
     def renew(self, renewed_at_s: float) -> None:
+        """Records that the source renewed the list at `renewed_at_s`, and wakes the watches."""
         was_stale = self._lease.stale
         if not self._lease.renew(renewed_at_s, trio.current_time()):
             return
@@ -114,12 +116,14 @@
         self._watches.wake()
 
     def stale(self) -> None:
+        """Ends the lease: the list is served on, and children receive no renewals."""
         if not self._lease.stale:
             self._lease.expire()
             self._counters.stale += 1
             events.stale(age_s=self._age_s())
 
     def via(self, names: tuple[str, ...]) -> None:
+        """Sets the names of the replicas between the source and this one, for the Via header."""
         self._via_names = names
 
     def _age_s(self) -> float | None:
@@ -151,9 +155,9 @@
             changes = await earlier(since, start)
             if changes:
                 with suppress(ValueError):  # a new history started meanwhile, or changes were dropped
-                    taken = self._history.lead_in(since, changes)
-                    self._counters.history_read += taken
-                    events.history_read(changes=taken, revision=start.revision)
+                    added = self._history.lead_in(since, changes)
+                    self._counters.history_read += added
+                    events.history_read(changes=added, revision=start.revision)
                 return
 
     # ---- connections ----
@@ -163,8 +167,8 @@
         with listener:
             async with trio.open_nursery() as nursery:
                 await nursery.start(self._watches.run)
-                if self._earlier is not None:
-                    nursery.start_soon(self._read_histories, self._earlier)
+                if self._read_earlier is not None:
+                    nursery.start_soon(self._read_histories, self._read_earlier)
                 await self._accept(listener, nursery)
 
     async def _accept(self, listener: SocketType, nursery: trio.Nursery) -> None:
@@ -209,7 +213,7 @@
         is_open = True
         while is_open:
             with self._idle_slot(sock) as scope:
-                request = await reader.next()
+                request = await reader.next_request()
             if scope.cancelled_caught or request is None:
                 return
             parsed = read_request(request)
@@ -240,6 +244,7 @@
 
     @contextmanager
     def _child_slot(self) -> Iterator[None]:
+        """Counts a child while it is served. Raises Refusal at the limit and during shutdown."""
         if self._is_shutting_down:
             raise self._unavailable("the replica is shutting down", SHUTDOWN_RETRY_SPREAD_S)
         if self._children >= self._limits.children:
@@ -300,6 +305,7 @@
 
     @contextmanager
     def _list_slot(self, size: int) -> Iterator[None]:
+        """Admits a whole list of `size` bytes while it is sent. Raises Refusal if it has to wait."""
         now_s = trio.current_time()
         if not self._admission.admit(now_s, size):
             self._counters.whole_lists_deferred += 1
@@ -371,5 +377,5 @@
 
 async def _discard_input(sock: SocketType, max_bytes: int) -> None:
     """Reads and drops input until the child closes or has sent `max_bytes`."""
-    while max_bytes > 0 and (data := await sock.recv(READ_BYTES)):
+    while max_bytes > 0 and (data := await sock.recv(MAX_READ_BYTES)):
         max_bytes -= len(data)
