--- a/tests/replica/stand_in_parent.py
+++ b/tests/replica/stand_in_parent.py
@@ -87,10 +87,10 @@
 
     async def change(self, *entries: dict[str, Any], revision: int | None = None) -> None:
         self.revision = self.revision + 1 if revision is None else revision
-        for one in entries:
-            self.hosts[one["host"]] = one
-            if one["health"] == "terminated":
-                del self.hosts[one["host"]]
+        for fields in entries:
+            self.hosts[fields["host"]] = fields
+            if fields["health"] == "terminated":
+                del self.hosts[fields["host"]]
         self.history.append((self.revision, list(entries)))
         await self.send(self._object(self.revision, False, list(entries)))
 
--- a/tests/replica/test_follower.py
+++ b/tests/replica/test_follower.py
@@ -50,12 +50,14 @@
 
 def test_a_killed_parent_is_replaced_within_4_s_without_a_whole_list() -> None:
     async def script(nursery: trio.Nursery) -> None:
-        one, other = replica("r-1", 41, children=250), replica("r-2", 41, children=250)
-        await start_parents(nursery, one, other)
-        child = Child(one, other)
+        replica_1, replica_2 = replica("r-1", 41, children=250), replica("r-2", 41, children=250)
+        await start_parents(nursery, replica_1, replica_2)
+        child = Child(replica_1, replica_2)
         nursery.start_soon(child.follower.follow)
         await child.wait_for_parent()
-        first, second = (one, other) if child.parent() == one.as_parent else (other, one)
+        first, second = (
+            (replica_1, replica_2) if child.parent() == replica_1.as_parent else (replica_2, replica_1)
+        )
         await trio.sleep(1)
         await first.kill()
         killed_at_s = trio.current_time()
@@ -94,7 +96,7 @@
     """Each child resumes from its revision and receives a change within 4 s of the parent's death."""
 
     async def script(nursery: trio.Nursery) -> None:
-        dead, *others = parents = [
+        killed, *others = parents = [
             replica("r-1", zone="cardiff", children=250),
             *(replica(f"r-{n}", zone="wrexham") for n in (2, 3)),
         ]
@@ -103,18 +105,21 @@
         for child in children:
             nursery.start_soon(child.follower.follow)
         for child in children:
-            await child.wait_for(dead)
+            await child.wait_for(killed)
         await trio.sleep(1)
-        dead_at_s = trio.current_time()
-        await dead.kill()
+        killed_at_s = trio.current_time()
+        await killed.kill()
         for other in others:
             await other.change(entry("s-2"))
-        told = [await child.published.wait_for_revision(2) for child in children]
-        assert max(told) < dead_at_s + 4
-        asked = sorted(at_s - dead_at_s for other in others for at_s, _ in other.requests)
-        assert asked[-1] - asked[0] > 1.0
-        assert max(sum(at_s <= one < at_s + 0.2 for one in asked) for at_s in asked) <= 12
-        assert len(asked) == 40 and all(len(other.requests) >= 10 for other in others)
+        received_at_s = [await child.published.wait_for_revision(2) for child in children]
+        assert max(received_at_s) < killed_at_s + 4
+        request_times_s = sorted(at_s - killed_at_s for other in others for at_s, _ in other.requests)
+        assert request_times_s[-1] - request_times_s[0] > 1.0
+        assert (
+            max(sum(at_s <= time_s < at_s + 0.2 for time_s in request_times_s) for at_s in request_times_s)
+            <= 12
+        )
+        assert len(request_times_s) == 40 and all(len(other.requests) >= 10 for other in others)
         assert set(requested_revisions(others[0]) + requested_revisions(others[1])) == {1}
 
     run_script(script)
@@ -122,25 +127,31 @@
 
 def test_a_parent_that_follows_this_replica_is_refused() -> None:
     async def script(nursery: trio.Nursery) -> None:
-        loop, sound = StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"), replica("r-3")
-        await start_parents(nursery, loop, sound)
-        child = Child(loop, sound, zone="cardiff", name="me")
+        looping_parent, good_parent = (
+            StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"),
+            replica("r-3"),
+        )
+        await start_parents(nursery, looping_parent, good_parent)
+        child = Child(looping_parent, good_parent, zone="cardiff", name="me")
         nursery.start_soon(child.follower.follow)
         await child.wait_for_parent()
-        assert child.parent() == sound.as_parent and child.follower.counters()["parents_loop"] == 1
+        assert child.parent() == good_parent.as_parent and child.follower.counters()["parents_loop"] == 1
 
     run_script(script)
 
 
 def test_a_parent_in_a_loop_is_refused_even_as_the_only_one() -> None:
     async def script(nursery: trio.Nursery) -> None:
-        loop, sound = StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"), replica("r-3")
-        await start_parents(nursery, loop, sound)
-        child = Child(loop, sound, zone="cardiff", name="me")
-        await follow_parent(nursery, child, sound)
-        await sound.kill()
+        looping_parent, good_parent = (
+            StandInParent("r-1", "me", "r-2", incarnation=0, zone="cardiff"),
+            replica("r-3"),
+        )
+        await start_parents(nursery, looping_parent, good_parent)
+        child = Child(looping_parent, good_parent, zone="cardiff", name="me")
+        await follow_parent(nursery, child, good_parent)
+        await good_parent.kill()
         await trio.sleep(20)
-        assert child.parent() is None or child.parent() == sound.as_parent
+        assert child.parent() is None or child.parent() == good_parent.as_parent
         assert child.follower.counters()["parents_loop"] > 1
         assert child.published.chains == [("r-3",)]
 
@@ -240,12 +251,12 @@
 
 def test_a_region_that_was_cut_off_does_not_bring_back_drained_servers() -> None:
     async def script(nursery: trio.Nursery) -> None:
-        cut = replica("r-1", 41, hosts=("s-1", "s-2"), region="west")
+        cut_off = replica("r-1", 41, hosts=("s-1", "s-2"), region="west")
         source_side = replica("r-2", 41, hosts=("s-1", "s-2"), region="east")
-        await start_parents(nursery, cut, source_side)
-        child = Child(cut, source_side, region="east")
+        await start_parents(nursery, cut_off, source_side)
+        child = Child(cut_off, source_side, region="east")
         await follow_parent(nursery, child, source_side)
-        cut.renewing = False  # cut off for an hour, in which a server drains and leaves
+        cut_off.renewing = False  # cut off for an hour, in which a server drains and leaves
         await source_side.change(entry("s-2", health="terminating"))
         await source_side.change(entry("s-2", health="terminated"))
         await child.published.wait_for_revision(43)
@@ -255,15 +266,15 @@
         await trio.sleep(10)
         assert child.parent() is None  # the other parent is behind the known list
         assert child.published.positions[-1] == Position(0, 43)
-        assert requested_revisions(cut).count(-1) == 0
-        await cut.change(entry("s-2", health="terminating"))
-        await cut.change(entry("s-2", health="terminated"))
-        cut.renewing = True  # the region has caught up
-        await child.wait_for(cut)
-        await cut.change(entry("s-3"))
+        assert requested_revisions(cut_off).count(-1) == 0
+        await cut_off.change(entry("s-2", health="terminating"))
+        await cut_off.change(entry("s-2", health="terminated"))
+        cut_off.renewing = True  # the region has caught up
+        await child.wait_for(cut_off)
+        await cut_off.change(entry("s-3"))
         await child.published.wait_for_revision(44)
-        told = [one for _, document in child.published.documents for one in document.entries]
-        assert [one["health"] for one in told if one["host"] == "s-2"] == [
+        entries = [fields for _, document in child.published.documents for fields in document.entries]
+        assert [fields["health"] for fields in entries if fields["host"] == "s-2"] == [
             "in_service",
             "terminating",
             "terminated",
@@ -294,7 +305,10 @@
             *(Position(1, n) for n in (3, 4)),
         ]
         lists = [document for _, document in child.published.documents]
-        assert lists[2].whole and [one["health"] for one in lists[2].entries] == ["in_service", "terminating"]
+        assert lists[2].whole and [fields["health"] for fields in lists[2].entries] == [
+            "in_service",
+            "terminating",
+        ]
         assert lists[3].entries[0]["health"] == "in_service"  # the server has restarted
 
     run_script(script)
@@ -323,10 +337,10 @@
         await trio.sleep(1)
         await parent.listen(nursery)
         assert await child.published.wait_for_revision(revision) < last_s + LEASE_S + 1.0
-        taken = child.published.documents[-1][1]
-        assert taken.position == Position(incarnation, revision) and taken.whole and taken.anew
-        told = {one["host"]: one["health"] for one in taken.entries}
-        assert told["s-2"] == ("terminating" if revision == 3 else "in_service")
+        accepted = child.published.documents[-1][1]
+        assert accepted.position == Position(incarnation, revision) and accepted.whole and accepted.anew
+        health_by_host = {fields["host"]: fields["health"] for fields in accepted.entries}
+        assert health_by_host["s-2"] == ("terminating" if revision == 3 else "in_service")
         await parent.change(entry("s-3"))
         await child.published.wait_for_revision(revision + 1)
         assert requested_revisions(parent).count(-1) == 2
@@ -355,16 +369,16 @@
     """Otherwise a child would pass on an old list as one that the source has just renewed."""
 
     async def script(nursery: trio.Nursery) -> None:
-        one, other = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
-        await start_parents(nursery, one, other)
-        child = Child(one, other, zone="cardiff")
-        await follow_parent(nursery, child, one)
-        await other.change(entry("s-2"))
-        await other.change(entry("s-3"))
-        await other.renew()
-        await one.kill()
+        first, second = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
+        await start_parents(nursery, first, second)
+        child = Child(first, second, zone="cardiff")
+        await follow_parent(nursery, child, first)
+        await second.change(entry("s-2"))
+        await second.change(entry("s-3"))
+        await second.renew()
+        await first.kill()
         known_renewal_s = child.follower.renewed_at_s
-        await child.wait_for(other)
+        await child.wait_for(second)
         assert child.follower.renewed_at_s == known_renewal_s
         caught_up_s = await child.published.wait_for_revision(43)
         await trio.sleep(3)
@@ -395,16 +409,16 @@
 
 def test_an_incomplete_line_is_not_accepted() -> None:
     async def script(nursery: trio.Nursery) -> None:
-        one, other = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
-        await start_parents(nursery, one, other)
-        child = Child(one, other, zone="cardiff")
-        await follow_parent(nursery, child, one)
+        first, second = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
+        await start_parents(nursery, first, second)
+        child = Child(first, second, zone="cardiff")
+        await follow_parent(nursery, child, first)
         text = StandInParent._object(42, False, [entry("s-2", share=1.0)])
-        await one.send(text[: len(text) // 2], complete_chunk=False)
+        await first.send(text[: len(text) // 2], complete_chunk=False)
         await trio.sleep(0.1)
-        await one.kill()
-        await child.wait_for(other)
-        await other.change(entry("s-2", share=7.0))
+        await first.kill()
+        await child.wait_for(second)
+        await second.change(entry("s-2", share=7.0))
         await child.published.wait_for_revision(42)
         assert child.published.documents[-1][1].entries == (entry("s-2", share=7.0),)
         assert child.published.positions == [Position(0, 41), Position(0, 42)]
@@ -452,9 +466,9 @@
         await trio.sleep(3)
         for parent in near:
             parent.hangs, parent.renewing = True, False
-        gone_at_s = max(parent.renewed_at_s for parent in near)
+        vanished_at_s = max(parent.renewed_at_s for parent in near)
         await far.change(entry("s-2"))
-        assert await child.published.wait_for_revision(42) < gone_at_s + LEASE_S
+        assert await child.published.wait_for_revision(42) < vanished_at_s + LEASE_S
         await trio.sleep(2)
         assert len(far.watches) == 1 and child.parent() == far.as_parent
 
@@ -489,11 +503,13 @@
 )
 def test_a_parent_with_an_invalid_header_field_is_faulty(field: str) -> None:
     async def script(nursery: trio.Nursery) -> None:
-        bad, sound = StandInParent(zone="cardiff"), replica()
-        bad.scripted_answers = [f"HTTP/1.1 200 OK\r\n{field}\r\nContent-Length: 0\r\n\r\n".encode()] * 9
-        await start_parents(nursery, bad, sound)
-        child = Child(bad, sound, zone="cardiff")
-        await follow_parent(nursery, child, sound)
+        bad_parent, good_parent = StandInParent(zone="cardiff"), replica()
+        bad_parent.scripted_answers = [
+            f"HTTP/1.1 200 OK\r\n{field}\r\nContent-Length: 0\r\n\r\n".encode()
+        ] * 9
+        await start_parents(nursery, bad_parent, good_parent)
+        child = Child(bad_parent, good_parent, zone="cardiff")
+        await follow_parent(nursery, child, good_parent)
         assert child.follower.counters()["parents_faulty"] == 1
 
     run_script(script)
@@ -569,8 +585,8 @@
         back_at_s = trio.current_time()
         near.renewed_at_s = back_at_s
         near.requests.clear()
-        home_at_s = await child.wait_for(near)
-        assert back_at_s + SOONEST_HOME_S <= home_at_s <= back_at_s + 40
+        followed_again_at_s = await child.wait_for(near)
+        assert back_at_s + SOONEST_HOME_S <= followed_again_at_s <= back_at_s + 40
         assert -1 not in requested_revisions(near)
         assert child.published.positions == [Position(0, 1)] and child.published.stale_at_s == []
 
--- a/tests/replica/test_follower_mutants.py
+++ b/tests/replica/test_follower_mutants.py
@@ -44,14 +44,14 @@
 def test_a_missing_loop_check_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     check = ParentCalls._check
 
-    def careless(self: ParentCalls, found: Call) -> None:
+    def check_without_name(self: ParentCalls, call: Call) -> None:
         name, self._name = self._name, None
         try:
-            check(self, found)
+            check(self, call)
         finally:
             self._name = name
 
-    monkeypatch.setattr(ParentCalls, "_check", careless)
+    monkeypatch.setattr(ParentCalls, "_check", check_without_name)
     with pytest.raises(AssertionError):
         tests.test_a_parent_that_follows_this_replica_is_refused()
 
--- a/tests/replica/test_process.py
+++ b/tests/replica/test_process.py
@@ -151,8 +151,8 @@
         replica.signal(signal.SIGHUP)
         await replica.wait_for_log("file read again")
         await replica.wait_for_log("needs a restart to change: limits")
-        left = entry("s-2", health="terminated")
-        assert await next_change(child) == {"seq": 50, "whole": False, "hosts": [left]}
+        departed = entry("s-2", health="terminated")
+        assert await next_change(child) == {"seq": 50, "whole": False, "hosts": [departed]}
         await new.change(entry("s-3"))
         assert (await next_change(child))["seq"] == 51
         assert replica.process.poll() is None
--- a/tests/replica/test_relay_lists.py
+++ b/tests/replica/test_relay_lists.py
@@ -86,8 +86,8 @@
             await relay.until(42)
             await near.kill()
             await far.change(entry("s-1", health="terminating"))
-            dead_at_s = trio.current_time()
-            assert await relay.until(43) < dead_at_s + 4
+            killed_at_s = trio.current_time()
+            assert await relay.until(43) < killed_at_s + 4
             assert (relay.state("s-1"), relay.state("s-2")) == (ServerState.DRAINING, ServerState.READY)
             assert requested_revisions(far) == [42] and relay.process.relay.counters.lists == 3
 
--- a/tests/replica/test_server.py
+++ b/tests/replica/test_server.py
@@ -296,7 +296,7 @@
     trio.run(main)
 
 
-# ---- children that read slowly, and storms ----
+# ---- children that read slowly, and bursts of requests ----
 
 LARGE = [{**server(n), "note": "x" * 20_000} for n in range(10)]  # changes of 200 KB
 
@@ -322,12 +322,12 @@
 
 async def read_until_cut(child: ChildConnection) -> list[int]:
     """Returns the revisions of the complete lines up to the reset. An incomplete line does not count."""
-    found = []
+    received = []
     try:
         while True:
-            found.append((await child.next_line())["seq"])
+            received.append((await child.next_line())["seq"])
     except (h11.RemoteProtocolError, trio.BrokenResourceError):
-        return found
+        return received
 
 
 @trio_test
--- a/tests/replica/test_tree.py
+++ b/tests/replica/test_tree.py
@@ -64,13 +64,15 @@
 ) -> tuple[StandInParent, list[Layer], ChildConnection]:
     source = StandInParent(revision=41)
     await source.listen(nursery)
-    found: list[Layer] = []
+    started_layers: list[Layer] = []
     for number in range(layers):
-        found.append(Layer(f"r-{number}", found[-1].port if found else source.port))
-        nursery.start_soon(found[-1].run)
-    child = await found[-1].watch(41)
+        started_layers.append(
+            Layer(f"r-{number}", started_layers[-1].port if started_layers else source.port)
+        )
+        nursery.start_soon(started_layers[-1].run)
+    child = await started_layers[-1].watch(41)
     assert await child.next_line() is None
-    return source, found, child
+    return source, started_layers, child
 
 
 @pytest.mark.parametrize("layers", [1, 3])
@@ -92,15 +94,15 @@
     """No layer invents a renewal, and responses carry an age that grows."""
 
     async def script(nursery: trio.Nursery) -> None:
-        source, found, child = await start_layers(nursery, layers)
+        source, started_layers, child = await start_layers(nursery, layers)
         await source.kill()
         killed_at_s = trio.current_time()
         assert await lines_until(child, killed_at_s + 60.0) in ([], [None])
-        second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", found[-1].port))
+        second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", started_layers[-1].port))
         fields = dict((await second_child.ask("/v1/servers")).headers)
         assert 58 <= int(fields[b"age"]) <= 64
         assert (await second_child.read_list())["hosts"] == [entry("s-1")]
-        assert all(layer.process.counters["stale"] == 1 for layer in found)
+        assert all(layer.process.counters["stale"] == 1 for layer in started_layers)
 
     run_script(script)
 
@@ -117,10 +119,10 @@
         nursery.start_soon(second.run)
         child = await second.watch(41)
         await source.kill()
-        gone_at_s = trio.current_time()
-        lines = await lines_until(child, gone_at_s + 30.0)
+        killed_at_s = trio.current_time()
+        lines = await lines_until(child, killed_at_s + 30.0)
         assert lines.count(None) <= 2
-        assert await lines_until(child, gone_at_s + 60.0) == []
+        assert await lines_until(child, killed_at_s + 60.0) == []
         assert first.process.counters["stale"] == second.process.counters["stale"] == 1
         second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", second.port))
         fields = dict((await second_child.ask("/v1/servers")).headers)
@@ -159,12 +161,10 @@
             found = await earlier_changes(parent, 42, Position(0, 45))
             assert [change.position.revision for change in found] == [43, 44, 45]
             assert found[0].entries == (entry("s-42"),) and not found[0].whole
-            assert (
-                await earlier_changes(parent, 40, Position(0, 45)) == ()
-            )  # the answer starts with a whole list
-            assert (
-                await earlier_changes(parent, 42, Position(0, 46)) == ()
-            )  # the parent does not have this revision yet
+            # The answer starts with a whole list.
+            assert await earlier_changes(parent, 40, Position(0, 45)) == ()
+            # The parent does not have this revision yet.
+            assert await earlier_changes(parent, 42, Position(0, 46)) == ()
             assert await earlier_changes(parent, 46, Position(0, 47)) == ()
         assert await earlier_changes(Parent(("127.0.0.1", layer.port)), 42, Position(1, 45)) == ()
         await source.kill()
@@ -173,11 +173,11 @@
     run_script(script)
 
 
-async def revisions(child: ChildConnection, found: list[tuple[float, int]]) -> None:
+async def revisions(child: ChildConnection, received: list[tuple[float, int]]) -> None:
     while True:
         if (line := await child.next_line(math.inf)) is not None:
             assert not line["whole"]
-            found.append((trio.current_time(), line["seq"]))
+            received.append((trio.current_time(), line["seq"]))
 
 
 async def changes(source: StandInParent, count: int, changed_at_s: dict[int, float]) -> None:
@@ -199,9 +199,9 @@
         for layer in (*upper, lower):
             nursery.start_soon(layer.run)
         child = await lower.watch(41)
-        found: list[tuple[float, int]] = []
+        received: list[tuple[float, int]] = []
         changed_at_s: dict[int, float] = {}
-        nursery.start_soon(revisions, child, found)
+        nursery.start_soon(revisions, child, received)
         await trio.sleep(3.0)
         nursery.start_soon(changes, source, 40, changed_at_s)
         await trio.sleep(3.0)
@@ -217,7 +217,7 @@
             for layer in upper:
                 nursery.start_soon(Layer(f"again-{layer.port}", source.port, port=layer.port).run)
         await trio.sleep(16.0)
-        assert [revision for _, revision in found] == list(range(42, 82))
-        assert max(at_s - changed_at_s[revision] for at_s, revision in found) <= 4.0
+        assert [revision for _, revision in received] == list(range(42, 82))
+        assert max(at_s - changed_at_s[revision] for at_s, revision in received) <= 4.0
 
     run_script(script)
