--- a/glenfold/replica/server.py
+++ b/glenfold/replica/server.py
@@ -43,7 +43,8 @@
 # have the one before.
 HISTORY_REVISIONS = (256, 16, 4)
 HISTORY_TIMEOUT_S = 2.0  # limit for reading these revisions
-SHUTDOWN_RETRY_SPREAD_S = 1.0  # short, as a successor may already be running
+# Spreads the retries of children that ask during shutdown. Short, as a successor may already be running.
+SHUTDOWN_RETRY_SPREAD_S = 1.0
 FULL_RETRY_SPREAD_S = 10.0  # spreads the retries of children refused at the limit
 CLOSING_TIMEOUT_S = 0.3  # limit for a child to read a refusal before the connection is closed
 MAX_CLOSING_BYTES = 64 * 1024  # limit on the input discarded during that time
--- a/tests/replica/test_follower_mutants.py
+++ b/tests/replica/test_follower_mutants.py
@@ -65,10 +65,10 @@
 def test_a_renewal_before_missed_changes_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     hold = follower.Follower._hold_watch
 
-    async def hasty(self: follower.Follower, watch: follower.Watch) -> follower.Watch | None:
+    async def renew_before_holding(self: follower.Follower, watch: follower.Watch) -> follower.Watch | None:
         self._renew(watch, watch.renewed_at_s)
         return await hold(self, watch)
 
-    monkeypatch.setattr(follower.Follower, "_hold_watch", hasty)
+    monkeypatch.setattr(follower.Follower, "_hold_watch", renew_before_holding)
     with pytest.raises(AssertionError):
         tests.test_missed_changes_come_before_the_renewal_of_a_new_parent()
--- a/tests/replica/test_replica_mutants.py
+++ b/tests/replica/test_replica_mutants.py
@@ -13,12 +13,13 @@
 from glenfold.rules.replication_history import RevisionHistory
 from glenfold.rules.replication_lease import Lease
 
-CAUGHT = (AssertionError, BaseExceptionGroup, pytest.fail.Exception)
+DETECTION_ERRORS = (AssertionError, BaseExceptionGroup, pytest.fail.Exception)
 
 
-def caught(*tests):
+def assert_detected(*tests):
+    """Checks that each of the tests fails."""
     for test in tests:
-        with pytest.raises(CAUGHT):
+        with pytest.raises(DETECTION_ERRORS):
             test()
 
 
@@ -26,7 +27,7 @@
     """The replica sends empty lines on a timer of its own, as an agent does."""
     monkeypatch.setattr(Lease, "due_at_s", lambda self: self._last_line_at_s + 0.5)
     monkeypatch.setattr(Lease, "take_renewal", lambda self, now_s: not self.line_went_out(now_s))
-    caught(
+    assert_detected(
         lease_tests.test_who_is_stale_tells_nothing_and_ages,
         lease_tests.test_an_empty_line_goes_out_once_for_each_renewal,
         test_server.test_an_empty_line_is_sent_only_when_the_source_renewed,
@@ -35,7 +36,7 @@
 
 def test_passing_on_a_lease_of_any_age_is_detected(monkeypatch):
     monkeypatch.setattr("glenfold.rules.replication_lease.FRESH_S", float("inf"))
-    caught(
+    assert_detected(
         lease_tests.test_one_that_became_old_while_it_waited_is_not_passed_on,
         test_server.test_an_empty_line_is_sent_only_when_the_source_renewed,
     )
@@ -48,7 +49,7 @@
         self.end_index += 1
 
     monkeypatch.setattr(RevisionHistory, "_hold", hold)
-    caught(
+    assert_detected(
         history_tests.test_the_history_is_bounded_by_count,
         history_tests.test_the_history_is_bounded_by_bytes_also_where_one_change_is_too_large,
         test_server.test_a_watch_resumes_from_its_revision_or_starts_with_the_whole_list,
@@ -57,7 +58,7 @@
 
 def test_admitting_all_whole_lists_is_detected(monkeypatch):
     monkeypatch.setattr(WholeListAdmission, "admit", lambda self, now_s, size: True)
-    caught(
+    assert_detected(
         admission_tests.test_no_window_holds_more_bytes_than_the_rate_allows,
         admission_tests.test_answers_under_way_are_bounded_and_one_that_ends_makes_room,
         test_server.test_in_a_burst_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
@@ -66,15 +67,15 @@
 
 
 def test_retry_delays_without_jitter_are_detected(monkeypatch):
-    monkeypatch.setattr(random.Random, "uniform", lambda self, least, most: most)
-    caught(
+    monkeypatch.setattr(random.Random, "uniform", lambda self, min_s, max_s: max_s)
+    assert_detected(
         admission_tests.test_two_replicas_spread_alike_children_differently,
     )
 
 
 def test_retry_delays_that_are_not_spread_are_detected(monkeypatch):
     monkeypatch.setattr(WholeListAdmission, "retry_after_s", lambda self, now_s, size: 1)
-    caught(
+    assert_detected(
         admission_tests.test_those_who_wait_are_spread_over_the_time_that_they_all_need,
         test_server.test_in_a_burst_whole_lists_are_admitted_at_their_rate_while_watches_go_on,
     )
@@ -86,7 +87,9 @@
             self._end(watch)
 
     monkeypatch.setattr(Watches, "end_all", end_all)
-    caught(test_server.test_at_shutdown_watches_end_evenly_over_the_given_time_and_new_ones_are_refused)
+    assert_detected(
+        test_server.test_at_shutdown_watches_end_evenly_over_the_given_time_and_new_ones_are_refused
+    )
 
 
 def test_resuming_a_watch_one_change_late_is_detected(monkeypatch):
@@ -96,7 +99,7 @@
         return min(self.end_index, 1 + index_after(self, revision, incarnation))
 
     monkeypatch.setattr(RevisionHistory, "index_after", late)
-    caught(history_tests.test_a_watch_resumes_after_its_revision_also_where_revisions_skip)
+    assert_detected(history_tests.test_a_watch_resumes_after_its_revision_also_where_revisions_skip)
 
 
 def test_a_renewal_within_a_change_is_detected(monkeypatch):
@@ -111,11 +114,11 @@
 
     each = Watches._write_each
 
-    async def all_of_them(self, step):
+    async def write_all(self, step):
         for watch in self._open:
             watch.is_catching_up = False
         await each(self, step)
 
     monkeypatch.setattr(Watches, "_renew", renew)
-    monkeypatch.setattr(Watches, "_write_each", all_of_them)
-    caught(test_server.test_a_slow_child_receives_renewals_only_after_earlier_changes)
+    monkeypatch.setattr(Watches, "_write_each", write_all)
+    assert_detected(test_server.test_a_slow_child_receives_renewals_only_after_earlier_changes)
--- a/tests/replica/test_server.py
+++ b/tests/replica/test_server.py
@@ -23,7 +23,7 @@
     return run_test
 
 
-async def watching(replica: RunningReplica, revision: int = 0, **header_fields: str) -> ChildConnection:
+async def start_watch(replica: RunningReplica, revision: int = 0, **header_fields: str) -> ChildConnection:
     child = await replica.connect()
     response = await child.ask(f"/v1/servers?watch=1&from={revision}", **header_fields)
     assert response.status_code == 200
@@ -61,7 +61,7 @@
         replica.server.via(("top",))
         replica.server.publish(whole(5, 1, incarnation=3))
         replica.server.renew(trio.current_time() - 40.5)
-        watch = await watching(replica, 5)
+        watch = await start_watch(replica, 5)
         for target in ("/v1/servers", "/v1/servers?watch=1&from=5"):
             _, header_fields = await status(replica, target)
             assert header_fields[b"glenfold-incarnation"] == b"3"
@@ -75,7 +75,7 @@
 async def test_every_watcher_gets_every_change_once_and_in_order():
     async with running_replica() as replica:
         replica.server.publish(whole(0))
-        children = [await watching(replica) for _ in range(40)]
+        children = [await start_watch(replica) for _ in range(40)]
         for revision in range(1, 30):
             replica.server.publish(change(revision))
             if revision % 7 == 0:
@@ -90,7 +90,7 @@
         replica.server.publish(whole(0))
         for revision in range(1, 9):
             replica.server.publish(change(revision))
-        resumed, past = await watching(replica, 6), await watching(replica, 4)
+        resumed, past = await start_watch(replica, 6), await start_watch(replica, 4)
         assert [(await resumed.next_line())["seq"] for _ in range(2)] == [7, 8]
         assert (await past.next_line()) == {
             "seq": 8,
@@ -105,7 +105,7 @@
 async def test_an_empty_line_is_sent_only_when_the_source_renewed():
     async with running_replica() as replica:
         replica.server.publish(whole(0))
-        child = await watching(replica)
+        child = await start_watch(replica)
         replica.server.renew(trio.current_time() - 60.0)  # an old renewal from a parent that is cut off
         await expect_silence(child, 0.2)
         replica.server.renew(trio.current_time())
@@ -136,14 +136,14 @@
 async def test_another_incarnation_ends_all_watches_cleanly():
     async with running_replica() as replica:
         replica.server.publish(whole(50, 1))
-        child = await watching(replica, 50)
+        child = await start_watch(replica, 50)
         await wait_until(lambda: replica.counters.watches == 1)
         replica.server.publish(whole(50, 2, incarnation=1))
         with pytest.raises(EOFError):
             await child.next_line()
-        again = await watching(replica, 50, Glenfold_Incarnation="0")
+        again = await start_watch(replica, 50, Glenfold_Incarnation="0")
         assert (await again.next_line())["hosts"] == [server(2)]
-        unnamed = await watching(replica, 50)
+        unnamed = await start_watch(replica, 50)
         assert (await unnamed.next_line())["hosts"] == [server(2)]
 
 
@@ -163,7 +163,7 @@
     async def main():
         async with running_replica() as replica:
             replica.server.publish(whole(7, 1))
-            child = await watching(replica, 7)
+            child = await start_watch(replica, 7)
             bad = await replica.connect()
             method = header_fields.pop("method", "GET")
             request = h11.Request(
@@ -223,13 +223,13 @@
 async def test_children_above_the_limit_are_told_to_retry():
     async with running_replica(children=5) as replica:
         replica.server.publish(whole(0))
-        children = [await watching(replica) for _ in range(5)]
+        children = [await start_watch(replica) for _ in range(5)]
         code, header_fields = await status(replica, "/v1/servers?watch=1&from=0")
         assert code == 503 and int(header_fields[b"retry-after"]) >= 1
         assert replica.counters.children_refused == 1
         await children[0].stream.aclose()
         await wait_until(lambda: replica.counters.watches_ended == 1)
-        await watching(replica)
+        await start_watch(replica)
         replica.server.publish(change(1))
         assert (await children[1].next_line())["seq"] == 1
 
@@ -238,13 +238,13 @@
 async def test_idle_connections_above_the_limit_close_each_other_and_no_child():
     async with running_replica(idle_connections=20, idle_s=60.0) as replica:
         replica.server.publish(whole(0))
-        child = await watching(replica)
+        child = await start_watch(replica)
         idle = [await replica.connect() for _ in range(150)]
         await wait_until(lambda: replica.counters.idle_crowded_out == 130)
         assert await idle[0].read_until_closed() == b""
         replica.server.publish(change(1))
         assert (await child.next_line())["seq"] == 1
-        await watching(replica)
+        await start_watch(replica)
 
 
 @trio_test
@@ -273,11 +273,11 @@
         code, header_fields = await status(replica, "/v1/servers?watch=1&from=498")
         assert code == 503 and int(header_fields[b"retry-after"]) in (1, 2)
         assert (await status(replica, "/v1/servers"))[0] == 200
-        child = await watching(replica, 500)
+        child = await start_watch(replica, 500)
         history_ready.set()
         await wait_until(lambda: replica.counters.history_read == 16)
         assert requested == [(244, Position(0, 500)), (484, Position(0, 500))]
-        resumed, past = await watching(replica, 498), await watching(replica, 483)
+        resumed, past = await start_watch(replica, 498), await start_watch(replica, 483)
         assert [(await resumed.next_line())["seq"] for _ in range(2)] == [499, 500]
         assert (await past.next_line())["whole"] is True
         replica.server.publish(change(501))
@@ -290,7 +290,7 @@
             replica.server.publish(whole(500, 1))
             assert (await status(replica, "/v1/servers?watch=1&from=498"))[0] == 503
             await trio.sleep(0.3)
-            assert (await (await watching(replica, 498)).next_line())["whole"] is True
+            assert (await (await start_watch(replica, 498)).next_line())["whole"] is True
 
     monkeypatch.setattr("glenfold.replica.server.HISTORY_TIMEOUT_S", 0.2)
     trio.run(main)
@@ -298,7 +298,7 @@
 
 # ---- children that read slowly, and bursts of requests ----
 
-LARGE = [{**server(n), "note": "x" * 20_000} for n in range(10)]  # changes of 200 KB
+LARGE_ENTRIES = [{**server(n), "note": "x" * 20_000} for n in range(10)]  # changes of 200 KB
 
 
 def small_window(replica: RunningReplica) -> trio.SocketStream:
@@ -310,8 +310,8 @@
     return trio.SocketStream(trio.socket.from_stdlib_socket(sock))
 
 
-def large(revision: int):
-    return change(revision, *({**entry, "share": float(revision)} for entry in LARGE))
+def large_change(revision: int):
+    return change(revision, *({**entry, "share": float(revision)} for entry in LARGE_ENTRIES))
 
 
 async def slow_child(replica: RunningReplica) -> ChildConnection:
@@ -334,14 +334,14 @@
 async def test_a_child_that_reads_nothing_is_cut_and_resumes_without_loss_or_repeats():
     async with running_replica(blocked_s=0.3) as replica:
         replica.server.publish(whole(0))
-        slow, steady = await slow_child(replica), await watching(replica)
+        slow, steady = await slow_child(replica), await start_watch(replica)
         for revision in range(1, 7):
-            replica.server.publish(large(revision))
+            replica.server.publish(large_change(revision))
             assert (await steady.next_line())["seq"] == revision
         await wait_until(lambda: replica.counters.cut_blocked == 1)
         received = await read_until_cut(slow)
         assert received == list(range(1, len(received) + 1)) and len(received) < 6
-        again = await watching(replica, received[-1] if received else 0)
+        again = await start_watch(replica, received[-1] if received else 0)
         assert [(await again.next_line())["seq"] for _ in range(6 - len(received))] == list(
             range(len(received) + 1, 7)
         )
@@ -352,13 +352,13 @@
 async def test_a_child_that_falls_behind_the_history_is_cut_and_gets_the_whole_list():
     async with running_replica(history_revisions=2, blocked_s=60.0) as replica:
         replica.server.publish(whole(0))
-        slow, steady = await slow_child(replica), await watching(replica)
+        slow, steady = await slow_child(replica), await start_watch(replica)
         for revision in range(1, 12):
-            replica.server.publish(large(revision))
+            replica.server.publish(large_change(revision))
             assert (await steady.next_line())["seq"] == revision
         received = await read_until_cut(slow)
         assert replica.counters.cut_behind == 1 and len(received) < 11
-        again = await watching(replica, received[-1] if received else 0)
+        again = await start_watch(replica, received[-1] if received else 0)
         assert (await again.next_line())["whole"] is True
 
 
@@ -368,7 +368,7 @@
         replica.server.publish(whole(0))
         slow = await slow_child(replica)
         for revision in range(1, 6):
-            replica.server.publish(large(revision))
+            replica.server.publish(large_change(revision))
             await trio.sleep(0)
         assert [(await slow.next_line())["seq"] for _ in range(5)] == [1, 2, 3, 4, 5]
 
@@ -378,7 +378,7 @@
     async with running_replica() as replica:
         replica.server.publish(whole(0))
         slow = await slow_child(replica)
-        replica.server.publish(large(1))
+        replica.server.publish(large_change(1))
         await trio.sleep(0.05)
         replica.server.renew(trio.current_time())
         await trio.sleep(0.6)
@@ -393,7 +393,7 @@
         entries = [{**server(n), "note": "x" * 1000} for n in range(100)]  # 100 KB
         replica.server.publish(whole(0))
         replica.server.publish(change(1, *entries))
-        watch = await watching(replica, 1)
+        watch = await start_watch(replica, 1)
         codes, waits = [], []
 
         async def ask() -> None:
@@ -436,7 +436,7 @@
         async with running_replica(whole_lists_at_once=1) as replica:
             replica.server.publish(whole(0))
             replica.server.publish(
-                change(1, *LARGE, *({**server(n), "note": "x" * 20_000} for n in range(10, 50)))
+                change(1, *LARGE_ENTRIES, *({**server(n), "note": "x" * 20_000} for n in range(10, 50)))
             )
             slow = ChildConnection(small_window(replica))
             await slow.ask("/v1/servers")
@@ -455,7 +455,7 @@
 async def test_at_shutdown_watches_end_evenly_over_the_given_time_and_new_ones_are_refused():
     async with running_replica() as replica:
         replica.server.publish(whole(0))
-        children, ended_children = [await watching(replica) for _ in range(40)], []
+        children, ended_children = [await start_watch(replica) for _ in range(40)], []
 
         async def record_end(number: int, child: ChildConnection) -> None:
             with pytest.raises(EOFError):
@@ -482,7 +482,7 @@
     async with running_replica() as replica:
         replica.server.publish(whole(0))
         slow = await slow_child(replica)
-        replica.server.publish(large(1))
+        replica.server.publish(large_change(1))
         await trio.sleep(0.05)
         replica.scope.cancel()
         assert await read_until_cut(slow) == []
@@ -494,8 +494,8 @@
     async def main():
         async with running_replica() as replica:
             replica.server.publish(whole(0))
-            children = [await watching(replica) for _ in range(10)]
-            replica.server.publish(large(1))
+            children = [await start_watch(replica) for _ in range(10)]
+            replica.server.publish(large_change(1))
             for child in children:
                 assert (await child.next_line())["seq"] == 1
             watches: Watches = replica.server._watches
--- a/tests/replica/test_tree.py
+++ b/tests/replica/test_tree.py
@@ -173,14 +173,14 @@
     run_script(script)
 
 
-async def revisions(child: ChildConnection, received: list[tuple[float, int]]) -> None:
+async def record_revisions(child: ChildConnection, received: list[tuple[float, int]]) -> None:
     while True:
         if (line := await child.next_line(math.inf)) is not None:
             assert not line["whole"]
             received.append((trio.current_time(), line["seq"]))
 
 
-async def changes(source: StandInParent, count: int, changed_at_s: dict[int, float]) -> None:
+async def make_changes(source: StandInParent, count: int, changed_at_s: dict[int, float]) -> None:
     for _ in range(count):
         changed_at_s[source.revision + 1] = trio.current_time()
         await source.change(entry(f"s-{source.revision % 7}", share=float(source.revision)))
@@ -201,9 +201,9 @@
         child = await lower.watch(41)
         received: list[tuple[float, int]] = []
         changed_at_s: dict[int, float] = {}
-        nursery.start_soon(revisions, child, received)
+        nursery.start_soon(record_revisions, child, received)
         await trio.sleep(3.0)
-        nursery.start_soon(changes, source, 40, changed_at_s)
+        nursery.start_soon(make_changes, source, 40, changed_at_s)
         await trio.sleep(3.0)
         for layer in upper:
             if failure != "both restarted" and not layer.process.children:
