--- a/glenfold/replica/parent_calls.py
+++ b/glenfold/replica/parent_calls.py
@@ -1,4 +1,4 @@
-"""The calls of parents: what each answered, whether that is to be gone by, and what it is refused for."""
+"""Calls to parents: sends them, checks the answers, and records why a parent was refused."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,20 +8,23 @@
 from glenfold import events
 from glenfold.config.platform import Parent, written
 from glenfold.destinations import BadList
-from glenfold.replica.list_taking import ListTaking
-from glenfold.replica.parent_watch import FAULTS, GONE, Call, call
+from glenfold.replica.accepted_lists import AcceptedLists
+from glenfold.replica.parent_watch import CALL_ERRORS, GONE, Call, open_call
 from glenfold.rules.parent_choice import ParentChoice, Refusal
 from glenfold.rules.parent_header import ParentHeaderError
 from glenfold.rules.source_lease import SILENCE_S
 from glenfold.rules.succession import Verdict
 
-FRESH_AGE_S = 3.0  # of a parent that is renewed: SILENCE_S in whole seconds, rounded up as in its header
+# A parent whose list is at most this old counts as renewed. This is SILENCE_S rounded up to whole seconds, as
+# the Age header is.
+FRESH_AGE_S = 3.0
 
-STAGGER_S = 0.2  # until the next parent is asked beside one that has not answered
+# After this time without an answer the next parent is called as well.
+STAGGER_S = 0.2
 
 
 class Refused(Exception):
-    """A parent's answer is not to be gone by."""
+    """Raised when the answer of a parent must not be used."""
 
     def __init__(self, why: Refusal, retry_after_s: float | None = None) -> None:
         super().__init__(why.value)
@@ -31,31 +34,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """`call` None: the parent was refused. `handled` is to be set, and lets the next parent be asked."""
+    """The outcome of a call to one parent.
+
+    `call` is None if the parent was refused. The receiver sets `handled`, which lets the next parent be
+    called.
+    """
 
     call: Call | None
     handled: trio.Event
 
 
 class ParentCalls:
-    """`name`: of this replica, which must not stand in a parent's chain; None: it is no replica."""
+    """Opens and closes the calls of one follower.
+
+    `name` is the name of this replica, which must not appear in a parent's Via chain, or None if the follower
+    is not a replica.
+    """
 
-    def __init__(self, choice: ParentChoice, taking: ListTaking, name: str | None) -> None:
+    def __init__(self, choice: ParentChoice, lists: AcceptedLists, name: str | None) -> None:
         self._choice = choice
-        self._taking = taking
+        self._lists = lists
         self._name = name
         self._open: set[Call] = set()
-        self._told: dict[Parent, str] = {}  # the last fault of each, which is logged once
-        self.behind: set[Parent] = set()  # refused for that since this was last cleared
-        self.refused = dict.fromkeys(Refusal, 0)  # since the start
+        self._last_reported: dict[Parent, str] = {}  # the last logged error of each parent
+        self.behind: set[Parent] = set()  # parents refused as behind since the set was last cleared
+        self.refused = dict.fromkeys(Refusal, 0)  # refusals by cause since the start
 
-    def forget(self) -> None:
-        """Which faults were logged: there are other parents."""
-        self._told.clear()
+    def forget_reported(self) -> None:
+        """Forgets which errors were logged, because the parents have changed."""
+        self._last_reported.clear()
 
-    async def answers(self, parents: Sequence[Parent], send: trio.MemorySendChannel[Answer]) -> None:
-        """Of all of them in this order, each after the one before or beside it where that takes long: it may
-        be on a machine that has vanished."""
+    async def ask_all(self, parents: Sequence[Parent], send: trio.MemorySendChannel[Answer]) -> None:
+        """Calls the parents in order and sends each answer to `send`.
+
+        A parent is called once the answer of the previous one was handled, or after STAGGER_S beside it: the
+        previous parent may be on a machine that has vanished.
+        """
         async with send, trio.open_nursery() as nursery:
             for parent in parents:
                 handled = trio.Event()
@@ -66,60 +80,66 @@
     async def _send_answer(
         self, parent: Parent, send: trio.MemorySendChannel[Answer], handled: trio.Event
     ) -> None:
-        await send.send(Answer(await self.answer(parent), handled))
+        await send.send(Answer(await self.ask(parent), handled))
 
-    async def answer(self, parent: Parent) -> Call | None:
-        """What the parent answers to a watch from what is known; None: it is refused."""
+    async def ask(self, parent: Parent) -> Call | None:
+        """Requests a watch from the known revision. Returns None if the parent was refused."""
         try:
-            found = await self._call(parent)
-            self._check(found)
-        except (*FAULTS, Refused) as error:
+            call = await self._open_call(parent)
+            self._check(call)
+        except (*CALL_ERRORS, Refused) as error:
             self.refuse(parent, error)
             return None
-        return found
+        return call
+
+    async def adopt(self, call: Call) -> Call | None:
+        """Returns a watch to hold, or None if the parent was refused.
 
-    async def adopt(self, found: Call) -> Call | None:
-        """A watch to be held, after the whole list where changes alone would not do; None: it is refused."""
-        succession = self._taking.succession
+        The whole list is read first if changes alone would not do.
+        """
+        succession = self._lists.succession
         try:
-            if succession.needs_whole_list(found.origin, found.status == GONE):
-                await self._take_whole(found)
-                found = await self._call(found.parent)
-                self._check(found)
-                if found.status != 200:
+            if succession.needs_whole_list(call.origin, call.status == GONE):
+                await self._accept_whole_list(call)
+                call = await self._open_call(call.parent)
+                self._check(call)
+                if call.status != 200:
                     raise Refused(Refusal.FAULTY)
-        except (*FAULTS, BadList, Refused) as error:
-            self.close(found)
-            self.refuse(found.parent, error)
+        except (*CALL_ERRORS, BadList, Refused) as error:
+            self.close(call)
+            self.refuse(call.parent, error)
             return None
-        succession.resumed(found.origin)
-        return found
+        succession.resumed(call.origin)
+        return call
 
-    async def speaks(self, fresh: Call) -> bool:
-        """Whether the source renews it. A source tells no age: one that is cut off answers, and says nothing
-        after that."""
+    async def is_renewed(self, fresh: Call) -> bool:
+        """Returns whether the source renews the list of this parent.
+
+        A source sends no age. A local agent that is cut off from discovery still answers a watch but sends no
+        line afterwards, so the first line of a trial watch is awaited.
+        """
         if fresh.greeting.age_s > FRESH_AGE_S:
             return False
         if not fresh.greeting.is_source:
             return True
-        trial = None
+        trial_call = None
         try:
-            whole = await self._call(fresh.parent, whole=True)
-            revision = (await whole.whole()).revision
-            self.close(whole)
-            trial = await call(fresh.parent, revision, None)
+            list_call = await self._open_call(fresh.parent, whole=True)
+            revision = (await list_call.read_list()).revision
+            self.close(list_call)
+            trial_call = await open_call(fresh.parent, revision, None)
             with trio.move_on_after(SILENCE_S):
-                async for _ in trial.lines():
+                async for _ in trial_call.lines():
                     return True
-        except (*FAULTS, BadList) as error:
+        except (*CALL_ERRORS, BadList) as error:
             self.refuse(fresh.parent, error)
         finally:
-            if trial is not None:
-                trial.close()
+            if trial_call is not None:
+                trial_call.close()
         return False
 
     def refuse(self, parent: Parent, error: Exception) -> None:
-        """Logged once for each kind of fault in a row of one parent."""
+        """Records the refusal of a parent. Repeats of the same error in a row are logged once."""
         why = Refusal.FAULTY if isinstance(error, BadList | ParentHeaderError) else Refusal.UNREACHABLE
         retry_after_s = None
         if isinstance(error, Refused):
@@ -128,57 +148,63 @@
             self.behind.add(parent)
         self.refused[why] += 1
         self._choice.record_refusal(parent, why, trio.current_time(), retry_after_s)
-        if why is not Refusal.STALE and self._told.get(parent) != repr(error):
-            self._told[parent] = repr(error)
+        if why is not Refusal.STALE and self._last_reported.get(parent) != repr(error):
+            self._last_reported[parent] = repr(error)
             events.parent_refused(address=written(parent.address), why=why.value, error=error)
 
-    def close(self, found: Call) -> None:
-        """At once, whatever is under way."""
-        self._open.discard(found)
-        found.close()
+    def close(self, call: Call) -> None:
+        """Closes the call at once, even while it is in use."""
+        self._open.discard(call)
+        call.close()
 
     def close_all(self, but: Call | None = None) -> None:
-        """All calls that are open."""
-        for found in list(self._open):
-            if found is not but:
-                self.close(found)
+        """Closes all open calls except `but`."""
+        for call in list(self._open):
+            if call is not but:
+                self.close(call)
 
-    async def _call(self, parent: Parent, whole: bool = False) -> Call:
-        succession = self._taking.succession
+    async def _open_call(self, parent: Parent, whole: bool = False) -> Call:
+        succession = self._lists.succession
         position = None if whole else succession.position
         revision = None if position is None else position.revision
-        found = await call(parent, revision, succession.incarnation)
-        self._open.add(found)
-        return found
+        call = await open_call(parent, revision, succession.incarnation)
+        self._open.add(call)
+        return call
+
+    def _check(self, call: Call, gone: bool = False) -> None:
+        """Raises Refused, after closing the call, if its answer must not be used.
 
-    def _check(self, found: Call, gone: bool = False) -> None:
-        """Raises Refused, and closes it then. `gone`: the call before it was answered so."""
+        `gone` is True if the previous call to this parent was answered 410.
+        """
         try:
-            if found.status == 503:
-                raise Refused(Refusal.BUSY, found.greeting.retry_after_s)
-            if found.status not in (200, GONE):
+            if call.status == 503:
+                raise Refused(Refusal.BUSY, call.greeting.retry_after_s)
+            if call.status not in (200, GONE):
                 raise Refused(Refusal.FAULTY)
-            if self._name is not None and self._name in found.greeting.via:
+            if self._name is not None and self._name in call.greeting.via:
                 raise Refused(Refusal.LOOP)
-            if self._taking.succession.is_behind(found.origin, gone or found.status == GONE):
+            if self._lists.succession.is_behind(call.origin, gone or call.status == GONE):
                 raise Refused(Refusal.BEHIND)
         except Refused:
-            self.close(found)
+            self.close(call)
             raise
 
-    async def _take_whole(self, found: Call) -> None:
-        """Closes that call, and asks for the whole list if it is a watch. Raises FAULTS, BadList, Refused."""
+    async def _accept_whole_list(self, call: Call) -> None:
+        """Reads the whole list, over a new call if the given one is a watch. The given call is closed.
+
+        Raises CALL_ERRORS, BadList and Refused.
+        """
         try:
-            if found.revision is not None:
-                self.close(found)
-                gone = found.status == GONE
-                found = await self._call(found.parent, whole=True)
-                self._check(found, gone)
-            if found.status != 200:
+            if call.revision is not None:
+                self.close(call)
+                gone = call.status == GONE
+                call = await self._open_call(call.parent, whole=True)
+                self._check(call, gone)
+            if call.status != 200:
                 raise Refused(Refusal.FAULTY)
-            verdict = await self._taking.take(found, await found.whole(), 0)
+            verdict = await self._lists.accept(call, await call.read_list(), 0)
             if verdict in (Verdict.BEHIND, Verdict.INCOMPLETE):
                 raise Refused(Refusal.BEHIND)
         finally:
-            self.close(found)
-        self._taking.renew(trio.current_time() if found.greeting.is_source else found.renewed_at_s)
+            self.close(call)
+        self._lists.renew(trio.current_time() if call.greeting.is_source else call.renewed_at_s)
--- a/glenfold/replica/relay_lists.py
+++ b/glenfold/replica/relay_lists.py
@@ -1,4 +1,4 @@
-"""The lists of a relay that has several parents to follow: control replicas, or discovery itself."""
+"""The list source of a relay that follows one of several parents: control replicas or discovery itself."""
 
 import random
 from collections.abc import Sequence
@@ -12,62 +12,67 @@
 from glenfold.rules.parent_choice import ParentChoice
 from glenfold.rules.replication import ListDocument
 from glenfold.rules.succession import Succession
-from linnetspread import interface as i
+from linnetspread import interface
 
 
 class RelayLists:
-    """Takes what the follower accepted into the destination set, and tells the decisions. A relay serves on
-    by what it knows, however old that is, and has no children to be told of it."""
+    """Adds the lists that the follower accepted to the destination set and submits them to the decisions.
+
+    A relay keeps serving with the list it has, however old that is. It has no children, so renewals and the
+    Via chain go no further.
+    """
 
     def __init__(
         self, config: Config, decisions: Decisions, destinations: DestinationSet, counters: Counters
     ) -> None:
         assert config.parents is not None
-        told = config.parents
+        parent_config = config.parents
         self._decisions = decisions
         self._destinations = destinations
         self._counters = counters
-        self._said = ""
-        self._untold: i.ServerList | None = None
+        self._last_reported = ""
+        self._unsent_list: interface.ServerList | None = None
         self._succession = Succession()
-        choice = ParentChoice(told.parents, told.zone, told.region, random.Random(config.seed))
-        self._follower = Follower(choice, self._succession, self, settled=self._tell)
+        choice = ParentChoice(
+            parent_config.parents, parent_config.zone, parent_config.region, random.Random(config.seed)
+        )
+        self._follower = Follower(choice, self._succession, self, after_publish=self._submit)
 
     @property
     def heard_at(self) -> float:
-        """When the source last said that what is known holds, on trio's clock."""
+        """When the source last renewed the list, on trio's clock."""
         return self._follower.renewed_at_s
 
     async def follow(self) -> None:
-        """Until it is cancelled; from the list that is known already, if there is one."""
+        """Follows the parents until cancelled, starting from the list known already, if there is one."""
         if self._destinations.has_list:
             self._succession.resume(self._destinations.version)
         await self._follower.follow()
 
     def reload(self, config: Config) -> None:
-        """Follows these parents from now on."""
+        """Follows the parents in `config` from now on."""
         if config.parents is not None:
             self._follower.move_to(config.parents.parents)
 
-    # ---- what the follower tells ----
+    # ---- the Publisher interface, called by the follower ----
 
     def publish(self, document: ListDocument) -> None:
-        """Takes a list or change in; `_tell` is awaited before the next."""
+        """Adds a list or change to the destination set. `_submit` is awaited before the next one."""
         revision, entries = document.position.revision, document.entries
-        read = {"seq": revision, "whole": document.whole, "hosts": entries}
-        self._untold = self._destinations.read(read)
-        self._said = record_list(self._destinations, self._counters, self._said)
+        document_fields = {"seq": revision, "whole": document.whole, "hosts": entries}
+        self._unsent_list = self._destinations.read(document_fields)
+        self._last_reported = record_list(self._destinations, self._counters, self._last_reported)
 
-    async def _tell(self) -> None:
-        told, self._untold = self._untold, None
-        if told is not None:
-            await self._decisions.submit(told)
+    async def _submit(self) -> None:
+        server_list, self._unsent_list = self._unsent_list, None
+        if server_list is not None:
+            await self._decisions.submit(server_list)
 
     def renew(self, renewed_at_s: float) -> None:
-        """`heard_at` tells it."""
+        """Does nothing: `heard_at` holds the time of the renewal."""
 
     def stale(self) -> None:
-        """`heard_at` tells it."""
+        """Does nothing: `heard_at` shows how old the list is."""
 
     def via(self, names: Sequence[str]) -> None:
-        """Nobody is told of the chain."""
+        """Does nothing: a relay has no children to pass the Via chain on to."""
--- a/glenfold/replica/requests.py
+++ b/glenfold/replica/requests.py
@@ -1,4 +1,4 @@
-"""Requests of one connection to a replica, read with h11 one after the other."""
+"""Reads the requests of one connection to a replica, one at a time, with h11."""
 
 from http import HTTPStatus
 
@@ -7,20 +7,26 @@
 from glenfold.net.sockets import SocketType
 from glenfold.rules.replication_http import MAX_REQUEST_BYTES, RequestError
 
-READ_BYTES = 4096
+MAX_READ_BYTES = 4096
 
 
 class RequestReader:
-    """h11's state is there only while a request is being read, so that idle connections and watches are
-    small."""
+    """Reads requests from one socket.
+
+    h11's state exists only while a request is being read, so that idle connections and watches use little
+    memory.
+    """
 
     def __init__(self, sock: SocketType) -> None:
         self._sock = sock
-        self._ahead = b""  # read behind the request before
+        self._ahead = b""  # bytes read after the end of the previous request
+
+    async def next_request(self) -> h11.Request | None:
+        """Returns the next request, or None if the child has disconnected.
 
-    async def next(self) -> h11.Request | None:
-        """None: the child has gone. Raises RequestError for what is no request, or one with a body."""
-        data = self._ahead or await self._sock.recv(READ_BYTES)
+        Raises RequestError if the input is not a valid request or the request has a body.
+        """
+        data = self._ahead or await self._sock.recv(MAX_READ_BYTES)
         if not data:
             return None
         self._ahead = b""
@@ -31,7 +37,7 @@
             while True:
                 event = connection.next_event()
                 if event is h11.NEED_DATA:
-                    if not (data := await self._sock.recv(READ_BYTES)):
+                    if not (data := await self._sock.recv(MAX_READ_BYTES)):
                         return None
                     connection.receive_data(data)
                 elif isinstance(event, h11.Request):
@@ -40,7 +46,7 @@
                     self._ahead = connection.trailing_data[0]
                     return request
                 elif isinstance(event, h11.Data):
-                    raise RequestError(HTTPStatus.BAD_REQUEST, "a request with a body")
+                    raise RequestError(HTTPStatus.BAD_REQUEST, "a request must not have a body")
                 else:
                     return None
         except h11.RemoteProtocolError as error:
--- a/glenfold/replica/watches.py
+++ b/glenfold/replica/watches.py
@@ -1,8 +1,8 @@
-"""The open watches of a replica: one loop writes each change to all of them.
+"""The open watches of a replica. One loop writes each change to all of them.
 
-A watch holds an index into the shared history and what the kernel has not yet taken of the bytes that all
-share. Where the kernel takes all, a change costs one system call a watch; only for a watch whose child reads
-slowly there is a task that waits for it.
+A watch holds an index into the shared history and a view of those shared bytes that the kernel has not yet
+accepted. If the kernel accepts everything, a change costs one system call per watch. Only a watch whose child
+reads slowly has a task of its own, which waits until the socket is writable.
 """
 
 from collections import deque
@@ -17,20 +17,23 @@
 from glenfold.rules.replication_http import LAST_CHUNK, RENEWAL_CHUNK
 from glenfold.rules.replication_lease import Lease
 
-MOST_SENT_BYTES = 64 * 1024  # of joined changes in one call
-TURN_WATCHES = 128  # written to before others have a turn of the loop
-STEP_S = 0.02  # between two steps of ending all watches
+MAX_WRITE_BYTES = 64 * 1024  # limit on the changes joined into one write
+WATCHES_PER_TURN = 128  # watches written before the loop runs other tasks
+END_STEP_S = 0.02  # interval between two steps of `end_all`
 
-NOTHING = memoryview(b"")  # in place of the empty rest of a chunk, which it would keep
+EMPTY = memoryview(b"")  # replaces an empty slice, which would keep its whole chunk in memory
 
-Advance = Callable[["Watch"], bool]
+WriteStep = Callable[["Watch"], bool]
 
 
 class Watch:
-    """One child that watches. `scope`: of the task that owns the socket and closes it. `index`: of the next
-    change in the history; `unsent`: of what came before, the rest that the kernel has not taken."""
+    """The watch of one child.
 
-    __slots__ = ("sock", "scope", "incarnation", "index", "unsent", "waits")
+    `scope` is the cancel scope of the task that owns and closes the socket. `index` is the position of the
+    next change in the history. `unsent` holds the earlier bytes that the kernel has not yet accepted.
+    """
+
+    __slots__ = ("sock", "scope", "incarnation", "index", "unsent", "is_catching_up")
 
     def __init__(self, sock: SocketType, incarnation: int, index: int, head: bytes) -> None:
         self.sock = sock
@@ -38,11 +41,11 @@
         self.incarnation = incarnation
         self.index = index
         self.unsent = memoryview(head)
-        self.waits = False  # a task waits for its child to read
+        self.is_catching_up = False  # whether a task waits for the child to read
 
 
 class Watches:
-    """`blocked_s`: a child that takes nothing for so long is cut. `run` serves until it is cancelled."""
+    """The open watches of one replica. A child that reads nothing for `blocked_s` is disconnected."""
 
     def __init__(
         self, history: RevisionHistory, lease: Lease, counters: ReplicaCounters, blocked_s: float
@@ -52,93 +55,97 @@
         self._counters = counters
         self._blocked_s = blocked_s
         self._open: dict[Watch, None] = {}  # oldest first
-        self._news = trio.Event()
-        self._written_to = (0, history.end_index)  # incarnation, index: all watches have it or wait for it
+        self._update = trio.Event()
+        # The incarnation and index that every watch has or is catching up to.
+        self._written_position = (0, history.end_index)
         self._nursery: trio.Nursery | None = None
 
     def __len__(self) -> int:
         return len(self._open)
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Writes changes and renewals to the watches until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             while True:
-                await self._something_new()
+                await self._wait_for_update()
                 await self._write_to_all()
 
     def wake(self) -> None:
-        """There is a change or a renewal."""
-        self._news.set()
+        """Wakes the loop after a change or a renewal was published."""
+        self._update.set()
 
     def open(self, watch: Watch) -> None:
-        """From now on it gets changes and renewals, after its head and what it has missed."""
+        """Adds a watch. It gets its response head and the missed changes first, then changes and renewals."""
         self._open[watch] = None
         self._counters.watches += 1
         self._write(watch, self._advance)
 
     def close(self, watch: Watch) -> None:
-        """Its socket is about to be closed."""
+        """Removes a watch whose socket is about to be closed."""
         if watch in self._open:
             del self._open[watch]
             self._counters.watches_ended += 1
 
     async def end_all(self, spread_s: float) -> None:
-        """In the order in which they came, evenly over that time, so that children don't all ask elsewhere at
-        once."""
-        left, began_s = deque(self._open), trio.current_time()
-        per_s = len(left) / max(spread_s, STEP_S)
-        ended = 0
-        while left:
-            due = 1 + int(per_s * (trio.current_time() - began_s))
-            while left and ended < due:
-                self._end(left.popleft())
-                ended += 1
-            await trio.sleep(STEP_S)
+        """Ends all watches, oldest first and evenly over `spread_s`.
+
+        Otherwise all children would call other replicas at the same moment.
+        """
+        remaining, start_s = deque(self._open), trio.current_time()
+        per_s = len(remaining) / max(spread_s, END_STEP_S)
+        ended_count = 0
+        while remaining:
+            due_count = 1 + int(per_s * (trio.current_time() - start_s))
+            while remaining and ended_count < due_count:
+                self._end(remaining.popleft())
+                ended_count += 1
+            await trio.sleep(END_STEP_S)
 
     # ---- writing ----
 
-    async def _something_new(self) -> None:
+    async def _wait_for_update(self) -> None:
         due_at_s = None if self._history.position is None else self._lease.due_at_s()
         with trio.move_on_at(float("inf") if due_at_s is None else due_at_s):
-            await self._news.wait()
-        self._news = trio.Event()
+            await self._update.wait()
+        self._update = trio.Event()
 
     async def _write_to_all(self) -> None:
         position = self._history.position
         if position is None:
             return
-        newest = (position.incarnation, self._history.end_index)
-        if newest != self._written_to:
-            self._written_to = newest
+        newest_position = (position.incarnation, self._history.end_index)
+        if newest_position != self._written_position:
+            self._written_position = newest_position
             self._lease.record_line(trio.current_time())
-            await self._each(self._advance)
+            await self._write_each(self._advance)
         elif self._lease.take_renewal(trio.current_time()):
             self._counters.renewals_told += 1
-            await self._each(self._renew)
+            await self._write_each(self._renew)
 
-    async def _each(self, step: Advance) -> None:
+    async def _write_each(self, step: WriteStep) -> None:
         for count, watch in enumerate(tuple(self._open), 1):
-            if watch in self._open and not watch.waits:
+            if watch in self._open and not watch.is_catching_up:
                 self._write(watch, step)
-            if count % TURN_WATCHES == 0:
+            if count % WATCHES_PER_TURN == 0:
                 await trio.lowlevel.checkpoint()
 
-    def _write(self, watch: Watch, step: Advance) -> None:
-        """Without waiting; what the kernel does not take is left to a task."""
+    def _write(self, watch: Watch, step: WriteStep) -> None:
+        """Runs a write step without blocking. A task writes what the kernel does not accept."""
         assert self._nursery is not None
         try:
-            done = step(watch)
+            is_complete = step(watch)
         except PastRevision:
             self._cut_behind(watch)
-        except OSError:  # its child has gone
+        except OSError:  # the child disconnected
             watch.scope.cancel()
         else:
-            if not done:
-                watch.waits = True
+            if not is_complete:
+                watch.is_catching_up = True
                 self._nursery.start_soon(self._catch_up, watch)
 
     def _advance(self, watch: Watch) -> bool:
-        """Writes what it has not got. False: the kernel does not take all of that now."""
+        """Writes the changes that the watch lacks. Returns False if the kernel does not accept them all."""
         position = self._history.position
         while True:
             if not self._flush(watch):
@@ -148,11 +155,11 @@
                 return True
             if watch.index >= self._history.end_index:
                 return True
-            chunks, watch.index = self._history.read(watch.index, MOST_SENT_BYTES)
+            chunks, watch.index = self._history.read(watch.index, MAX_WRITE_BYTES)
             watch.unsent = memoryview(chunks)
 
     def _renew(self, watch: Watch) -> bool:
-        """The empty line, in its place behind what came before."""
+        """Writes the empty line of a renewal after all earlier bytes. Returns False if some are left over."""
         if not self._advance(watch):
             return False
         watch.unsent = memoryview(RENEWAL_CHUNK)
@@ -160,7 +167,7 @@
 
     def _flush(self, watch: Watch) -> bool:
         sent = send_now(watch.sock, watch.unsent) if watch.unsent else 0
-        watch.unsent = watch.unsent[sent:] or NOTHING
+        watch.unsent = watch.unsent[sent:] or EMPTY
         return not watch.unsent
 
     async def _catch_up(self, watch: Watch) -> None:
@@ -170,28 +177,28 @@
                     await trio.lowlevel.wait_writable(watch.sock)
         except trio.TooSlowError:
             self._counters.cut_blocked += 1
-            self._cut(watch, f"its child took nothing for {self._blocked_s:g} s")
+            self._cut(watch, f"the child read nothing for {self._blocked_s:g} s")
         except PastRevision:
             self._cut_behind(watch)
-        except (OSError, trio.ClosedResourceError):  # its child has gone
+        except (OSError, trio.ClosedResourceError):  # the child disconnected
             watch.scope.cancel()
         finally:
-            watch.waits = False
+            watch.is_catching_up = False
 
-    # ---- endings ----
+    # ---- ending watches ----
 
     def _cut_behind(self, watch: Watch) -> None:
         self._counters.cut_behind += 1
-        self._cut(watch, "its child is behind the history")
+        self._cut(watch, "the child fell behind the history")
 
     def _cut(self, watch: Watch, reason: str) -> None:
-        """In the middle of whatever it was being sent: the child takes no broken line for a change."""
+        """Resets the connection, even within a line. The child discards an incomplete line."""
         events.watch_cut(reason=reason)
         reset_on_close(watch.sock)
         watch.scope.cancel()
 
     def _end(self, watch: Watch) -> None:
-        """In order: the child goes on elsewhere from the revision that it has."""
+        """Ends the watch with the last chunk, so that the child resumes elsewhere from its revision."""
         if watch not in self._open:
             return
         try:
--- a/tests/replica/serving.py
+++ b/tests/replica/running_replica.py
@@ -1,4 +1,4 @@
-"""A replica's server in this process on an ephemeral loopback port, and children that a test scripts."""
+"""A replica's server in this process on an ephemeral loopback port, and children driven by a test."""
 
 import json
 import random
@@ -14,11 +14,13 @@
 from glenfold.replica.counters import ReplicaCounters
 from glenfold.replica.server import EarlierChanges, Server
 
-WITHIN_S = 10.0  # for what must happen; a fault shows as trio.TooSlowError
+WITHIN_S = 10.0  # time limit for each expected event; exceeding it raises trio.TooSlowError
 
 
 @dataclass
-class Serving:
+class RunningReplica:
+    """A replica's server that is running, and its port."""
+
     server: Server
     counters: ReplicaCounters
     port: int
@@ -29,7 +31,9 @@
 
 
 @asynccontextmanager
-async def serving(earlier: EarlierChanges | None = None, **limits: Any) -> AsyncIterator[Serving]:
+async def running_replica(
+    earlier: EarlierChanges | None = None, **limits: Any
+) -> AsyncIterator[RunningReplica]:
     counters = ReplicaCounters()
     server = Server("north-1", Limits(**limits), counters, random.Random(7), earlier)
     listener = trio.socket.socket()
@@ -39,13 +43,15 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.serve, listener)
             with trio.CancelScope() as scope:
-                yield Serving(server, counters, listener.getsockname()[1], scope)
+                yield RunningReplica(server, counters, listener.getsockname()[1], scope)
             nursery.cancel_scope.cancel()
 
 
 class ChildConnection:
-    """One connection of a child, by h11's own reading. `lines` of a watch are documents; None is the empty
-    line."""
+    """One connection of a child, parsed with h11.
+
+    `lines` holds the documents of a watch that were read ahead, with None for an empty line.
+    """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
@@ -59,48 +65,51 @@
         headers = [("Host", "a"), *((name.replace("_", "-"), value) for name, value in fields.items())]
         request = h11.Request(method=method, target=target, headers=headers)
         await self.stream.send_all(self.http.send(request) + self.http.send(h11.EndOfMessage()))
-        response = await self.event()
+        response = await self.next_event()
         assert isinstance(response, h11.Response)
         return response
 
-    async def event(self, within_s: float = WITHIN_S) -> Any:
+    async def next_event(self, within_s: float = WITHIN_S) -> Any:
         with trio.fail_after(within_s):
             while (event := self.http.next_event()) is h11.NEED_DATA:
                 self.http.receive_data(await self.stream.receive_some(1 << 16))
         return event
 
-    async def whole(self) -> dict[str, Any]:
-        """The body of a whole list."""
+    async def read_list(self) -> dict[str, Any]:
+        """Returns the body of a whole list."""
         body = b""
-        while isinstance(event := await self.event(), h11.Data):
+        while isinstance(event := await self.next_event(), h11.Data):
             body += bytes(event.data)
         assert isinstance(event, h11.EndOfMessage)
         return dict(json.loads(body))
 
-    async def line(self, within_s: float = WITHIN_S) -> dict[str, Any] | None:
-        """The next one of a watch. Raises h11.RemoteProtocolError where it broke off, EOFError at its end."""
+    async def next_line(self, within_s: float = WITHIN_S) -> dict[str, Any] | None:
+        """Returns the next line of a watch.
+
+        Raises h11.RemoteProtocolError if the watch was interrupted, and EOFError at its regular end.
+        """
         while not self.lines:
-            event = await self.event(within_s)
+            event = await self.next_event(within_s)
             if not isinstance(event, h11.Data):
                 raise EOFError
-            *ended, self._line = (self._line + bytes(event.data)).split(b"\n")
-            self.lines += [json.loads(line) if line else None for line in ended]
+            *complete, self._line = (self._line + bytes(event.data)).split(b"\n")
+            self.lines += [json.loads(line) if line else None for line in complete]
         return self.lines.pop(0)
 
-    async def closed(self) -> bytes:
-        """What else came until the other side closed or reset it."""
-        found = b""
+    async def read_until_closed(self) -> bytes:
+        """Returns the bytes that arrive until the replica closes or resets the connection."""
+        received = b""
         with trio.fail_after(WITHIN_S):
             try:
                 while data := await self.stream.receive_some(1 << 16):
-                    found += data
+                    received += data
             except trio.BrokenResourceError:
                 pass
-        return found
+        return received
 
 
-async def until(true: Any) -> None:
-    """Polls, as counters have no event."""
+async def wait_until(condition: Any) -> None:
+    """Polls until the condition is true, as counters have no event."""
     with trio.fail_after(WITHIN_S):
-        while not true():
+        while not condition():
             await trio.sleep(0.002)
--- a/tests/replica/test_tree.py
+++ b/tests/replica/test_tree.py
@@ -1,4 +1,4 @@
-"""Replicas behind replicas in one process, on a clock that jumps: what children are told, and when."""
+"""Tests of replicas behind replicas in one process, on a mock clock: what children receive, and when."""
 
 import math
 import socket
@@ -7,8 +7,8 @@
 import pytest
 import trio
 from relaying import entry
-from serving import ChildConnection
-from stand_in_parent import StandInParent, play
+from running_replica import ChildConnection
+from stand_in_parent import StandInParent, run_script
 
 from glenfold.config.platform import Parent
 from glenfold.config.replica import Limits, Replica, Shutdown, Terms
@@ -20,7 +20,7 @@
 
 
 class Layer:
-    """A replica that follows these ports."""
+    """A replica that follows the parents on these ports."""
 
     def __init__(self, name: str, *parents: int, port: int = 0, **limits: Any) -> None:
         self.listener = socket.create_server(("127.0.0.1", port), backlog=512)
@@ -41,7 +41,7 @@
             await self.process.run(self.listener)
 
     async def watch(self, revision: int) -> ChildConnection:
-        """Once it has that revision."""
+        """Opens a watch once the replica has that revision."""
         while True:
             child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", self.port))
             if (await child.ask(f"/v1/servers?watch=1&from={revision}")).status_code == 200:
@@ -50,60 +50,64 @@
             await trio.sleep(0.1)
 
 
-async def seen(child: ChildConnection, until_s: float) -> list[dict[str, Any] | None]:
-    """The lines that come up to that moment."""
+async def lines_until(child: ChildConnection, until_s: float) -> list[dict[str, Any] | None]:
+    """Returns the lines that arrive up to `until_s`."""
     lines = []
     with trio.move_on_at(until_s):
         while True:
-            lines.append(await child.line(math.inf))
+            lines.append(await child.next_line(math.inf))
     return lines
 
 
-async def begun(nursery: trio.Nursery, layers: int) -> tuple[StandInParent, list[Layer], ChildConnection]:
+async def start_layers(
+    nursery: trio.Nursery, layers: int
+) -> tuple[StandInParent, list[Layer], ChildConnection]:
     source = StandInParent(revision=41)
     await source.listen(nursery)
-    found: list[Layer] = []
+    started_layers: list[Layer] = []
     for number in range(layers):
-        found.append(Layer(f"r-{number}", found[-1].port if found else source.port))
-        nursery.start_soon(found[-1].run)
-    child = await found[-1].watch(41)
-    assert await child.line() is None
-    return source, found, child
+        started_layers.append(
+            Layer(f"r-{number}", started_layers[-1].port if started_layers else source.port)
+        )
+        nursery.start_soon(started_layers[-1].run)
+    child = await started_layers[-1].watch(41)
+    assert await child.next_line() is None
+    return source, started_layers, child
 
 
 @pytest.mark.parametrize("layers", [1, 3])
-def test_renewals_come_at_the_sources_own_pace_through_all_layers(layers):
+def test_renewals_pass_through_all_layers_at_the_rate_of_the_source(layers):
     async def script(nursery: trio.Nursery) -> None:
-        _, _, child = await begun(nursery, layers)
-        moments = [trio.current_time()]
-        while moments[-1] < moments[0] + 20:
-            assert await child.line() is None
-            moments.append(trio.current_time())
-        assert max(b - a for a, b in zip(moments, moments[1:], strict=False)) <= 2.5
-        assert len(moments) <= 13
+        _, _, child = await start_layers(nursery, layers)
+        times = [trio.current_time()]
+        while times[-1] < times[0] + 20:
+            assert await child.next_line() is None
+            times.append(trio.current_time())
+        assert max(b - a for a, b in zip(times, times[1:], strict=False)) <= 2.5
+        assert len(times) <= 13
 
-    play(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize("layers", [1, 3])
-def test_a_source_that_is_cut_off_leaves_all_layers_silent_and_serving(layers):
-    """No layer makes a renewal up; who asks is answered with an age that grows."""
+def test_without_the_source_all_layers_keep_serving_and_send_no_renewals(layers):
+    """No layer invents a renewal, and responses carry an age that grows."""
 
     async def script(nursery: trio.Nursery) -> None:
-        source, found, child = await begun(nursery, layers)
+        source, started_layers, child = await start_layers(nursery, layers)
         await source.kill()
         killed_at_s = trio.current_time()
-        assert await seen(child, killed_at_s + 60.0) in ([], [None])
-        beside = ChildConnection(await trio.open_tcp_stream("127.0.0.1", found[-1].port))
-        fields = dict((await beside.ask("/v1/servers")).headers)
+        assert await lines_until(child, killed_at_s + 60.0) in ([], [None])
+        second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", started_layers[-1].port))
+        fields = dict((await second_child.ask("/v1/servers")).headers)
         assert 58 <= int(fields[b"age"]) <= 64
-        assert (await beside.whole())["hosts"] == [entry("s-1")]
-        assert all(layer.process.counters["stale"] == 1 for layer in found)
+        assert (await second_child.read_list())["hosts"] == [entry("s-1")]
+        assert all(layer.process.counters["stale"] == 1 for layer in started_layers)
 
-    play(script)
+    run_script(script)
 
 
-def test_replicas_that_may_follow_each_other_keep_nobody_fresh_once_the_source_has_gone():
+def test_replicas_that_follow_each_other_do_not_renew_each_other_without_the_source():
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
@@ -115,34 +119,34 @@
         nursery.start_soon(second.run)
         child = await second.watch(41)
         await source.kill()
-        gone_at_s = trio.current_time()
-        lines = await seen(child, gone_at_s + 30.0)
+        killed_at_s = trio.current_time()
+        lines = await lines_until(child, killed_at_s + 30.0)
         assert lines.count(None) <= 2
-        assert await seen(child, gone_at_s + 60.0) == []
+        assert await lines_until(child, killed_at_s + 60.0) == []
         assert first.process.counters["stale"] == second.process.counters["stale"] == 1
-        beside = ChildConnection(await trio.open_tcp_stream("127.0.0.1", second.port))
-        fields = dict((await beside.ask("/v1/servers")).headers)
+        second_child = ChildConnection(await trio.open_tcp_stream("127.0.0.1", second.port))
+        fields = dict((await second_child.ask("/v1/servers")).headers)
         assert 58 <= int(fields[b"age"]) <= 66
         assert fields[b"via"].count(b"second") == 1 and fields[b"via"].count(b"first") <= 1
 
-    play(script)
+    run_script(script)
 
 
-def test_after_a_cut_children_hear_what_they_missed_and_renewals_again():
+def test_after_an_outage_children_receive_missed_changes_and_renewals():
     async def script(nursery: trio.Nursery) -> None:
-        source, _, child = await begun(nursery, 2)
+        source, _, child = await start_layers(nursery, 2)
         await source.kill()
-        await seen(child, trio.current_time() + 3 * LEASE_S)
+        await lines_until(child, trio.current_time() + 3 * LEASE_S)
         await source.change(entry("s-2"))
         await source.listen(nursery)
         lines: list[dict[str, Any] | None] = []
         while {"seq": 42, "whole": False, "hosts": [entry("s-2")]} not in lines or lines[-1] is not None:
-            lines.append(await child.line(math.inf))
+            lines.append(await child.next_line(math.inf))
 
-    play(script)
+    run_script(script)
 
 
-def test_earlier_changes_are_those_that_lead_to_a_position_and_none_else():
+def test_earlier_changes_are_exactly_those_that_lead_to_a_position():
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
         await source.listen(nursery)
@@ -152,38 +156,40 @@
         for _ in range(4):
             await source.change(entry(f"s-{source.revision}"))
         await trio.sleep(0.5)
-        for port in (source.port, layer.port):  # a source, and a replica
+        for port in (source.port, layer.port):  # a source and a replica
             parent = Parent(("127.0.0.1", port))
             found = await earlier_changes(parent, 42, Position(0, 45))
             assert [change.position.revision for change in found] == [43, 44, 45]
             assert found[0].entries == (entry("s-42"),) and not found[0].whole
-            assert await earlier_changes(parent, 40, Position(0, 45)) == ()  # it begins with a whole list
-            assert await earlier_changes(parent, 42, Position(0, 46)) == ()  # it is not there yet
+            # The answer starts with a whole list.
+            assert await earlier_changes(parent, 40, Position(0, 45)) == ()
+            # The parent does not have this revision yet.
+            assert await earlier_changes(parent, 42, Position(0, 46)) == ()
             assert await earlier_changes(parent, 46, Position(0, 47)) == ()
         assert await earlier_changes(Parent(("127.0.0.1", layer.port)), 42, Position(1, 45)) == ()
         await source.kill()
         assert await earlier_changes(Parent(("127.0.0.1", source.port)), 42, Position(0, 45)) == ()
 
-    play(script)
+    run_script(script)
 
 
-async def revisions(child: ChildConnection, found: list[tuple[float, int]]) -> None:
+async def record_revisions(child: ChildConnection, received: list[tuple[float, int]]) -> None:
     while True:
-        if (line := await child.line(math.inf)) is not None:
+        if (line := await child.next_line(math.inf)) is not None:
             assert not line["whole"]
-            found.append((trio.current_time(), line["seq"]))
+            received.append((trio.current_time(), line["seq"]))
 
 
-async def changes(source: StandInParent, count: int, told: dict[int, float]) -> None:
+async def make_changes(source: StandInParent, count: int, changed_at_s: dict[int, float]) -> None:
     for _ in range(count):
-        told[source.revision + 1] = trio.current_time()
+        changed_at_s[source.revision + 1] = trio.current_time()
         await source.change(entry(f"s-{source.revision % 7}", share=float(source.revision)))
         await trio.sleep(0.3)
 
 
-@pytest.mark.parametrize("how", ["killed", "ended in order", "both restarted"])
-def test_children_of_children_lose_and_double_no_version_when_replicas_between_go(how):
-    """Each change is with them within 4 s all the same."""
+@pytest.mark.parametrize("failure", ["killed", "ended in order", "both restarted"])
+def test_no_revision_is_lost_or_repeated_when_replicas_in_between_go_away(failure):
+    """Each change still reaches the children within 4 s."""
 
     async def script(nursery: trio.Nursery) -> None:
         source = StandInParent(revision=41)
@@ -193,25 +199,25 @@
         for layer in (*upper, lower):
             nursery.start_soon(layer.run)
         child = await lower.watch(41)
-        found: list[tuple[float, int]] = []
-        told: dict[int, float] = {}
-        nursery.start_soon(revisions, child, found)
+        received: list[tuple[float, int]] = []
+        changed_at_s: dict[int, float] = {}
+        nursery.start_soon(record_revisions, child, received)
         await trio.sleep(3.0)
-        nursery.start_soon(changes, source, 40, told)
+        nursery.start_soon(make_changes, source, 40, changed_at_s)
         await trio.sleep(3.0)
         for layer in upper:
-            if how != "both restarted" and not layer.process.children:
-                continue  # the other one is followed
-            if how == "ended in order":
+            if failure != "both restarted" and not layer.process.children:
+                continue  # the lower replica follows the other one
+            if failure == "ended in order":
                 layer.process.stop()
             else:
                 layer.scope.cancel()
-        if how == "both restarted":
+        if failure == "both restarted":
             await trio.sleep(0.5)
             for layer in upper:
                 nursery.start_soon(Layer(f"again-{layer.port}", source.port, port=layer.port).run)
         await trio.sleep(16.0)
-        assert [revision for _, revision in found] == list(range(42, 82))
-        assert max(at_s - told[revision] for at_s, revision in found) <= 4.0
+        assert [revision for _, revision in received] == list(range(42, 82))
+        assert max(at_s - changed_at_s[revision] for at_s, revision in received) <= 4.0
 
-    play(script)
+    run_script(script)
