--- a/glenfold/cli/check.py
+++ b/glenfold/cli/check.py
@@ -3,7 +3,7 @@
 import click
 
 from glenfold.config.operators import read
-from glenfold.config.tables import Faults
+from glenfold.config.tables import FileErrors
 
 
 @click.command("check")
@@ -17,11 +17,11 @@
     for file in files:
         try:
             operators = read(file)
-        except Faults as error:
+        except FileErrors as error:
             bad = True
             error.show()
         else:
             count = len(operators.numbers)
             click.echo(f"{file}: sound, {count} instance{'s' * (count > 1)}")
     if bad:
-        raise SystemExit(Faults.exit_code)
+        raise SystemExit(FileErrors.exit_code)
--- a/glenfold/cli/config.py
+++ b/glenfold/cli/config.py
@@ -5,8 +5,8 @@
 
 import click
 
-from glenfold.config.operators import Operators, Value, read
-from glenfold.config.places import Place
+from glenfold.config.locations import InstanceLocation
+from glenfold.config.operators import OperatorsFile, Value, read
 
 
 @click.group("config")
@@ -29,7 +29,7 @@
     click.echo(as_document(operators) if as_json else "\n".join(as_lines(operators)))
 
 
-def as_document(operators: Operators) -> str:
+def as_document(operators: OperatorsFile) -> str:
     return json.dumps(
         {
             "file": str(operators.path),
@@ -37,13 +37,13 @@
                 {"key": value.key, "value": value.value, "from": value.origin}
                 for value in operators.effective()
             ],
-            "instances": [_instance(operators.place(number)) for number in operators.numbers],
+            "instances": [_instance(operators.location(number)) for number in operators.numbers],
         },
         indent=1,
     )
 
 
-def _instance(place: Place) -> dict[str, Any]:
+def _instance(place: InstanceLocation) -> dict[str, Any]:
     return {
         "number": place.number,
         "name": place.name,
@@ -59,7 +59,7 @@
     }
 
 
-def as_lines(operators: Operators) -> list[str]:
+def as_lines(operators: OperatorsFile) -> list[str]:
     lines, table = [], ""
     for value in operators.effective():
         owner, _, name = value.key.rpartition(".")
@@ -67,7 +67,7 @@
             lines += ["", f"[{owner}]" if "[" not in owner else f"[[{owner.partition('[')[0]}]]"]
             table = owner
         lines.append(_line(name, value))
-    return [*lines, "", *(_comment(operators.place(number)) for number in operators.numbers)]
+    return [*lines, "", *(_comment(operators.location(number)) for number in operators.numbers)]
 
 
 def _line(name: str, value: Value) -> str:
@@ -85,7 +85,7 @@
     return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
 
 
-def _comment(place: Place) -> str:
+def _comment(place: InstanceLocation) -> str:
     number = "" if place.number is None else f" {place.number}"
     listeners = ", ".join(f"{host}:{port}" for host, port in place.listeners)
     return f"# instance{number}: {place.name} on {listeners}; control socket {place.socket or 'none'}"
--- a/glenfold/cli/instances.py
+++ b/glenfold/cli/instances.py
@@ -9,9 +9,9 @@
 import trio
 
 from glenfold.config import ConfigError
+from glenfold.config.locations import InstanceLocation
 from glenfold.config.operators import read
-from glenfold.config.places import Place
-from glenfold.config.tables import Faults
+from glenfold.config.tables import FileErrors
 from glenfold.daemon.ask import NoAnswer, ask
 
 ANSWER_S = 5.0
@@ -30,13 +30,13 @@
     exit_code = FAULTY
 
 
-def places(file: Path, number: int | None, one_only: bool = False) -> list[Place]:
+def places(file: Path, number: int | None, one_only: bool = False) -> list[InstanceLocation]:
     """Of that instance, or of all. Raises Faulty: also if one has no control socket."""
     try:
         found = read(file)
         numbers = found.numbers if number is None and not one_only else (number,)
-        places = [found.place(one) for one in numbers]
-    except Faults as error:
+        places = [found.location(one) for one in numbers]
+    except FileErrors as error:
         error.show()
         raise SystemExit(FAULTY) from None
     except ConfigError as error:
@@ -46,12 +46,12 @@
     return places
 
 
-def ask_all(places: Sequence[Place], word: str) -> list[Answer]:
+def ask_all(places: Sequence[InstanceLocation], word: str) -> list[Answer]:
     """Their answers in the order of `places`, each with the `pid` that the kernel names; where none came,
     `silent` says why."""
     answers: list[Answer] = [{} for _ in places]
 
-    async def one(n: int, place: Place, by: float) -> None:
+    async def one(n: int, place: InstanceLocation, by: float) -> None:
         assert place.socket is not None
         try:
             pid, answer = await ask(place.socket, {"ask": word}, by)
--- a/glenfold/cli/replica.py
+++ b/glenfold/cli/replica.py
@@ -5,7 +5,7 @@
 import click
 
 from glenfold.config.replica import read
-from glenfold.config.tables import Faults
+from glenfold.config.tables import FileErrors
 from glenfold.daemon.replica import main
 
 
@@ -24,9 +24,9 @@
     """
     try:
         terms = read(file)
-    except Faults as error:
+    except FileErrors as error:
         error.show()
-        raise SystemExit(Faults.exit_code) from None
+        raise SystemExit(FileErrors.exit_code) from None
     if check:
         click.echo(f"{file}: sound")
         return
--- a/glenfold/cli/run.py
+++ b/glenfold/cli/run.py
@@ -6,7 +6,7 @@
 
 from glenfold.config import ConfigError
 from glenfold.config.operators import read
-from glenfold.config.tables import Faults
+from glenfold.config.tables import FileErrors
 from glenfold.daemon.run import Run
 
 
@@ -30,10 +30,10 @@
     """
     try:
         one = Run(read(file, base), instance)
-    except Faults as error:
+    except FileErrors as error:
         error.show()
-        raise SystemExit(Faults.exit_code) from None
+        raise SystemExit(FileErrors.exit_code) from None
     except ConfigError as error:
         click.echo(f"{file}: {error}", err=True)
-        raise SystemExit(Faults.exit_code) from None
+        raise SystemExit(FileErrors.exit_code) from None
     raise SystemExit(int(one.main()))
--- a/glenfold/config/__init__.py
+++ b/glenfold/config/__init__.py
@@ -4,12 +4,12 @@
     Address,
     Config,
     ConfigError,
+    ConnectionLimits,
     Names,
-    Room,
+    format_address,
     read_address,
     read_again,
     read_config,
-    written,
 )
 
 __all__ = [
@@ -17,9 +17,9 @@
     "Config",
     "ConfigError",
     "Names",
-    "Room",
+    "ConnectionLimits",
     "read_address",
     "read_again",
     "read_config",
-    "written",
+    "format_address",
 ]
--- a/glenfold/config/checks.py
+++ b/glenfold/config/checks.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 
-from glenfold.config import places
+from glenfold.config import locations
 from glenfold.config.platform import Address, names_of, read_address
 from glenfold.config.settings import as_platform
 from glenfold.config.tables import Reading
@@ -64,7 +64,7 @@
 
     @property
     def each(self) -> Sequence[int | None]:
-        return places.numbers(self.terms) if self.sound("fleet.instances", "fleet.addresses") else ()
+        return locations.numbers(self.terms) if self.sound("fleet.instances", "fleet.addresses") else ()
 
     # ---- names and addresses ----
 
@@ -101,21 +101,21 @@
     def _listeners(self) -> Iterator[tuple[int | None, Key, str, int]]:
         """Those of which nothing is known to be amiss: never the same key again once it is."""
         for number in self.each if self.sound("fleet.port_step") else ():
-            for key, text, step in places.listener_texts(self.terms, number):
+            for key, text, step in locations.listener_texts(self.terms, number):
                 if self.reading.sound(key):
                     yield number, key, text, step
 
     def addresses(self) -> Found:
         for _, key, text, step in self._listeners():
             try:
-                places.listening(text, step)
+                locations.listening(text, step)
             except ValueError as error:
                 yield key, str(error)
 
     def one_address_each(self) -> Found:
         taken: dict[int, list[tuple[str, int | None]]] = {}
         for number, key, text, step in self._listeners():
-            host, port = places.listening(text, step)
+            host, port = locations.listening(text, step)
             for other, by in taken.setdefault(port, []):
                 if other == host or "0.0.0.0" in (other, host):
                     yield (
@@ -169,7 +169,7 @@
             yield key, f"{told} is a listener; give {right}"
 
     def _open_addresses(self) -> set[Address]:
-        return {places.listening(text, step) for _, _, text, step in self._listeners()}
+        return {locations.listening(text, step) for _, _, text, step in self._listeners()}
 
     # ---- limits ----
 
@@ -247,7 +247,7 @@
     def folders(self) -> Found:
         paths = {"instance": self.terms.instance.folder, "snapshot": self.terms.snapshot.folder}
         for part, text in paths.items():
-            if text is not None and (reason := places.unwritable(self.base / text)):
+            if text is not None and (reason := locations.unwritable(self.base / text)):
                 yield f"{part}.folder", reason
 
     def control(self) -> Found:
@@ -259,15 +259,15 @@
         if text is not None and "{name}" not in text and self.terms.fleet and self.terms.fleet.instances > 1:
             yield key, "all instances would have one socket; put {name} into the path"
             return
-        path = places.socket_path(self.terms, self.base, self._longest_name)
+        path = locations.socket_path(self.terms, self.base, self._longest_name)
         if path is None:
             if self.given("control", "on"):
                 yield "control.on", "needs a place: give control.socket or instance.folder"
-        elif len(os.fsencode(path)) > places.MOST_SOCKET_PATH:
-            yield key, f"{path} is too long for a Unix socket; at most {places.MOST_SOCKET_PATH} bytes"
+        elif len(os.fsencode(path)) > locations.MOST_SOCKET_PATH:
+            yield key, f"{path} is too long for a Unix socket; at most {locations.MOST_SOCKET_PATH} bytes"
         elif path.exists() and not path.is_socket():
             yield key, f"{path} is there and is no socket; give another path"
-        elif reason := places.unwritable(path.parent):
+        elif reason := locations.unwritable(path.parent):
             yield key, reason
 
     @property
@@ -281,7 +281,7 @@
         told = self.terms.snapshot
         if self.sound("snapshot.every_s", "snapshot.most_age_s"):
             yield from _at_least("snapshot.most_age_s", told.most_age_s, told.every_s, "snapshot.every_s")
-        nowhere = places.snapshots_path(self.terms, self.base) is None
+        nowhere = locations.snapshots_path(self.terms, self.base) is None
         if self.sound("snapshot", "instance.folder") and self.given("snapshot", "on") and told.on and nowhere:
             yield "snapshot.on", "needs a place: give snapshot.folder or instance.folder"
 
--- a/glenfold/config/places.py
+++ b/glenfold/config/locations.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class InstanceLocation:
     """Of one instance; None: there is none. `folder` holds its files, each named after it, and those of the
     other instances; `snapshots` too is shared. `number`: 1 and up in a fleet."""
 
@@ -54,12 +54,14 @@
     return host, port + step
 
 
-def place(terms: Terms, base: Path, number: int | None) -> Place:
+def locate(terms: Terms, base: Path, number: int | None) -> InstanceLocation:
     """`base`: what paths are relative to."""
     folder = None if terms.instance.folder is None else base / terms.instance.folder
     name = terms.instance.name if number is None else f"{terms.instance.name}-{number}"
     listeners = tuple(listening(text, step) for _, text, step in listener_texts(terms, number))
-    return Place(number, name, listeners, folder, socket_path(terms, base, name), snapshots_path(terms, base))
+    return InstanceLocation(
+        number, name, listeners, folder, socket_path(terms, base, name), snapshots_path(terms, base)
+    )
 
 
 def socket_path(terms: Terms, base: Path, name: str) -> Path | None:
--- a/glenfold/config/operators.py
+++ b/glenfold/config/operators.py
@@ -7,21 +7,21 @@
 from pathlib import Path
 from typing import Any
 
-from glenfold.config import places
+from glenfold.config import locations
 from glenfold.config.checks import Checks
-from glenfold.config.places import Place
+from glenfold.config.locations import InstanceLocation
 from glenfold.config.platform import (
     Address,
     Config,
     ConfigError,
+    ConnectionLimits,
     Parents,
-    Room,
     names_of,
     read_address,
     settings_of,
 )
 from glenfold.config.settings import as_platform, relays
-from glenfold.config.tables import Faults, Table, read_file
+from glenfold.config.tables import FileErrors, Table, read_file
 from glenfold.config.terms import Terms
 from glenfold.located import Key, Located, written
 
@@ -38,7 +38,7 @@
     origin: str
 
 
-class Operators:
+class OperatorsFile:
     """A sound file. `terms` are its tables; paths in them are relative to `base`."""
 
     def __init__(self, located: Located, terms: Terms, base: Path) -> None:
@@ -48,9 +48,9 @@
     @property
     def numbers(self) -> tuple[int | None, ...]:
         """Of its instances: 1 and up in a fleet, None for the one of a file without."""
-        return places.numbers(self.terms)
+        return locations.numbers(self.terms)
 
-    def place(self, number: int | None) -> Place:
+    def location(self, number: int | None) -> InstanceLocation:
         """Raises ConfigError for an instance that the file has not."""
         if number not in self.numbers:
             raise ConfigError(
@@ -59,7 +59,7 @@
                 if number is not None
                 else f"{self._how_many()}: say which",
             )
-        return places.place(self.terms, self.base, number)
+        return locations.locate(self.terms, self.base, number)
 
     def _how_many(self) -> str:
         has = f"instances 1 to {self.numbers[-1]}" if self.terms.fleet else "no fleet"
@@ -68,7 +68,7 @@
     def config(self, number: int | None = None) -> Config:
         """What that instance's relay is told; each call draws a new seed. Raises ConfigError for an instance
         that the file has not, and if its known list has gone."""
-        place, limits, told = self.place(number), self.terms.limits, as_platform(self.terms)
+        place, limits, told = self.location(number), self.terms.limits, as_platform(self.terms)
         sockets = limits.sockets - (len(place.listeners) - 1)
         return Config(
             name=place.name,
@@ -76,7 +76,9 @@
             discovery=self._discovery(),
             parents=self._parents(),
             seed=int.from_bytes(os.urandom(8)),
-            room=Room.within(sockets, float("inf") if limits.memory_mb is None else limits.memory_mb),
+            connection_limits=ConnectionLimits.within(
+                sockets, float("inf") if limits.memory_mb is None else limits.memory_mb
+            ),
             settings=settings_of(told)[0],  # the file itself is checked whole
             names=names_of(told),
             cores=limits.cores,
@@ -142,27 +144,27 @@
     def _has_place(self, part: str | int) -> bool:
         """For what is written; else that part is off."""
         if part == "control":
-            return places.socket_path(self.terms, self.base, "") is not None
+            return locations.socket_path(self.terms, self.base, "") is not None
         if part == "snapshot":
-            return places.snapshots_path(self.terms, self.base) is not None
+            return locations.snapshots_path(self.terms, self.base) is not None
         return self.terms.instance.folder is not None
 
 
-def read(path: str | Path, base: Path | None = None) -> Operators:
+def read(path: str | Path, base: Path | None = None) -> OperatorsFile:
     """Raises Faults: all that is amiss with the file, and with this machine for it. `base`: what its paths
     are relative to, where it is a copy; else that is the file's folder."""
     base = Path(path).parent.absolute() if base is None else base
     reading, terms = read_file(path, Terms)
     Checks(terms, reading, base).run()
     if reading.faults:
-        raise Faults(reading.faults.values())
-    return Operators(reading.located, terms, base)
+        raise FileErrors(reading.faults.values())
+    return OperatorsFile(reading.located, terms, base)
 
 
-class Again:
+class ConfigReload:
     """Reads the file again for an instance that runs, as `glenfold.config.read_again` does the platform's."""
 
-    def __init__(self, begun: Operators, number: int | None) -> None:
+    def __init__(self, begun: OperatorsFile, number: int | None) -> None:
         self._begun, self._number = begun, number
         self.operators = begun  # as read last
 
@@ -170,7 +172,7 @@
         """The configuration from now on, and what waits for a restart. Raises ConfigError with all faults."""
         try:
             operators = read(self._begun.path, self._begun.base)
-        except Faults as error:
+        except FileErrors as error:
             raise ConfigError(str(self._begun.path), "; ".join(error.message.splitlines())) from error
         new = operators.config(self._number)
         waiting = self._waiting(operators, new.settings != current.settings)
@@ -179,14 +181,18 @@
             new = replace(new, discovery=current.discovery, parents=current.parents)
         self.operators = operators
         return replace(
-            current, discovery=new.discovery, parents=new.parents, room=new.room, cores=new.cores
+            current,
+            discovery=new.discovery,
+            parents=new.parents,
+            connection_limits=new.connection_limits,
+            cores=new.cores,
         ), waiting
 
-    def _waiting(self, new: Operators, decides_otherwise: bool) -> list[str]:
+    def _waiting(self, new: OperatorsFile, decides_otherwise: bool) -> list[str]:
         names = [
             name
             for name in Terms.__struct_fields__
             if name not in AT_ONCE and getattr(self._begun.terms, name) != getattr(new.terms, name)
         ]
-        moved = self._begun.place(self._number) != new.place(self._number)
+        moved = self._begun.location(self._number) != new.location(self._number)
         return names or ["fleet"] * (moved or decides_otherwise)  # what this instance has of it
--- a/glenfold/config/platform.py
+++ b/glenfold/config/platform.py
@@ -59,15 +59,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class ConnectionLimits:
     """How many connections there may be at once, within the limits on descriptors and memory."""
 
-    waiting: int  # without a whole first line
-    taken: int  # with one: a descriptor on each side
-    refusing: int  # told that they are refused, and read from for a moment
+    max_awaiting_first_line: int  # without a whole first line
+    max_accepted: int  # with one: a descriptor on each side
+    max_refusing: int  # told that they are refused, and read from for a moment
 
     @classmethod
-    def within(cls, sockets: int, memory_mb: float) -> "Room":
+    def within(cls, sockets: int, memory_mb: float) -> "ConnectionLimits":
         waiting = min(64, (sockets - SPARE_SOCKETS) // 8 + 1)
         taken = min((sockets - SPARE_SOCKETS - waiting) // 2, (memory_mb - BASE_MB) / CONNECTION_MB)
         return cls(waiting, int(taken), REFUSED_SOCKETS)
@@ -79,7 +79,7 @@
     listen: Address
     discovery: Address
     seed: int
-    room: Room
+    connection_limits: ConnectionLimits
     settings: i.Settings
     names: Names
     cores: float = 1.0  # the part of a core that this process may use
@@ -96,7 +96,7 @@
     return host.strip("[]"), int(port)
 
 
-def written(address: Address) -> str:
+def format_address(address: Address) -> str:
     """As `read_address` reads it."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
@@ -193,7 +193,9 @@
         raise ConfigError("LB_CONFIG", "is not a JSON object")
     settings = _object(document, "settings", "settings")
     limits = _object(document, "limits", "limits", {})
-    room = Room.within(int(_limit(limits, "sockets", 1024, 32)), _limit(limits, "memory_mb", math.inf, 24))
+    connection_limits = ConnectionLimits.within(
+        int(_limit(limits, "sockets", 1024, 32)), _limit(limits, "memory_mb", math.inf, 24)
+    )
     try:
         seed = int(document.get("seed", "0"), 16)
     except (TypeError, ValueError) as error:
@@ -206,7 +208,7 @@
         listen=_address(("LB_LISTEN", environment.get("LB_LISTEN")), ("listen", document.get("listen"))),
         discovery=_address(*(reversed(discovery) if again else discovery)),
         seed=seed,
-        room=room,
+        connection_limits=connection_limits,
         settings=read,
         names=names,
         cores=_limit(limits, "cores", 1.0, 0.01),
@@ -226,4 +228,4 @@
         if (key, fault) not in current.faults:
             raise ConfigError(key, fault)
     waiting = [key for key in NEED_RESTART if getattr(new, key) != getattr(current, key)]
-    return replace(current, discovery=new.discovery, room=new.room), waiting
+    return replace(current, discovery=new.discovery, connection_limits=new.connection_limits), waiting
--- a/glenfold/config/replica.py
+++ b/glenfold/config/replica.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from glenfold.config.platform import Address, Parent, read_address
-from glenfold.config.tables import Faults, Reading, Table, read_file
+from glenfold.config.tables import FileErrors, Reading, Table, read_file
 from glenfold.config.terms import AddressText, Length, ListParent, Logging, Name
 from glenfold.located import Key
 
@@ -70,11 +70,11 @@
         for key, reason in check(terms, reading):
             reading.fault(key, reason)
     if reading.faults:
-        raise Faults(reading.faults.values())
+        raise FileErrors(reading.faults.values())
     return terms
 
 
-def waiting(begun: Terms, now: Terms) -> list[str]:
+def tables_needing_restart(begun: Terms, now: Terms) -> list[str]:
     """The tables that have changed and need a restart."""
     return [
         name
@@ -117,16 +117,16 @@
     if not reading.sound(*keys):
         return
     most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    if resource.RLIM_INFINITY != most < descriptors(terms.limits):
+    if resource.RLIM_INFINITY != most < descriptors_needed(terms.limits):
         yield (
             ("limits", "children"),
             (
-                f"with limits.idle_connections needs {descriptors(terms.limits)} open files, and this user "
-                f"may have {most}; lower it, or raise that (ulimit -Hn)"
+                f"with limits.idle_connections needs {descriptors_needed(terms.limits)} open files, and "
+                f"this user may have {most}; lower it, or raise that (ulimit -Hn)"
             ),
         )
 
 
-def descriptors(limits: Limits) -> int:
+def descriptors_needed(limits: Limits) -> int:
     """Open files that a replica needs."""
     return limits.children + limits.idle_connections + SPARE_DESCRIPTORS
--- a/glenfold/config/tables.py
+++ b/glenfold/config/tables.py
@@ -24,7 +24,7 @@
     """A table of a file. What is Annotated carries bounds; other keys than its own are faults."""
 
 
-class Faults(click.ClickException):
+class FileErrors(click.ClickException):
     """All that is amiss with one file, by line: one `FILE:LINE: key.path: reason` each. Ends a command with
     status 2."""
 
@@ -105,11 +105,11 @@
     try:
         located = scan(read_text(path), str(path))
     except BadFile as error:
-        raise Faults([error]) from error
+        raise FileErrors([error]) from error
     reading = Reading(located)
     terms = reading.table(located.data, kind)
     if located.data.get("format", 1) != 1:  # whatever else it says may mean something else there
-        raise Faults([located.fault(("format",), "this glenfold reads format 1 only")])
+        raise FileErrors([located.fault(("format",), "this glenfold reads format 1 only")])
     return reading, terms
 
 
--- a/glenfold/daemon/fleet_orders.py
+++ b/glenfold/daemon/fleet_orders.py
@@ -12,8 +12,8 @@
 
 from glenfold import logs
 from glenfold.config import operators
-from glenfold.config.places import Place as InstancePlace
-from glenfold.config.tables import Faults
+from glenfold.config.locations import InstanceLocation as InstancePlace
+from glenfold.config.tables import FileErrors
 from glenfold.config.terms import Fleet
 from glenfold.daemon.keep import write_whole
 from glenfold.daemon.logfiles import LogFiles
@@ -24,10 +24,10 @@
 LOG_BYTES = 16 << 20  # of one instance, twice: the file and the one before
 
 
-def _read(file: Path) -> operators.Operators:
+def _read(file: Path) -> operators.OperatorsFile:
     try:
         return operators.read(file)
-    except Faults as error:
+    except FileErrors as error:
         raise FileRefused(error.message) from error
 
 
@@ -44,7 +44,7 @@
     return file.parent.absolute() / folder / "supervisor"
 
 
-def _terms(read: operators.Operators, names: tuple[str, ...]) -> Terms:
+def _terms(read: operators.OperatorsFile, names: tuple[str, ...]) -> Terms:
     fleet = msgspec.structs.asdict(read.terms.fleet or Fleet(instances=1))
     told = {name: value for name, value in fleet.items() if name in Terms.__struct_fields__}
     return Terms(**(told | {"instances": names, "take_over": read.terms.restart.take_over}))
@@ -61,7 +61,7 @@
     def read(self) -> Order:
         """Raises FileRefused."""
         text, read = _stable(self.file)
-        places = [read.place(number) for number in read.numbers]
+        places = [read.location(number) for number in read.numbers]
         if folder_of(self.file) != self.place.folder:
             raise FileRefused(
                 f"{self.file}: instance.folder: is another one than this supervisor's; "
@@ -72,7 +72,7 @@
             raise FileRefused(f"{self.file}: control.on: must be true for a supervisor, which looks there")
         return Order(_terms(read, tuple(controls)), controls, lambda: self._accept(text, read, places))
 
-    def _accept(self, text: bytes, read: operators.Operators, places: list[InstancePlace]) -> None:
+    def _accept(self, text: bytes, read: operators.OperatorsFile, places: list[InstancePlace]) -> None:
         self._accepted.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
         write_whole(self._accepted, text)
         self._numbers = {place.name: place.number for place in places}
@@ -98,7 +98,7 @@
         ]
 
 
-def _stable(file: Path) -> tuple[bytes, operators.Operators]:
+def _stable(file: Path) -> tuple[bytes, operators.OperatorsFile]:
     """The text that was checked, and not one that was written meanwhile."""
     while True:
         try:
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from glenfold.config.platform import Address, written
+from glenfold.config.platform import Address, format_address
 from glenfold.net.inbound import LISTEN_BACKLOG
 
 FIRST_PASSED = 3  # behind the three standard streams
@@ -21,7 +21,7 @@
 
 
 def where(listeners: Iterable[socket.socket]) -> list[str]:
-    return [written(sock.getsockname()) for sock in listeners]
+    return [format_address(sock.getsockname()) for sock in listeners]
 
 
 async def resolved(addresses: Iterable[Address]) -> list[str]:
@@ -32,7 +32,7 @@
             infos = await trio.socket.getaddrinfo(host, port, socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
             raise BadListener(f"{host}:{port}: {error.strerror or error}") from error
-        found.append(written((str(infos[0][4][0]), int(infos[0][4][1]))))
+        found.append(format_address((str(infos[0][4][0]), int(infos[0][4][1]))))
     return found
 
 
@@ -66,7 +66,7 @@
 
 def sort_out(passed: Sequence[socket.socket], wants: Iterable[str]) -> Sorted:
     """Closes what is not wanted, and listens where one is missing. After BadListener all are closed."""
-    left = {written(sock.getsockname()): sock for sock in reversed(passed)}
+    left = {format_address(sock.getsockname()): sock for sock in reversed(passed)}
     kept, opened = [], []
     try:
         for address in dict.fromkeys(wants):
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -17,7 +17,7 @@
 
 from glenfold import events
 from glenfold.clock import Clock
-from glenfold.config.platform import Config, ConfigError, written
+from glenfold.config.platform import Config, ConfigError, format_address
 from glenfold.counters import Counters
 from glenfold.daemon.life import Life, State
 from glenfold.daemon.readiness import STEP_S, Readiness
@@ -173,7 +173,9 @@
             if listener not in self._accepting:
                 scope = self._accepting[listener] = trio.CancelScope()
                 self._nursery.start_soon(self._accept, scope, listener, self._nursery)
-                events.relay_listens(name=self.relay.config.name, address=written(listener.getsockname()))
+                events.relay_listens(
+                    name=self.relay.config.name, address=format_address(listener.getsockname())
+                )
 
     def pause(self, listeners: Iterable[SocketType]) -> None:
         """Accepts no more there. The sockets stay open, and with them the kernel's queue of clients."""
@@ -269,7 +271,7 @@
             self.discovery.move_to(config.discovery)
         else:
             self.discovery.reload(config)
-        events.config_reloaded(discovery=written(config.discovery))
+        events.config_reloaded(discovery=format_address(config.discovery))
         if waiting:
             events.config_waits(keys=waiting)
         return Reloaded(waits=tuple(waiting))
--- a/glenfold/daemon/replica.py
+++ b/glenfold/daemon/replica.py
@@ -11,9 +11,9 @@
 import trio
 
 from glenfold import logs
-from glenfold.config.platform import ConfigError, written
-from glenfold.config.replica import Terms, descriptors, read, waiting
-from glenfold.config.tables import Faults
+from glenfold.config.platform import ConfigError, format_address
+from glenfold.config.replica import Terms, descriptors_needed, read, tables_needing_restart
+from glenfold.config.tables import FileErrors
 from glenfold.config.terms import Logging
 from glenfold.daemon.listeners import BadListener, listen
 from glenfold.daemon.process import heed
@@ -66,7 +66,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._server.serve, trio.socket.from_stdlib_socket(listener))
             nursery.start_soon(self._follower.follow)
-            events.listens(name=self._begun.replica.name, address=written(listener.getsockname()))
+            events.listens(name=self._begun.replica.name, address=format_address(listener.getsockname()))
             await self._told_to_stop.wait()
             await self._server.end_watches(self._begun.shutdown.spread_s)
             nursery.cancel_scope.cancel()
@@ -88,7 +88,7 @@
         """A faulty file changes nothing."""
         try:
             terms = read(self._path)
-        except Faults as error:
+        except FileErrors as error:
             self._counters.reloads_refused += 1
             faults = "; ".join(error.message.splitlines())
             config_refused(error=ConfigError(str(self._path), faults))
@@ -99,7 +99,7 @@
         self._terms = terms
         logs.take_terms(log_terms(terms.logging))
         events.reloaded(parents=[parent.address for parent in terms.parents])
-        if keys := waiting(self._begun, terms):
+        if keys := tables_needing_restart(self._begun, terms):
             config_waits(keys=keys)
 
 
@@ -111,8 +111,8 @@
     """Runs the replica of a sound file to its end."""
     logs.begin(log_terms(terms.logging), terms.replica.name)
     try:
-        _allow_descriptors(descriptors(terms.limits))
-        listener = listen(written(terms.listen))
+        _allow_descriptors(descriptors_needed(terms.limits))
+        listener = listen(format_address(terms.listen))
         listener.listen(terms.limits.idle_connections)
         trio.run(_run_by_signals, ReplicaProcess(path, terms), listener)
         return Exit.FINISHED
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -13,8 +13,8 @@
 
 from glenfold import events, logs
 from glenfold.config import Config, ConfigError
-from glenfold.config.operators import Again, Operators
-from glenfold.config.places import Place
+from glenfold.config.locations import InstanceLocation
+from glenfold.config.operators import ConfigReload, OperatorsFile
 from glenfold.daemon import listeners, lock, notify, takeover
 from glenfold.daemon.process import Companion, MakeListSource, Process, run_by_signals
 
@@ -41,11 +41,11 @@
 class Run:
     """`number`: of an instance of a fleet; None without one."""
 
-    def __init__(self, operators: Operators, number: int | None) -> None:
+    def __init__(self, operators: OperatorsFile, number: int | None) -> None:
         self._operators = operators
         self._number = number
-        self._place: Place = operators.place(number)
-        self._again = Again(operators, number)
+        self._place: InstanceLocation = operators.location(number)
+        self._again = ConfigReload(operators, number)
 
     def main(self) -> Exit:
         logs.begin(self._log_terms(), self._place.name)
--- a/glenfold/daemon/takeover.py
+++ b/glenfold/daemon/takeover.py
@@ -16,7 +16,7 @@
 import trio
 
 from glenfold import events
-from glenfold.config.platform import Address, written
+from glenfold.config.platform import Address, format_address
 from glenfold.daemon import handshake, private_socket
 from glenfold.daemon.life import State
 from glenfold.daemon.listeners import BadListener, check, resolved, sort_out, where
@@ -375,7 +375,7 @@
         return incident
 
     def greet(self, hello: handshake.Hello, taken: bool) -> None:
-        places = {listener: written(listener.getsockname()) for listener in self._process.listeners}
+        places = {listener: format_address(listener.getsockname()) for listener in self._process.listeners}
         passed = [listener for listener, where in places.items() if where in hello.wants]
         offer = handshake.Offer(
             [places[listener] for listener in passed],
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -13,7 +13,7 @@
 
 from glenfold import events, lines, request
 from glenfold.clock import SECOND_US, Clock
-from glenfold.config import Config, Room
+from glenfold.config import Config, ConnectionLimits
 from glenfold.counters import Counters
 from glenfold.decisions import Closed, Decisions, Taken
 from glenfold.destinations import DestinationSet
@@ -114,9 +114,9 @@
         self.last_arrival = float("-inf")
 
     @property
-    def _room(self) -> Room:
+    def _room(self) -> ConnectionLimits:
         """The current limits, which SIGHUP may change."""
-        return self._relay.config.room
+        return self._relay.config.connection_limits
 
     async def serve(self, listener: SocketType, nursery: trio.Nursery) -> None:
         """Accepts clients until cancelled or the listener is closed; each runs as a task in `nursery`."""
@@ -143,7 +143,7 @@
         Clients that connect in large numbers and send nothing displace only each other: the first line of a
         normal client has arrived by the time the client is accepted.
         """
-        if len(self._waiting) >= self._room.waiting:
+        if len(self._waiting) >= self._room.max_awaiting_first_line:
             self._waiting.pop(next(iter(self._waiting))).cancel()
             self._counters.crowded_out += 1
 
@@ -218,7 +218,7 @@
             more = buffer.filled > (end or 0)
             await self._refuse(sock, lines.FAILED, more)
             return None
-        if self._taken >= self._room.taken:
+        if self._taken >= self._room.max_accepted:
             self._counters.fail_fast += 1
             await self._refuse(sock, self._busy(), False)
             return None
@@ -238,7 +238,7 @@
         the bytes read are limited, so that a client that floods can't hold the connection.
         """
         await self._send_answer(sock, answer)
-        if not more or self._refusing >= self._room.refusing:
+        if not more or self._refusing >= self._room.max_refusing:
             return
         self._refusing += 1
         try:
--- a/glenfold/net/lists.py
+++ b/glenfold/net/lists.py
@@ -7,7 +7,7 @@
 import trio
 
 from glenfold import events
-from glenfold.config.platform import Address, written
+from glenfold.config.platform import Address, format_address
 from glenfold.counters import Counters
 from glenfold.destinations import DestinationSet
 
@@ -91,7 +91,9 @@
 
         `fields` are further header fields of the request.
         """
-        request = h11.Request(method="GET", target=target, headers=[("Host", written(address)), *fields])
+        request = h11.Request(
+            method="GET", target=target, headers=[("Host", format_address(address)), *fields]
+        )
         for part in (request, h11.EndOfMessage()):
             await self._stream.send_all(self._connection.send(part) or b"")
         while not isinstance(event := await self._event(receive), h11.Response):
--- a/glenfold/replica/follower.py
+++ b/glenfold/replica/follower.py
@@ -12,7 +12,7 @@
 import trio
 
 from glenfold import events
-from glenfold.config.platform import Parent, written
+from glenfold.config.platform import Parent, format_address
 from glenfold.destinations import BadList
 from glenfold.replica.list_taking import ListTaking, Settle
 from glenfold.replica.parent_calls import FRESH_AGE_S, Answer, ParentCalls, Refused
@@ -124,7 +124,9 @@
         """Until its end, or until there is a better one: that one."""
         self._publisher.via(watch.call.greeting.via)
         if watch.parent != self._last:  # not each time that a silent source is asked again
-            events.parent_followed(address=written(watch.parent.address), age_s=watch.call.greeting.age_s)
+            events.parent_followed(
+                address=format_address(watch.parent.address), age_s=watch.call.greeting.age_s
+            )
         self._last = watch.parent
         self._followed += 1
         self._next = None
--- a/glenfold/replica/parent_calls.py
+++ b/glenfold/replica/parent_calls.py
@@ -6,7 +6,7 @@
 import trio
 
 from glenfold import events
-from glenfold.config.platform import Parent, written
+from glenfold.config.platform import Parent, format_address
 from glenfold.destinations import BadList
 from glenfold.replica.list_taking import ListTaking
 from glenfold.replica.parent_watch import FAULTS, GONE, Call, call
@@ -130,7 +130,7 @@
         self._choice.refuse(parent, why, trio.current_time(), retry_after_s)
         if why is not Refusal.STALE and self._told.get(parent) != repr(error):
             self._told[parent] = repr(error)
-            events.parent_refused(address=written(parent.address), why=why.value, error=error)
+            events.parent_refused(address=format_address(parent.address), why=why.value, error=error)
 
     def close(self, found: Call) -> None:
         """At once, whatever is under way."""
--- a/glenfold_lab/model/relay_settings.py
+++ b/glenfold_lab/model/relay_settings.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, fields
 from typing import Any, TypeVar
 
-from glenfold.config import Room
+from glenfold.config import ConnectionLimits
 from glenfold_lab.model.draw import value
 from glenfold_lab.model.fleet import Terms
 from glenfold_lab.spec import Relays, RequestClass, Scenario
@@ -82,7 +82,7 @@
     call: int
     reply: int
     notice: int
-    room: Room
+    room: ConnectionLimits
 
     @classmethod
     def of(cls, relays: Relays, streams: Streams) -> "Costs":
@@ -92,5 +92,5 @@
             call=round(relays.call_us / cores),
             reply=round(relays.reply_us / cores),
             notice=round(relays.notice_us / cores),
-            room=Room.within(relays.sockets or UNBOUND, relays.memory_mb or math.inf),
+            room=ConnectionLimits.within(relays.sockets or UNBOUND, relays.memory_mb or math.inf),
         )
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -163,7 +163,7 @@
 
     def _accept(self, exchange: Exchange) -> None:
         del self._backlog[exchange.event.request]
-        if len(self.exchanges) >= self._costs.room.taken:
+        if len(self.exchanges) >= self._costs.room.max_accepted:
             self._answer(exchange, Final.BUSY, self._most_wait())
             return
         # As the real relay counts: from when it reads the line, be that late.
@@ -182,7 +182,7 @@
         It comes as a real relay's does, as one that already stands somewhere. The decisions are asked where
         they would have placed it, as a fleet that has run for long is one that these decisions have filled:
         each sees what it has placed before, so a full server has sent its share elsewhere."""
-        if len(self.exchanges) >= self._costs.room.taken:
+        if len(self.exchanges) >= self._costs.room.max_accepted:
             return False
         now, event = self._kernel.now, exchange.event
         actions = self.dispatch.balancer.handle(now, event)
--- a/glenfold_lab/scale/connections_run.py
+++ b/glenfold_lab/scale/connections_run.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from glenfold.config import Room
+from glenfold.config import ConnectionLimits
 from glenfold_lab.scale.connection_bounds import REFERENCE
 from glenfold_lab.scale.hollow_clients import Clients, CountLost, Hear, Heard, Open, Opened, Talk, Talked
 from glenfold_lab.scale.hollow_process import HollowFailed, HollowProcess, Schedule
@@ -70,7 +70,7 @@
 def reachable(sizes: Sequence[int], descriptors: int) -> tuple[int, ...]:
     """The sizes that a relay with so many descriptors can hold; the largest of them in place of all those
     that it cannot."""
-    most = Room.within(descriptors, math.inf).taken // ROUND * ROUND
+    most = ConnectionLimits.within(descriptors, math.inf).max_accepted // ROUND * ROUND
     return tuple(sorted({min(size, most) for size in sizes}))
 
 
--- a/tests/config/operators_files.py
+++ b/tests/config/operators_files.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from glenfold.config.operators import Operators, read
-from glenfold.config.tables import Faults
+from glenfold.config.operators import OperatorsFile, read
+from glenfold.config.tables import FileErrors
 
 FIVE = """format = 1
 listeners.addresses = ["127.0.0.1:3000"]
@@ -13,7 +13,7 @@
 """
 
 
-def reading(folder: Path, text: str) -> Operators:
+def reading(folder: Path, text: str) -> OperatorsFile:
     (folder / "glenfold.toml").write_text(text)
     return read(folder / "glenfold.toml")
 
@@ -22,6 +22,6 @@
     """One line each, without the file's name."""
     try:
         reading(folder, text)
-    except Faults as error:
+    except FileErrors as error:
         return [line.removeprefix(f"{folder}/glenfold.toml:") for line in error.message.splitlines()]
     return []
--- a/tests/config/test_fleet_file_page.py
+++ b/tests/config/test_fleet_file_page.py
@@ -31,7 +31,7 @@
     parents = read(tmp_path / "parents.toml").config().parents
     assert parents is not None and (parents.zone, parents.region) == ("wrexham", "wales")
     assert len(shown[0][1].splitlines()) == 5 and least.numbers == (None,)
-    assert [fleet.place(number).listeners for number in (1, 4)] == [
+    assert [fleet.location(number).listeners for number in (1, 4)] == [
         (("0.0.0.0", 3000),),
         (("0.0.0.0", 3003),),
     ]
--- a/tests/config/test_operators.py
+++ b/tests/config/test_operators.py
@@ -15,7 +15,7 @@
 from glenfold.cli.config import in_toml
 from glenfold.cli.main import main
 from glenfold.config import ConfigError, read_config
-from glenfold.config.operators import Again, read
+from glenfold.config.operators import ConfigReload, read
 from glenfold.config.platform import Parent, Parents
 
 ROOT = Path(__file__).parents[2]
@@ -113,13 +113,13 @@
 """,
     ).config()
     assert (ours.settings, ours.names) == (platform.settings, platform.names)
-    assert (ours.room, ours.cores) == (platform.room, platform.cores)
+    assert (ours.connection_limits, ours.cores) == (platform.connection_limits, platform.cores)
 
 
 def test_the_instances_of_a_fleet_share_nothing_but_the_folder(tmp_path: Path) -> None:
     text = "fleet.instances = 3\nfleet.port_step = 10\ninstance = {name = 'v', folder = 'glen'}\n" + FIVE
     operators = reading(tmp_path, text)
-    places = [operators.place(number) for number in operators.numbers]
+    places = [operators.location(number) for number in operators.numbers]
     assert [place.name for place in places] == ["v-1", "v-2", "v-3"]
     assert [place.listeners for place in places] == [(("127.0.0.1", port),) for port in (3000, 3010, 3020)]
     assert [place.socket for place in places] == [tmp_path / "glen" / f"v-{n}.sock" for n in (1, 2, 3)]
@@ -131,7 +131,7 @@
             operators.config(number)
     own = "fleet.addresses = [['127.0.0.1:4', '127.0.0.2:4'], ['127.0.0.3:4']]"
     operators = shown(tmp_path, TWO.replace(FIVE.splitlines()[1], own))
-    assert [operators.place(number).listeners for number in (1, 2)] == [
+    assert [operators.location(number).listeners for number in (1, 2)] == [
         (("127.0.0.1", 4), ("127.0.0.2", 4)),
         (("127.0.0.3", 4),),
     ]
@@ -174,7 +174,7 @@
     assert {value.key: value.value for value in before.effective()} == {
         value.key: value.value for value in after.effective()
     }
-    assert before.place(None) == after.place(None)
+    assert before.location(None) == after.location(None)
     told = {value.key: value.value for value in before.effective() if value.origin != "default"}
     assert (
         values.items()
@@ -212,13 +212,13 @@
 
 
 def test_the_shipped_file_is_sound_and_writes_nothing_to_disk() -> None:
-    place = read(ROOT / "deploy/glenfold.toml").place(None)
+    place = read(ROOT / "deploy/glenfold.toml").location(None)
     assert (place.folder, place.socket, place.snapshots) == (None, None, None)
 
 
 def test_read_again_it_takes_over_what_can_be_and_names_the_rest(tmp_path: Path) -> None:
     begun = reading(tmp_path, FIVE)
-    config, again = begun.config(), Again(begun, None)
+    config, again = begun.config(), ConfigReload(begun, None)
     reading(
         tmp_path,
         "logging.level = 'debug'\nlimits.cores = 0.5\nlimits.sockets = 100\n"
@@ -227,7 +227,11 @@
     new, waiting = again(config)
     assert waiting == ["listeners"]
     assert (new.listen, new.seed, new.settings) == (config.listen, config.seed, config.settings)
-    assert (new.discovery, new.cores, new.room != config.room) == (("127.0.0.1", 8501), 0.5, True)
+    assert (new.discovery, new.cores, new.connection_limits != config.connection_limits) == (
+        ("127.0.0.1", 8501),
+        0.5,
+        True,
+    )
     assert again.operators.terms.logging.level == "debug"
     (tmp_path / "glenfold.toml").write_text(FIVE + "[limits]\nsockets = 3\ncores = 3")
     with pytest.raises(ConfigError, match=r"limits\.sockets: .*; .*limits\.cores: "):
@@ -262,7 +266,7 @@
 
 def test_parents_are_taken_over_when_read_again_but_not_an_agent_in_their_place(tmp_path: Path) -> None:
     begun = reading(tmp_path, PARENTS)
-    config, again = begun.config(), Again(begun, None)
+    config, again = begun.config(), ConfigReload(begun, None)
     reading(tmp_path, PARENTS.replace("8601", "8602"))
     new, waiting = again(config)
     assert waiting == [] and new.parents is not None
@@ -280,18 +284,18 @@
 ) -> None:
     begun = reading(tmp_path, TWO)
     reading(tmp_path, TWO.replace("2", now, 1))
-    assert Again(begun, 2)(begun.config(2))[1] == waiting
+    assert ConfigReload(begun, 2)(begun.config(2))[1] == waiting
 
 
 def test_a_copy_keeps_the_paths_of_its_original(tmp_path: Path) -> None:
     (tmp_path / "copy.toml").write_text("instance.folder = 'glen'\n" + FIVE)
-    assert read(tmp_path / "copy.toml", Path("/elsewhere")).place(None).folder == Path("/elsewhere/glen")
+    assert read(tmp_path / "copy.toml", Path("/elsewhere")).location(None).folder == Path("/elsewhere/glen")
 
 
 def test_of_1024_instances_each_has_its_address_and_a_faulty_one_is_named(tmp_path: Path) -> None:
     own = [[f"127.0.{n // 250}.{n % 250 + 1}:3000"] for n in range(1024)]
     fleet = f"instance.folder = 'glen'\nfleet = {{instances = 1024, addresses = {own}}}\n"
     text = fleet + FIVE.replace(FIVE.splitlines()[1], "")
-    assert reading(tmp_path, text).place(1024).listeners == (("127.0.4.24", 3000),)
+    assert reading(tmp_path, text).location(1024).listeners == (("127.0.4.24", 3000),)
     (fault,) = faults(tmp_path, text.replace("127.0.2.201:3000", "nowhere"))
     assert fault.startswith("2: fleet.addresses[700][0]: 'nowhere'")
--- a/tests/config/test_operators_faults.py
+++ b/tests/config/test_operators_faults.py
@@ -8,7 +8,7 @@
 from operators_files import FIVE, faults
 
 from glenfold.config.operators import read
-from glenfold.config.tables import Faults
+from glenfold.config.tables import FileErrors
 
 FLEET = 'instance.folder = "glen"\nfleet.instances = 3\n' + FIVE.replace("name", "\nname")
 
@@ -139,5 +139,5 @@
 
 def test_a_file_that_cannot_be_read_is_one_fault(tmp_path: Path) -> None:
     (tmp_path / "glenfold.toml").mkdir()
-    with pytest.raises(Faults, match=r"glenfold\.toml: can't be read: Is a directory"):
+    with pytest.raises(FileErrors, match=r"glenfold\.toml: can't be read: Is a directory"):
         read(tmp_path / "glenfold.toml")
--- a/tests/config/test_replica_file.py
+++ b/tests/config/test_replica_file.py
@@ -6,8 +6,8 @@
 import pytest
 
 from glenfold.config.platform import Parent
-from glenfold.config.replica import Terms, descriptors, read, waiting
-from glenfold.config.tables import Faults
+from glenfold.config.replica import Terms, descriptors_needed, read, tables_needing_restart
+from glenfold.config.tables import FileErrors
 
 FILE = """format = 1
 [replica]
@@ -36,7 +36,7 @@
 
 def faults(file: Path, text: str) -> list[str]:
     file.write_text(text)
-    with pytest.raises(Faults) as found:
+    with pytest.raises(FileErrors) as found:
         read(file)
     return [line.removeprefix(f"{file}:") for line in found.value.message.splitlines()]
 
@@ -78,12 +78,12 @@
 def test_a_file_that_is_no_toml_or_is_not_there_is_a_fault(file):
     assert faults(file, "format = \n")[0].startswith("1: not TOML")
     file.unlink()
-    with pytest.raises(Faults, match="can't be read"):
+    with pytest.raises(FileErrors, match="can't be read"):
         read(file)
 
 
 def test_more_children_than_the_user_may_have_open_files_are_a_fault(file, monkeypatch):
-    needed = descriptors(told(file, FILE).limits)
+    needed = descriptors_needed(told(file, FILE).limits)
     monkeypatch.setattr(resource, "getrlimit", lambda which: (256, needed))
     assert told(file, FILE).limits.children == 4096
     monkeypatch.setattr(resource, "getrlimit", lambda which: (256, needed - 1))
@@ -93,6 +93,6 @@
 def test_parents_and_logging_hold_at_once_and_all_else_waits_for_a_restart(file):
     begun = told(file, FILE)
     moved = told(file, FILE.replace(":7001", ":7002") + '[logging]\nlevel = "debug"\n')
-    assert moved.followed != begun.followed and waiting(begun, moved) == []
+    assert moved.followed != begun.followed and tables_needing_restart(begun, moved) == []
     other = FILE.replace(":7100", ":7101") + "[limits]\nidle_s = 3\n[shutdown]\nspread_s = 1\n"
-    assert waiting(begun, told(file, other)) == ["replica", "limits", "shutdown"]
+    assert tables_needing_restart(begun, told(file, other)) == ["replica", "limits", "shutdown"]
--- a/tests/daemon/test_takeover.py
+++ b/tests/daemon/test_takeover.py
@@ -16,7 +16,7 @@
 import relaying
 import trio
 
-from glenfold.config.platform import written
+from glenfold.config.platform import format_address
 from glenfold.daemon import handshake, listeners, takeover
 from glenfold.daemon.life import State
 from glenfold.daemon.process import Process
@@ -41,7 +41,7 @@
         served = await self.nursery.start(
             partial(trio.serve_tcp, relaying.accept_and_echo, 0, host="127.0.0.1")
         )
-        hosts = relaying.whole(relaying.entry("s-0", written(served[0].socket.getsockname())))
+        hosts = relaying.whole(relaying.entry("s-0", format_address(served[0].socket.getsockname())))
         self.config = relaying.config(self.place.folder, known=hosts)
         self.life = Life(self, None)
         await self.life.begin()
@@ -324,8 +324,8 @@
     if fault is None:
         found = listeners.from_environment(environment, 7)
         assert not environment and not any(os.get_inheritable(sock.fileno()) for sock in found)
-        done = listeners.sort_out(found, [written(addresses[1])])
-        assert (done.kept, done.opened, done.closed) == (found[1:], [], [written(addresses[0])])
+        done = listeners.sort_out(found, [format_address(addresses[1])])
+        assert (done.kept, done.opened, done.closed) == (found[1:], [], [format_address(addresses[0])])
         found.pop().close()
         assert found[0].fileno() == -1
     else:
--- a/tests/glenfold_lab/modelled_relays.py
+++ b/tests/glenfold_lab/modelled_relays.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from glenfold.config import Room
+from glenfold.config import ConnectionLimits
 from glenfold.request import RequestState
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.relay_settings import Costs
@@ -111,7 +111,7 @@
     ) -> None:
         self.kernel, self.seen = Kernel(), Recorder()
         self.servers, self.clients = Servers(self.kernel), Callers(self.kernel)
-        costs = Costs(step_us, step_us, step_us, step_us, Room(64, taken, 12))
+        costs = Costs(step_us, step_us, step_us, step_us, ConnectionLimits(64, taken, 12))
         around = Surroundings(self.kernel, self.servers, self.clients, self.seen, costs)
         self.relay = Relay(0, settings, 1, around)
         self.relay.heard(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -218,7 +218,11 @@
             flood.end()
 
     trio.run(main, clock=trio.testing.MockClock())
-    assert conf.room.waiting + 2 * conf.room.taken < max(counts) <= max_count
+    assert (
+        conf.connection_limits.max_awaiting_first_line + 2 * conf.connection_limits.max_accepted
+        < max(counts)
+        <= max_count
+    )
 
 
 def test_a_client_that_reads_nothing_is_still_closed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -14,7 +14,7 @@
 from relaying import OPEN, read_line
 
 from glenfold import lines
-from glenfold.config.platform import written
+from glenfold.config.platform import format_address
 from glenfold.daemon import process
 from glenfold.daemon.life import State
 from glenfold.daemon.process import Process, run_by_signals
@@ -35,7 +35,7 @@
     def __init__(self, folder: Path, address: tuple[str, int], deadline_s: float) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         self.address = listener.getsockname()
-        hosts = relaying.whole(relaying.entry("s-0", written(address)))
+        hosts = relaying.whole(relaying.entry("s-0", format_address(address)))
         self.process = Process(
             relaying.config(folder, known=hosts),
             lambda config: (config, []),
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -340,7 +340,7 @@
     [({"sockets": 256, "memory_mb": 192}, 101), ({"sockets": 1024, "memory_mb": 32}, 250)],
 )
 def test_room_is_within_descriptors_and_memory(tmp_path: Path, limits: dict[str, int], taken: int) -> None:
-    assert relaying.config(tmp_path, limits=limits).room.taken == taken
+    assert relaying.config(tmp_path, limits=limits).connection_limits.max_accepted == taken
 
 
 def test_a_client_is_refused_at_once_when_no_descriptor_is_left(conf: Config) -> None:
@@ -559,7 +559,10 @@
                 nursery.start_soon(heed, signals, {signal.SIGHUP: process.reload})
                 await watched[1].wait()
             # On reload the address in the file applies, although the environment overrides it at the start.
-            assert (shared.config.room.waiting, shared.config.name) == (35, "relay")
+            assert (shared.config.connection_limits.max_awaiting_first_line, shared.config.name) == (
+                35,
+                "relay",
+            )
             assert (shared.counters.reloads, shared.counters.reloads_refused) == (1, 2)
             assert destinations.address(server_number("s-1")) == ("127.0.0.1", 1)
             nursery.cancel_scope.cancel()
