--- a/glenfold/config/__init__.py
+++ b/glenfold/config/__init__.py
@@ -1,4 +1,4 @@
-"""The only place that reads configuration: the platform's JSON, and the operators' file."""
+"""Reads all configuration: the platform's JSON, the operators' file and the file of a control replica."""
 
 from glenfold.config.platform import (
     Address,
--- a/glenfold/config/locations.py
+++ b/glenfold/config/locations.py
@@ -1,4 +1,4 @@
-"""Where each instance of an operators' file is: its name, its addresses, its files."""
+"""The location of each instance of an operators' file: its name, its addresses and its files."""
 
 import os
 from collections.abc import Iterator
@@ -10,13 +10,17 @@
 from glenfold.config.terms import Terms
 from glenfold.located import Key
 
-MOST_SOCKET_PATH = 107  # bytes that the name of a Unix socket may have
+MAX_SOCKET_PATH_BYTES = 107  # The kernel's limit on the path of a Unix socket.
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceLocation:
-    """Of one instance; None: there is none. `folder` holds its files, each named after it, and those of the
-    other instances; `snapshots` too is shared. `number`: 1 and up in a fleet."""
+    """The name, the addresses and the files of one instance.
+
+    `number` counts from 1 in a fleet and is None for the only instance of a file without a fleet. `folder`
+    holds the files of all instances, each file named after its instance; `snapshots` is shared by all
+    instances too. `folder`, `socket` and `snapshots` are None where the instance has none.
+    """
 
     number: int | None
     name: str
@@ -26,15 +30,16 @@
     snapshots: Path | None
 
 
-def numbers(terms: Terms) -> tuple[int | None, ...]:
+def instance_numbers(terms: Terms) -> tuple[int | None, ...]:
+    """Returns the numbers of all instances: 1 and up in a fleet, None for the only instance without one."""
     return (None,) if terms.fleet is None else tuple(range(1, terms.fleet.instances + 1))
 
 
-def listener_texts(terms: Terms, number: int | None) -> Iterator[tuple[Key, str, int]]:
-    """The key that says where it listens, what it says, and what is to be added to that port."""
-    own = terms.fleet.addresses if terms.fleet else None
-    if number is not None and own is not None:
-        for n, text in enumerate(own[number - 1] if number <= len(own) else ()):
+def configured_listeners(terms: Terms, number: int | None) -> Iterator[tuple[Key, str, int]]:
+    """Yields each listener of an instance: its key in the file, its text and the step added to its port."""
+    own_addresses = terms.fleet.addresses if terms.fleet else None
+    if number is not None and own_addresses is not None:
+        for n, text in enumerate(own_addresses[number - 1] if number <= len(own_addresses) else ()):
             yield ("fleet", "addresses", number - 1, n), text, 0
     else:
         step = 0 if terms.fleet is None or number is None else terms.fleet.port_step * (number - 1)
@@ -42,8 +47,8 @@
             yield ("listeners", "addresses", n), text, step
 
 
-def listening(text: str, step: int) -> Address:
-    """Raises ValueError, which says what would be right."""
+def listen_address(text: str, step: int) -> Address:
+    """Returns the address to listen on. Raises ValueError, whose message says what would be right."""
     host, port = read_address(text)
     try:
         IPv4Address(host)
@@ -55,16 +60,17 @@
 
 
 def locate(terms: Terms, base: Path, number: int | None) -> InstanceLocation:
-    """`base`: what paths are relative to."""
+    """Returns the location of an instance; `base` is the folder that relative paths start from."""
     folder = None if terms.instance.folder is None else base / terms.instance.folder
     name = terms.instance.name if number is None else f"{terms.instance.name}-{number}"
-    listeners = tuple(listening(text, step) for _, text, step in listener_texts(terms, number))
+    listeners = tuple(listen_address(text, step) for _, text, step in configured_listeners(terms, number))
     return InstanceLocation(
         number, name, listeners, folder, socket_path(terms, base, name), snapshots_path(terms, base)
     )
 
 
 def socket_path(terms: Terms, base: Path, name: str) -> Path | None:
+    """Returns the path of the control socket of the instance `name`, or None if it has none."""
     if not terms.control.on:
         return None
     if terms.control.socket is not None:
@@ -73,6 +79,7 @@
 
 
 def snapshots_path(terms: Terms, base: Path) -> Path | None:
+    """Returns the folder of the snapshots that all instances share, or None if none are kept."""
     if not terms.snapshot.on:
         return None
     if terms.snapshot.folder is not None:
@@ -80,13 +87,16 @@
     return None if terms.instance.folder is None else base / terms.instance.folder / "snapshots"
 
 
-def unwritable(folder: Path) -> str | None:
-    """Why nothing can be written there; a folder that is missing may be made."""
-    at = folder
-    while not os.path.lexists(at) and at != at.parent:
-        at = at.parent
-    if not at.is_dir():
-        return f"{at} is no folder; give one that can be written"
-    if not os.access(at, os.W_OK | os.X_OK):
-        return f"{at} can't be written by this user ({os.geteuid()}); give a folder that can"
+def why_unwritable(folder: Path) -> str | None:
+    """Returns why no file can be created in `folder`, or None if one can.
+
+    A folder that does not exist may be created later, so its nearest existing parent is checked.
+    """
+    existing = folder
+    while not os.path.lexists(existing) and existing != existing.parent:
+        existing = existing.parent
+    if not existing.is_dir():
+        return f"{existing} is not a folder; give one that this user can write to"
+    if not os.access(existing, os.W_OK | os.X_OK):
+        return f"{existing} can't be written by this user ({os.geteuid()}); give a folder that can be written"
     return None
--- a/glenfold/config/operators.py
+++ b/glenfold/config/operators.py
@@ -1,4 +1,4 @@
-"""The operators' file: read whole, checked whole, and turned into what one instance is told."""
+"""The operators' file: reads it, checks it as a whole and makes the configuration of each instance."""
 
 import json
 import os
@@ -25,13 +25,17 @@
 from glenfold.config.terms import Terms
 from glenfold.located import Key, Located, written
 
-AT_ONCE = ("list", "limits", "logging", "fleet")  # not to wait for a restart: `fleet` is its supervisor's
+# Tables whose changes need no restart of an instance; `fleet` is read by the supervisor.
+RELOADABLE_TABLES = ("list", "limits", "logging", "fleet")
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """`key` as in `settings.classes[0].name`; `value` None: there is none; `origin`: FILE:LINE, `default`, or
-    what it follows from."""
+    """The value of a key and where it comes from.
+
+    `key` is a path such as `settings.classes[0].name`. `value` is None where the key has no value. `origin`
+    is FILE:LINE, `default`, or a text that names the key that the value follows from.
+    """
 
     key: str
     value: Any
@@ -39,7 +43,7 @@
 
 
 class OperatorsFile:
-    """A sound file. `terms` are its tables; paths in them are relative to `base`."""
+    """An operators' file without errors. `terms` are its tables; paths in them are relative to `base`."""
 
     def __init__(self, located: Located, terms: Terms, base: Path) -> None:
         self._located, self.terms, self.base = located, terms, base
@@ -47,60 +51,62 @@
 
     @property
     def numbers(self) -> tuple[int | None, ...]:
-        """Of its instances: 1 and up in a fleet, None for the one of a file without."""
-        return locations.numbers(self.terms)
+        """The numbers of its instances: 1 and up in a fleet, None for the only instance without one."""
+        return locations.instance_numbers(self.terms)
 
     def location(self, number: int | None) -> InstanceLocation:
-        """Raises ConfigError for an instance that the file has not."""
+        """Returns the location of an instance. Raises ConfigError if the file has no such instance."""
         if number not in self.numbers:
             raise ConfigError(
                 "instance",
-                f"{self._how_many()}, and no {number}"
+                f"{self._describe_instances()}, but no instance {number}"
                 if number is not None
-                else f"{self._how_many()}: say which",
+                else f"{self._describe_instances()}: give the number of one",
             )
         return locations.locate(self.terms, self.base, number)
 
-    def _how_many(self) -> str:
-        has = f"instances 1 to {self.numbers[-1]}" if self.terms.fleet else "no fleet"
-        return f"{self.path} has {has}"
+    def _describe_instances(self) -> str:
+        instances = f"instances 1 to {self.numbers[-1]}" if self.terms.fleet else "no fleet"
+        return f"{self.path} has {instances}"
 
     def config(self, number: int | None = None) -> Config:
-        """What that instance's relay is told; each call draws a new seed. Raises ConfigError for an instance
-        that the file has not, and if its known list has gone."""
-        place, limits, told = self.location(number), self.terms.limits, as_platform(self.terms)
-        sockets = limits.sockets - (len(place.listeners) - 1)
+        """Returns the configuration of the relay of an instance, with a new random seed at each call.
+
+        Raises ConfigError if the file has no such instance, or if its known list can't be read any more.
+        """
+        location, limits, settings = self.location(number), self.terms.limits, as_platform(self.terms)
+        sockets = limits.sockets - (len(location.listeners) - 1)
         return Config(
-            name=place.name,
-            listen=place.listeners[0],
+            name=location.name,
+            listen=location.listeners[0],
             discovery=self._discovery(),
             parents=self._parents(),
             seed=int.from_bytes(os.urandom(8)),
             connection_limits=ConnectionLimits.within(
                 sockets, float("inf") if limits.memory_mb is None else limits.memory_mb
             ),
-            settings=settings_of(told)[0],  # the file itself is checked whole
-            names=names_of(told),
+            settings=settings_of(settings)[0],  # It has no problems, as the file was checked.
+            names=names_of(settings),
             cores=limits.cores,
-            known=self._known(),
+            known=self._known_list(),
             split_groups=self.terms.settings.rules.split_groups,
         )
 
     def _discovery(self) -> Address:
-        """The agent's, or the first of the parents'."""
-        told = self.terms.list
-        return read_address(told.discovery or (told.parents or ())[0].address)
+        """Returns the address of the discovery agent, or else of the first parent."""
+        source = self.terms.list
+        return read_address(source.discovery or (source.parents or ())[0].address)
 
     def _parents(self) -> Parents | None:
-        told, settings = self.terms.list, self.terms.settings
-        if told.parents is None:
+        source, settings = self.terms.list, self.terms.settings
+        if source.parents is None:
             return None
-        parents = tuple(one.parent for one in told.parents)
+        parents = tuple(entry.parent for entry in source.parents)
         zone = settings.zone or next(iter(settings.zones), None)
-        same_zone = (one.region for one in parents if one.zone == zone is not None)
-        return Parents(parents, zone, told.region or next(same_zone, None))
+        regions_of_zone = (parent.region for parent in parents if parent.zone == zone is not None)
+        return Parents(parents, zone, source.region or next(regions_of_zone, None))
 
-    def _known(self) -> dict[str, Any]:
+    def _known_list(self) -> dict[str, Any]:
         if self.terms.list.known is None:
             return {}
         try:
@@ -109,7 +115,7 @@
             raise ConfigError("list.known", f"can't be read: {error}") from error
 
     def effective(self) -> Iterator[Value]:
-        """Every key that holds, with where its value came from."""
+        """Yields the value of every key, with the origin of the value."""
         yield from self._values(self.terms, ())
 
     def _values(self, value: Any, key: Key) -> Iterator[Value]:
@@ -118,31 +124,34 @@
                 if key or getattr(value, name) is not None:
                     yield from self._values(getattr(value, name), (*key, name))
         elif isinstance(value, tuple) and value and isinstance(value[0], Table):
-            for n, one in enumerate(value):
-                yield from self._values(one, (*key, n))
+            for n, item in enumerate(value):
+                yield from self._values(item, (*key, n))
         elif key in self._located.lines:
             yield Value(written(key), value, f"{self._located.name}:{self._located.lines[key]}")
         else:
-            yield self._implied(key, value)
+            yield self._implied_value(key, value)
 
-    def _implied(self, key: Key, value: Any) -> Value:
-        """What the file does not say; some of it follows from what it does."""
-        found, origin = value, "default"
+    def _implied_value(self, key: Key, value: Any) -> Value:
+        """Returns the value of a key that the file does not set: derived from other keys, or the default."""
+        implied, origin = value, "default"
         match key:
             case ("settings", "rules", "relays"):
-                found, origin = relays(self.terms), "from fleet.instances" if self.terms.fleet else "default"
+                implied, origin = (
+                    relays(self.terms),
+                    "from fleet.instances" if self.terms.fleet else "default",
+                )
             case ("fleet", "port_step") if self.terms.fleet and self.terms.fleet.addresses:
-                found, origin = None, "from fleet.addresses"
-            case (("control" | "snapshot"), "on") | ("restart", "take_over") if not self._has_place(key[0]):
-                found, origin = False, "there is no instance.folder"
-            case (("control" | "snapshot"), ("socket" | "folder")) if self._has_place(key[0]):
+                implied, origin = None, "from fleet.addresses"
+            case (("control" | "snapshot"), "on") | ("restart", "take_over") if not self._has_path(key[0]):
+                implied, origin = False, "there is no instance.folder"
+            case (("control" | "snapshot"), ("socket" | "folder")) if self._has_path(key[0]):
                 folder = self.terms.instance.folder or ""
-                found = str(Path(folder, "{name}.sock" if key[0] == "control" else "snapshots"))
+                implied = str(Path(folder, "{name}.sock" if key[0] == "control" else "snapshots"))
                 origin = "from instance.folder"
-        return Value(written(key), found, origin)
+        return Value(written(key), implied, origin)
 
-    def _has_place(self, part: str | int) -> bool:
-        """For what is written; else that part is off."""
+    def _has_path(self, part: str | int) -> bool:
+        """Returns whether the file gives a path for the files of `part`; without one the part is off."""
         if part == "control":
             return locations.socket_path(self.terms, self.base, "") is not None
         if part == "snapshot":
@@ -151,31 +160,39 @@
 
 
 def read(path: str | Path, base: Path | None = None) -> OperatorsFile:
-    """Raises Faults: all that is amiss with the file, and with this machine for it. `base`: what its paths
-    are relative to, where it is a copy; else that is the file's folder."""
+    """Reads and checks an operators' file. Raises FileErrors with all errors, also those of this machine.
+
+    `base` is the folder that its paths are relative to, for a copy of a file; by default the file's folder.
+    """
     base = Path(path).parent.absolute() if base is None else base
-    reading, terms = read_file(path, Terms)
-    Checks(terms, reading, base).run()
-    if reading.faults:
-        raise FileErrors(reading.faults.values())
-    return OperatorsFile(reading.located, terms, base)
+    reader, terms = read_file(path, Terms)
+    Checks(terms, reader, base).run()
+    if reader.errors:
+        raise FileErrors(reader.errors.values())
+    return OperatorsFile(reader.located, terms, base)
 
 
 class ConfigReload:
-    """Reads the file again for an instance that runs, as `glenfold.config.read_again` does the platform's."""
+    """Reads the file again for a running instance, like `glenfold.config.read_again` for the platform's file.
 
-    def __init__(self, begun: OperatorsFile, number: int | None) -> None:
-        self._begun, self._number = begun, number
-        self.operators = begun  # as read last
+    `operators` is the file as it was last read without errors.
+    """
+
+    def __init__(self, started_with: OperatorsFile, number: int | None) -> None:
+        self._started_with, self._number = started_with, number
+        self.operators = started_with
 
     def __call__(self, current: Config) -> tuple[Config, list[str]]:
-        """The configuration from now on, and what waits for a restart. Raises ConfigError with all faults."""
+        """Returns the new configuration and the tables whose changes wait for a restart.
+
+        Raises ConfigError with all errors of the file.
+        """
         try:
-            operators = read(self._begun.path, self._begun.base)
+            operators = read(self._started_with.path, self._started_with.base)
         except FileErrors as error:
-            raise ConfigError(str(self._begun.path), "; ".join(error.message.splitlines())) from error
+            raise ConfigError(str(self._started_with.path), "; ".join(error.message.splitlines())) from error
         new = operators.config(self._number)
-        waiting = self._waiting(operators, new.settings != current.settings)
+        waiting = self._tables_needing_restart(operators, new.settings != current.settings)
         if (new.parents is None) != (current.parents is None):
             waiting.insert(0, "list")
             new = replace(new, discovery=current.discovery, parents=current.parents)
@@ -188,11 +205,13 @@
             cores=new.cores,
         ), waiting
 
-    def _waiting(self, new: OperatorsFile, decides_otherwise: bool) -> list[str]:
+    def _tables_needing_restart(self, new: OperatorsFile, settings_changed: bool) -> list[str]:
         names = [
             name
             for name in Terms.__struct_fields__
-            if name not in AT_ONCE and getattr(self._begun.terms, name) != getattr(new.terms, name)
+            if name not in RELOADABLE_TABLES
+            and getattr(self._started_with.terms, name) != getattr(new.terms, name)
         ]
-        moved = self._begun.location(self._number) != new.location(self._number)
-        return names or ["fleet"] * (moved or decides_otherwise)  # what this instance has of it
+        location_changed = self._started_with.location(self._number) != new.location(self._number)
+        # Of `fleet`, an instance needs a restart only for its own location and settings.
+        return names or ["fleet"] * (location_changed or settings_changed)
--- a/glenfold/config/platform.py
+++ b/glenfold/config/platform.py
@@ -1,4 +1,4 @@
-"""The one place where the environment and LB_CONFIG are read, checked and given defaults."""
+"""Reads the environment and the file named by LB_CONFIG, checks them and fills in the defaults."""
 
 import json
 import math
@@ -8,23 +8,25 @@
 from pathlib import Path
 from typing import Any
 
-from linnetspread import interface as i
+from linnetspread import interface
 from linnetspread.wire import Problem, read_settings
 
 Address = tuple[str, int]
 
 
 class ConfigError(Exception):
-    """Names the faulty key."""
+    """Raised when the configuration has an error; the message starts with the key."""
 
-    def __init__(self, key: str, fault: str) -> None:
-        super().__init__(f"{key}: {fault}")
+    def __init__(self, key: str, reason: str) -> None:
+        super().__init__(f"{key}: {reason}")
 
 
 @dataclass(frozen=True, slots=True)
 class Parent:
-    """A control replica, or discovery itself, that lists can be followed from. None: it is not said where it
-    stands."""
+    """A control replica, or discovery itself, that server lists can be followed from.
+
+    `zone` and `region` are None where the configuration does not give them.
+    """
 
     address: Address
     zone: str | None = None
@@ -33,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Parents:
-    """Several to follow one of, and where the one that follows stands."""
+    """The parents that a relay may follow one of, and the zone and region of the relay itself."""
 
     parents: tuple[Parent, ...]
     zone: str | None = None
@@ -42,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """Where the settings list a name; the decisions know only its place."""
+    """The index of each name in the lists of the settings; the decisions know a name only by its index."""
 
     classes: dict[str, int]
     tenants: dict[str, int]
@@ -50,46 +52,54 @@
     kinds: dict[str, int]
 
 
-OWN_SOCKETS = 15  # standard streams, event loop, listener, log, control socket, discovery: no client gets one
-REFUSED_SOCKETS = 6  # of clients that are told why they are refused, and read from meanwhile
-CLOSING_SOCKETS = 3  # of clients that are closed within a few turns of the event loop
+# Descriptors that no client gets: standard streams, event loop, listener, log, control socket, discovery.
+OWN_SOCKETS = 15
+REFUSED_SOCKETS = 6  # Clients that are being sent the reason of their refusal, and read from meanwhile.
+CLOSING_SOCKETS = 3  # Clients whose sockets are closed within a few turns of the event loop.
 SPARE_SOCKETS = OWN_SOCKETS + REFUSED_SOCKETS + CLOSING_SOCKETS
-BASE_MB = 22  # of a relay without connections
-CONNECTION_MB = 0.04  # of one with both its sides
+BASE_MB = 22  # The memory of a relay without connections.
+CONNECTION_MB = 0.04  # The memory of one connection with both its sides.
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """How many connections there may be at once, within the limits on descriptors and memory."""
+    """The numbers of connections that a relay may have at once, by their state."""
 
-    max_awaiting_first_line: int  # without a whole first line
-    max_accepted: int  # with one: a descriptor on each side
-    max_refusing: int  # told that they are refused, and read from for a moment
+    max_awaiting_first_line: int  # Connections whose first line is not complete.
+    max_accepted: int  # Connections with a complete first line; each takes a descriptor on both sides.
+    max_refusing: int  # Connections that are being sent a refusal and are read from for a short time.
 
     @classmethod
     def within(cls, sockets: int, memory_mb: float) -> "ConnectionLimits":
-        waiting = min(64, (sockets - SPARE_SOCKETS) // 8 + 1)
-        taken = min((sockets - SPARE_SOCKETS - waiting) // 2, (memory_mb - BASE_MB) / CONNECTION_MB)
-        return cls(waiting, int(taken), REFUSED_SOCKETS)
+        """Returns the limits that fit into `sockets` descriptors and `memory_mb` of memory."""
+        max_awaiting = min(64, (sockets - SPARE_SOCKETS) // 8 + 1)
+        max_accepted = min(
+            (sockets - SPARE_SOCKETS - max_awaiting) // 2, (memory_mb - BASE_MB) / CONNECTION_MB
+        )
+        return cls(max_awaiting, int(max_accepted), REFUSED_SOCKETS)
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of one relay."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
     connection_limits: ConnectionLimits
-    settings: i.Settings
+    settings: interface.Settings
     names: Names
-    cores: float = 1.0  # the part of a core that this process may use
-    known: dict[str, Any] = field(default_factory=dict)  # in discovery's form; checked where that is read
-    split_groups: bool = False  # whether a large group is placed in parts
-    faults: tuple[Problem, ...] = ()  # in the settings, where a default stands for what they say
-    parents: Parents | None = None  # in place of `discovery`, which is the first of them then
+    cores: float = 1.0  # The part of a core that this process may use.
+    # The known list, in the form that discovery sends; it is checked when the list is read.
+    known: dict[str, Any] = field(default_factory=dict)
+    split_groups: bool = False  # Whether a large group is placed in parts.
+    problems: tuple[Problem, ...] = ()  # Invalid settings; the default is used in place of each.
+    parents: Parents | None = None  # If given, they replace `discovery`, which is the first parent then.
 
 
 def read_address(text: str) -> Address:
+    """Parses HOST:PORT, where an IPv6 host stands in brackets. Raises ValueError for any other text."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} is not HOST:PORT")
@@ -97,14 +107,17 @@
 
 
 def format_address(address: Address) -> str:
-    """As `read_address` reads it."""
+    """Returns the address in the form that `read_address` parses."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def _address(*places: tuple[str, Any]) -> Address:
-    """From the first of these places that says anything; a fault is put down to that one."""
-    key, text = next((place for place in places if place[1]), places[0])
+def _address(*sources: tuple[str, Any]) -> Address:
+    """Returns the address from the first of these (key, text) pairs whose text is not empty.
+
+    An error names the key of that pair, or of the first pair if all are empty.
+    """
+    key, text = next((source for source in sources if source[1]), sources[0])
     if not isinstance(text, str) or not text:
         raise ConfigError(key, "is not HOST:PORT" if text else "is missing")
     try:
@@ -113,54 +126,59 @@
         raise ConfigError(key, str(error)) from error
 
 
-def _flat(value: Any, path: str) -> list[str]:
-    """Nested JSON as the `path=value` lines of the simulator's settings."""
+def _flatten(value: Any, path: str) -> list[str]:
+    """Converts nested JSON to the `path=value` lines of the simulator's settings."""
     if isinstance(value, dict):
-        return [line for name, inner in value.items() for line in _flat(inner, f"{path}.{name}".lstrip("."))]
-    if isinstance(value, list) and any(isinstance(inner, dict) for inner in value):
-        inner_lines = [line for n, inner in enumerate(value) for line in _flat(inner, f"{path}.{n}")]
-        return [f"{path}.count={len(value)}", *inner_lines]
+        return [line for name, item in value.items() for line in _flatten(item, f"{path}.{name}".lstrip("."))]
+    if isinstance(value, list) and any(isinstance(item, dict) for item in value):
+        item_lines = [line for n, item in enumerate(value) for line in _flatten(item, f"{path}.{n}")]
+        return [f"{path}.count={len(value)}", *item_lines]
     if isinstance(value, list):
-        return [f"{path}={','.join(_plain(inner, path) for inner in value)}"]
-    return [f"{path}={_plain(value, path)}"]
+        return [f"{path}={','.join(_format_value(item, path) for item in value)}"]
+    return [f"{path}={_format_value(value, path)}"]
 
 
-def _plain(value: Any, path: str) -> str:
+def _format_value(value: Any, path: str) -> str:
     if isinstance(value, float) and not math.isfinite(value):
         raise ConfigError(f"settings.{path}", "is not a finite number")
     if isinstance(value, bool):
         return str(value).lower()
-    return re.sub(r"[\s,]", "_", str(value))  # a line's end too, or a name could bring a setting of its own
+    # Line breaks are replaced too, as a name that holds one could otherwise inject a setting.
+    return re.sub(r"[\s,]", "_", str(value))
 
 
-def _places(values: Any, key: str) -> dict[str, int]:
-    """The place of each name in a list of names, or of objects that have one."""
+def _name_indexes(values: Any, key: str) -> dict[str, int]:
+    """Returns the index of each name in a list of names or of objects with a `name`."""
     if not isinstance(values, list):
         raise ConfigError(key, "is not a list")
-    places: dict[str, int] = {}
+    indexes: dict[str, int] = {}
     for n, value in enumerate(values):
         name = value.get("name") if isinstance(value, dict) else value
         if not isinstance(name, str):
             raise ConfigError(f"{key}.{n}", "has no name")
-        places[name] = n
-    return places
+        indexes[name] = n
+    return indexes
 
 
-def settings_of(settings: dict[str, Any]) -> tuple[i.Settings, tuple[Problem, ...]]:
-    """Of that JSON object, with what is faulty in it. Whatever it says: no line of the protocol tells what a
-    message takes."""
-    faults: list[Problem] = []
-    read = replace(read_settings("\n".join(_flat(settings, "")), faults), tells_delay=False)
-    return read, tuple((f"settings.{key}", fault) for key, fault in faults)
+def settings_of(settings: dict[str, Any]) -> tuple[interface.Settings, tuple[Problem, ...]]:
+    """Returns the settings in the JSON object, and the problems found in it.
+
+    `tells_delay` is always False, as no line of the protocol reports how long a message takes.
+    """
+    problems: list[Problem] = []
+    parsed = replace(read_settings("\n".join(_flatten(settings, "")), problems), tells_delay=False)
+    return parsed, tuple((f"settings.{key}", problem) for key, problem in problems)
 
 
 def names_of(settings: dict[str, Any]) -> Names:
+    """Returns the indexes of all names in the JSON object. Raises ConfigError if a list is not valid."""
     if not settings.get("classes"):
         raise ConfigError("settings.classes", "is missing")
-    found = [
-        _places(settings.get(key, []), f"settings.{key}") for key in ("classes", "accounts", "areas", "kinds")
+    indexes = [
+        _name_indexes(settings.get(key, []), f"settings.{key}")
+        for key in ("classes", "accounts", "areas", "kinds")
     ]
-    return Names(*found)
+    return Names(*indexes)
 
 
 def _object(parent: Mapping[str, Any], key: str, path: str, default: Any = None) -> dict[str, Any]:
@@ -170,18 +188,21 @@
     return value
 
 
-def _limit(limits: Mapping[str, Any], key: str, default: float, least: float) -> float:
+def _limit(limits: Mapping[str, Any], key: str, default: float, minimum: float) -> float:
     value = limits.get(key)
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < math.inf:
-        raise ConfigError(f"limits.{key}", f"{value!r} is not a number of at least {least}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < math.inf:
+        raise ConfigError(f"limits.{key}", f"{value!r} is not a number of at least {minimum}")
     return float(value)
 
 
-def read_config(environment: Mapping[str, str], again: bool = False) -> Config:
-    """LB_NAME, LB_LISTEN and LB_DISCOVERY go before what the file named by LB_CONFIG says; when it is read
-    again, what it says of discovery is the newer word and goes before the environment."""
+def read_config(environment: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Returns the configuration from the environment and the file named by LB_CONFIG.
+
+    LB_NAME, LB_LISTEN and LB_DISCOVERY take precedence over the file. At a reload (`is_reload`), the file's
+    address of discovery is the newer one and takes precedence over LB_DISCOVERY. Raises ConfigError.
+    """
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG", "is not set")
@@ -201,31 +222,35 @@
     except (TypeError, ValueError) as error:
         raise ConfigError("seed", "is not a hexadecimal number") from error
     names = names_of(settings)
-    read, faults = settings_of(settings)
+    parsed, problems = settings_of(settings)
     discovery = [("LB_DISCOVERY", environment.get("LB_DISCOVERY")), ("discovery", document.get("discovery"))]
     return Config(
         name=environment.get("LB_NAME") or str(document.get("name", "relay")),
         listen=_address(("LB_LISTEN", environment.get("LB_LISTEN")), ("listen", document.get("listen"))),
-        discovery=_address(*(reversed(discovery) if again else discovery)),
+        discovery=_address(*(reversed(discovery) if is_reload else discovery)),
         seed=seed,
         connection_limits=connection_limits,
-        settings=read,
+        settings=parsed,
         names=names,
         cores=_limit(limits, "cores", 1.0, 0.01),
         known=_object(document, "known", "known", {}),
-        faults=faults,
+        problems=problems,
     )
 
 
-NEED_RESTART = ("name", "listen", "settings")  # `seed` and `known` are for a start alone
+# Keys whose changes need a restart. `seed` and `known` are not among them, as only a start uses them.
+NEED_RESTART = ("name", "listen", "settings")
 
 
 def read_again(environment: Mapping[str, str], current: Config) -> tuple[Config, list[str]]:
-    """The configuration after SIGHUP, and the keys whose new values wait for a restart. A setting that has
-    become faulty is refused: at a start somebody must serve, here somebody does."""
-    new = read_config(environment, again=True)
-    for key, fault in new.faults:
-        if (key, fault) not in current.faults:
-            raise ConfigError(key, fault)
+    """Returns the configuration after SIGHUP, and the keys whose new values wait for a restart.
+
+    Raises ConfigError for a setting that has become invalid. A start accepts such a setting and uses the
+    default, as a relay must serve; at a reload the relay already serves with valid settings.
+    """
+    new = read_config(environment, is_reload=True)
+    for key, reason in new.problems:
+        if (key, reason) not in current.problems:
+            raise ConfigError(key, reason)
     waiting = [key for key in NEED_RESTART if getattr(new, key) != getattr(current, key)]
     return replace(current, discovery=new.discovery, connection_limits=new.connection_limits), waiting
--- a/glenfold/config/replica.py
+++ b/glenfold/config/replica.py
@@ -1,6 +1,6 @@
-"""The file of a control replica: read whole and checked whole, as the operators' file is.
+"""The configuration file of a control replica, read and checked as a whole like the operators' file.
 
-docs/operators/replica.md tells what each key does.
+docs/operators/replica.md says what each key does.
 """
 
 import re
@@ -12,19 +12,21 @@
 from msgspec import Meta
 
 from glenfold.config.platform import Address, Parent, read_address
-from glenfold.config.tables import FileErrors, Reading, Table, read_file
-from glenfold.config.terms import AddressText, Length, ListParent, Logging, Name
+from glenfold.config.tables import FileErrors, Table, TableReader, read_file
+from glenfold.config.terms import AddressText, Duration, ListParent, Logging, Name
 from glenfold.located import Key
 
 MB = 1 << 20
-NAME = re.compile(r"[A-Za-z0-9][\w.-]*", re.ASCII)  # also in a Via header field
-SPARE_DESCRIPTORS = 64  # for the listener, the log, the parents, and those being refused
-AT_ONCE = ("parents", "logging")  # not to wait for a restart
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][\w.-]*", re.ASCII)  # The name is also sent in a Via header field.
+SPARE_DESCRIPTORS = 64  # For the listener, the log, the parents and the connections being refused.
+RELOADABLE_TABLES = ("parents", "logging")  # Tables whose changes need no restart.
 
-Found = Iterator[tuple[Key, str]]
+Problems = Iterator[tuple[Key, str]]  # Pairs of a key and what is wrong with it.
 
 
 class Replica(Table, frozen=True):
+    """The name, the listener and the location of the replica."""
+
     name: Name
     listen: AddressText
     zone: Name | None = None
@@ -32,10 +34,12 @@
 
 
 class Limits(Table, frozen=True):
+    """Limits on the replica's connections and on the history of revisions that it keeps."""
+
     children: Annotated[int, Meta(ge=1, le=65_536)] = 4096
     idle_connections: Annotated[int, Meta(ge=1, le=65_536)] = 4096
-    idle_s: Length = 10.0
-    blocked_s: Length = 5.0
+    idle_s: Duration = 10.0
+    blocked_s: Duration = 5.0
     history_revisions: Annotated[int, Meta(ge=1, le=1_000_000)] = 4096
     history_mb: Annotated[float, Meta(ge=0.01, le=1024)] = 16.0
     whole_lists_at_once: Annotated[int, Meta(ge=1, le=1024)] = 32
@@ -43,10 +47,14 @@
 
 
 class Shutdown(Table, frozen=True):
+    """How the replica shuts down."""
+
     spread_s: Annotated[float, Meta(ge=0, le=600)] = 5.0
 
 
 class Terms(Table, frozen=True):
+    """All tables of a control replica's file."""
+
     format: Literal[1]
     replica: Replica
     parents: Annotated[tuple[ListParent, ...], Meta(min_length=1, max_length=64)]
@@ -56,49 +64,51 @@
 
     @property
     def listen(self) -> Address:
+        """The address that the replica listens on."""
         return read_address(self.replica.listen)
 
     @property
     def followed(self) -> tuple[Parent, ...]:
-        return tuple(one.parent for one in self.parents)
+        """The parents that the replica may follow."""
+        return tuple(entry.parent for entry in self.parents)
 
 
 def read(path: str | Path) -> Terms:
-    """Raises Faults: all that is amiss with the file, and with this machine for it."""
-    reading, terms = read_file(path, Terms)
-    for check in (_name, _addresses, _descriptors):
-        for key, reason in check(terms, reading):
-            reading.fault(key, reason)
-    if reading.faults:
-        raise FileErrors(reading.faults.values())
+    """Reads and checks a replica's file. Raises FileErrors with all errors, also those of this machine."""
+    reader, terms = read_file(path, Terms)
+    for check in (_check_name, _check_addresses, _check_descriptors):
+        for key, reason in check(terms, reader):
+            reader.add_error(key, reason)
+    if reader.errors:
+        raise FileErrors(reader.errors.values())
     return terms
 
 
-def tables_needing_restart(begun: Terms, now: Terms) -> list[str]:
-    """The tables that have changed and need a restart."""
+def tables_needing_restart(started_with: Terms, current: Terms) -> list[str]:
+    """Returns the names of the tables that have changed and take effect only after a restart."""
     return [
         name
         for name in Terms.__struct_fields__
-        if name not in AT_ONCE and getattr(begun, name) != getattr(now, name)
+        if name not in RELOADABLE_TABLES and getattr(started_with, name) != getattr(current, name)
     ]
 
 
-def _name(terms: Terms, reading: Reading) -> Found:
+def _check_name(terms: Terms, reader: TableReader) -> Problems:
     key = ("replica", "name")
-    if reading.sound(key) and not NAME.fullmatch(terms.replica.name):
+    if reader.is_valid(key) and not NAME_PATTERN.fullmatch(terms.replica.name):
         name = terms.replica.name
         yield key, f"{name!r} is not letters, digits, '.', '_' and '-', the first a letter or digit"
 
 
-def _addresses(terms: Terms, reading: Reading) -> Found:
-    """The replica's own address is none of a parent."""
-    places: list[tuple[Key, str]] = []
-    if reading.sound(("replica", "listen")):
-        places.append((("replica", "listen"), terms.replica.listen))
-    if reading.sound(("parents",)):
-        places += [(("parents", n, "address"), one.address) for n, one in enumerate(terms.parents)]
+def _check_addresses(terms: Terms, reader: TableReader) -> Problems:
+    """Checks that each parent has an address of its own and that none is the replica's own address."""
+    addresses: list[tuple[Key, str]] = []
+    if reader.is_valid(("replica", "listen")):
+        addresses.append((("replica", "listen"), terms.replica.listen))
+    if reader.is_valid(("parents",)):
+        addresses += [(("parents", n, "address"), entry.address) for n, entry in enumerate(terms.parents)]
     taken: dict[Address, Key] = {}
-    for key, text in places:
+    for key, text in addresses:
         try:
             address = read_address(text)
         except ValueError as error:
@@ -107,26 +117,26 @@
         if address not in taken:
             taken[address] = key
         elif taken[address] == ("replica", "listen"):
-            yield key, f"{text} is where this replica itself listens"
+            yield key, f"{text} is the address that this replica itself listens on"
         else:
-            yield key, f"{text} stands there twice"
+            yield key, f"{text} is listed twice"
 
 
-def _descriptors(terms: Terms, reading: Reading) -> Found:
+def _check_descriptors(terms: Terms, reader: TableReader) -> Problems:
     keys: tuple[Key, ...] = (("limits", "children"), ("limits", "idle_connections"))
-    if not reading.sound(*keys):
+    if not reader.is_valid(*keys):
         return
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    if resource.RLIM_INFINITY != most < descriptors_needed(terms.limits):
+    hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    if resource.RLIM_INFINITY != hard_limit < descriptors_needed(terms.limits):
         yield (
             ("limits", "children"),
             (
-                f"with limits.idle_connections needs {descriptors_needed(terms.limits)} open files, and "
-                f"this user may have {most}; lower it, or raise that (ulimit -Hn)"
+                f"with limits.idle_connections needs {descriptors_needed(terms.limits)} open files, but this "
+                f"user may have at most {hard_limit}; lower it, or raise the limit (ulimit -Hn)"
             ),
         )
 
 
 def descriptors_needed(limits: Limits) -> int:
-    """Open files that a replica needs."""
+    """Returns the number of open files that a replica needs."""
     return limits.children + limits.idle_connections + SPARE_DESCRIPTORS
--- a/glenfold/config/settings.py
+++ b/glenfold/config/settings.py
@@ -1,4 +1,4 @@
-"""What an operators' file tells the decisions, as the platform's `settings` object says it."""
+"""Converts the settings of an operators' file to the `settings` object of the platform's JSON."""
 
 from typing import Any
 
@@ -6,14 +6,14 @@
 
 
 def as_platform(terms: Terms) -> dict[str, Any]:
-    """With the platform's names and units."""
-    told, rules = terms.settings, terms.settings.rules
+    """Returns the `settings` object with the platform's names and units."""
+    settings, rules = terms.settings, terms.settings.rules
     return {
-        "classes": [_class(kind) for kind in told.classes],
-        "accounts": [_tenant(tenant) for tenant in told.tenants],
-        "areas": list(told.zones),
-        "az": told.zones.index(told.zone) if told.zone is not None else 0,
-        "kinds": list(told.kinds),
+        "classes": [_class(request_class) for request_class in settings.classes],
+        "accounts": [_tenant(tenant) for tenant in settings.tenants],
+        "areas": list(settings.zones),
+        "az": settings.zones.index(settings.zone) if settings.zone is not None else 0,
+        "kinds": list(settings.kinds),
         "replicas_of_me": relays(terms),
         "period_us": _us(rules.tick_ms),
         "weights": "nominal" if rules.weighted else "none",
@@ -22,14 +22,14 @@
         "invariants": _invariants(rules),
         "extra": {
             "mode": "pass" if rules.pass_through else "proxy",
-            "message_aim_us": [_us(kind.message_aim_ms) for kind in told.classes],
-            "tenant_quota_connections": [tenant.quota_connections for tenant in told.tenants],
+            "message_aim_us": [_us(request_class.message_aim_ms) for request_class in settings.classes],
+            "tenant_quota_connections": [tenant.quota_connections for tenant in settings.tenants],
         },
     }
 
 
 def relays(terms: Terms) -> int:
-    """That share the clients of all tenants."""
+    """Returns the number of relays that share the clients of all tenants."""
     if terms.settings.rules.relays is not None:
         return terms.settings.rules.relays
     return terms.fleet.instances if terms.fleet else 1
@@ -39,14 +39,14 @@
     return round(milliseconds * 1000)
 
 
-def _class(kind: RequestClass) -> dict[str, Any]:
+def _class(request_class: RequestClass) -> dict[str, Any]:
     return {
-        "name": kind.name,
-        "hard_limit_us": _us(kind.deadline_ms),
-        "semantics": kind.semantics,
-        "group": kind.dedup,
-        "window_us": _us(kind.window_ms),
-        "worth": kind.worth,
+        "name": request_class.name,
+        "hard_limit_us": _us(request_class.deadline_ms),
+        "semantics": request_class.semantics,
+        "group": request_class.dedup,
+        "window_us": _us(request_class.window_ms),
+        "worth": request_class.worth,
     }
 
 
--- a/glenfold/config/tables.py
+++ b/glenfold/config/tables.py
@@ -1,7 +1,7 @@
-"""A TOML file as a Struct, with all its faults at once: msgspec alone would tell of the first.
+"""Reads a TOML file into a Struct and reports all its errors at once; msgspec alone reports only the first.
 
-Each value that fits goes in, whatever is amiss beside it, so that what must hold between values can be
-looked at in the same round.
+Each valid value is stored even where others are invalid, so that the checks between values can run in the
+same pass.
 """
 
 import math
@@ -21,146 +21,158 @@
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True):
-    """A table of a file. What is Annotated carries bounds; other keys than its own are faults."""
+    """A table of a TOML file. Its fields are the keys it may have; their Annotated types carry the bounds."""
 
 
 class FileErrors(click.ClickException):
-    """All that is amiss with one file, by line: one `FILE:LINE: key.path: reason` each. Ends a command with
-    status 2."""
+    """All errors of one file, ordered by line, each as `FILE:LINE: key.path: reason`.
+
+    Ends a command with status 2.
+    """
 
     exit_code = 2
 
-    def __init__(self, faults: Iterable[BadFile]) -> None:
-        self.faults = tuple(sorted(faults, key=lambda fault: (fault.line or 0, fault.message)))
-        super().__init__("\n".join(fault.message for fault in self.faults))
+    def __init__(self, errors: Iterable[BadFile]) -> None:
+        self.errors = tuple(sorted(errors, key=lambda error: (error.line or 0, error.message)))
+        super().__init__("\n".join(error.message for error in self.errors))
 
     def show(self, file: Any = None) -> None:
         click.echo(self.message, err=True, file=file)
 
 
-def bare(kind: Any) -> Any:
-    """Without bounds and without None."""
-    if get_origin(kind) is Annotated:
-        return bare(get_args(kind)[0])
-    if get_origin(kind) in (Union, UnionType):
-        return bare(next(one for one in get_args(kind) if one is not NoneType))
-    return kind
+def unwrap_type(annotation: Any) -> Any:
+    """Returns the type of an annotation without its bounds and without None."""
+    if get_origin(annotation) is Annotated:
+        return unwrap_type(get_args(annotation)[0])
+    if get_origin(annotation) in (Union, UnionType):
+        return unwrap_type(next(member for member in get_args(annotation) if member is not NoneType))
+    return annotation
 
 
-def inner(kind: Any) -> Any:
-    """The type of what a list or table of any keys holds; None: it is neither."""
-    origin = get_origin(bare(kind))
+def element_type(annotation: Any) -> Any:
+    """Returns the type of the values in a list or in a table with free keys; None for any other type."""
+    origin = get_origin(unwrap_type(annotation))
     if origin is tuple:
-        return get_args(bare(kind))[0]
-    return get_args(bare(kind))[1] if origin is dict else None
+        return get_args(unwrap_type(annotation))[0]
+    return get_args(unwrap_type(annotation))[1] if origin is dict else None
 
 
-def is_table(kind: Any) -> bool:
-    found = bare(kind)
-    return isinstance(found, type) and issubclass(found, Table)
+def is_table(annotation: Any) -> bool:
+    """Returns whether the annotation is a Table, with or without None."""
+    unwrapped = unwrap_type(annotation)
+    return isinstance(unwrapped, type) and issubclass(unwrapped, Table)
 
 
-def described(kind: Any) -> str:
-    """What is right for it, in an operator's words."""
-    if is_table(kind):
+def describe_type(annotation: Any) -> str:
+    """Returns a description of the valid values of a type, for operators."""
+    if is_table(annotation):
         return "a table"
-    here = inspect.type_info(kind)
-    if isinstance(here, inspect.UnionType):
-        here = next(one for one in here.types if not isinstance(one, inspect.NoneType))
-    match here:
-        case inspect.Metadata(extra_json_schema={"description": str(words)}):
-            return words
+    type_info = inspect.type_info(annotation)
+    if isinstance(type_info, inspect.UnionType):
+        type_info = next(member for member in type_info.types if not isinstance(member, inspect.NoneType))
+    match type_info:
+        case inspect.Metadata(extra_json_schema={"description": str(description)}):
+            return description
         case inspect.LiteralType():
-            return " or ".join(map(str, get_args(bare(kind))))
+            return " or ".join(map(str, get_args(unwrap_type(annotation))))
         case inspect.IntType():
-            return "a whole number" + _bounds(here.gt, here.ge, here.le)
+            return "a whole number" + _bounds(type_info.gt, type_info.ge, type_info.le)
         case inspect.FloatType():
-            return "a number" + _bounds(here.gt, here.ge, here.le)
+            return "a number" + _bounds(type_info.gt, type_info.ge, type_info.le)
         case inspect.StrType():
-            return "a text" + _bounds(None, here.min_length, here.max_length, " characters")
+            return "a text" + _bounds(None, type_info.min_length, type_info.max_length, " characters")
         case inspect.VarTupleType():
-            return "a list" + _bounds(None, here.min_length, here.max_length, " entries")
+            return "a list" + _bounds(None, type_info.min_length, type_info.max_length, " entries")
         case inspect.BoolType():
             return "true or false"
     return "a table"
 
 
-def _bounds(above: float | None, least: float | None, most: float | None, unit: str = "") -> str:
-    """Every type with bounds has an upper one."""
-    if most is None:
+def _bounds(above: float | None, minimum: float | None, maximum: float | None, unit: str = "") -> str:
+    """Returns a text for the bounds of a type; every type that has bounds has an upper one."""
+    if maximum is None:
         return ""
-    first = f"of {least or 0:,}" if above is None else f"above {above:,}"
-    return f" {first} to {most:,}{unit}"
+    lower_bound = f"of {minimum or 0:,}" if above is None else f"above {above:,}"
+    return f" {lower_bound} to {maximum:,}{unit}"
 
 
-def default(field: FieldInfo) -> Any:
-    """None for one that must be given."""
+def default_value(field: FieldInfo) -> Any:
+    """Returns the default of a field; None for a required field."""
     if field.default is not msgspec.NODEFAULT:
         return field.default
     return None if field.default_factory is msgspec.NODEFAULT else field.default_factory()
 
 
-def read_file(path: str | Path, kind: type[T]) -> tuple["Reading", T]:
-    """A file whose `format` is 1, with what is amiss so far. Raises Faults where it is no such file."""
+def read_file(path: str | Path, table_type: type[T]) -> tuple["TableReader", T]:
+    """Reads a file of format 1 and returns its table, with the reader that holds the errors so far.
+
+    Raises FileErrors if the file can't be read, is not TOML or has another `format`.
+    """
     try:
         located = scan(read_text(path), str(path))
     except BadFile as error:
         raise FileErrors([error]) from error
-    reading = Reading(located)
-    terms = reading.table(located.data, kind)
-    if located.data.get("format", 1) != 1:  # whatever else it says may mean something else there
+    reader = TableReader(located)
+    terms = reader.read_table(located.data, table_type)
+    if located.data.get("format", 1) != 1:  # Other errors are dropped: keys may differ in another format.
         raise FileErrors([located.fault(("format",), "this glenfold reads format 1 only")])
-    return reading, terms
+    return reader, terms
+
 
+class TableReader:
+    """Converts the values of a file to Tables and collects the errors in `errors`, by key.
 
-class Reading:
-    """`faults` grows as it reads; what is at fault takes its default, None where it must be given."""
+    An invalid value is replaced by its default, which is None for a required key.
+    """
 
     def __init__(self, located: Located) -> None:
         self.located = located
-        self.faults: dict[Key, BadFile] = {}
-        self._unsound: set[Key] = set()
+        self.errors: dict[Key, BadFile] = {}
+        self._invalid_keys: set[Key] = set()
 
-    def fault(self, key: Key, reason: str) -> None:
-        """The first one of a key counts: the others follow from it."""
-        self.faults.setdefault(key, self.located.fault(key, reason))
-        self._unsound.add(key)
+    def add_error(self, key: Key, reason: str) -> None:
+        """Records an error; only the first error of a key is kept, as the others follow from it."""
+        self.errors.setdefault(key, self.located.fault(key, reason))
+        self._invalid_keys.add(key)
 
-    def sound(self, *keys: Key) -> bool:
-        """Whether nothing is amiss with these, with what they hold, or with what holds them."""
-        return not any(a[: len(b)] == b[: len(a)] for a in self._unsound for b in keys)
+    def is_valid(self, *keys: Key) -> bool:
+        """Returns whether no error was recorded for these keys, or for keys above or below them."""
+        return not any(a[: len(b)] == b[: len(a)] for a in self._invalid_keys for b in keys)
 
-    def table(self, data: dict[str, Any], kind: type[T], key: Key = ()) -> T:
-        fields = {field.name: field for field in msgspec.structs.fields(kind)}
+    def read_table(self, data: dict[str, Any], table_type: type[T], key: Key = ()) -> T:
+        """Converts a table of the file, at `key`; records an error for each unknown key and invalid value."""
+        fields = {field.name: field for field in msgspec.structs.fields(table_type)}
         for name in data:
             if name not in fields:
                 reason = "unknown key; " + nearest(name, list(fields))
-                self.faults[*key, name] = self.located.fault((*key, name), reason)
-        return kind(**{name: self._field(data, field, (*key, name)) for name, field in fields.items()})
+                self.errors[*key, name] = self.located.fault((*key, name), reason)
+        return table_type(
+            **{name: self._read_field(data, field, (*key, name)) for name, field in fields.items()}
+        )
 
-    def _field(self, data: dict[str, Any], field: FieldInfo, key: Key) -> Any:
+    def _read_field(self, data: dict[str, Any], field: FieldInfo, key: Key) -> Any:
         if field.name in data:
-            return self._value(data[field.name], field.type, key, default(field))
+            return self._read_value(data[field.name], field.type, key, default_value(field))
         if field.required and is_table(field.type):
-            return self.table({}, bare(field.type), key)
+            return self.read_table({}, unwrap_type(field.type), key)
         if field.required:
-            self.fault(key, f"is missing; it must be {described(field.type)}")
-        return default(field)
-
-    def _value(self, data: Any, kind: Any, key: Key, fallback: Any) -> Any:
-        if isinstance(data, dict) and is_table(kind):
-            return self.table(data, bare(kind), key)
-        before, held = len(self._unsound), inner(kind)
-        if isinstance(data, list) and held:
-            data = [self._value(one, held, (*key, n), None) for n, one in enumerate(data)]
-        elif isinstance(data, dict) and held:
-            data = {name: self._value(one, held, (*key, name), None) for name, one in data.items()}
-        if len(self._unsound) > before:
+            self.add_error(key, f"is missing; it must be {describe_type(field.type)}")
+        return default_value(field)
+
+    def _read_value(self, data: Any, annotation: Any, key: Key, fallback: Any) -> Any:
+        if isinstance(data, dict) and is_table(annotation):
+            return self.read_table(data, unwrap_type(annotation), key)
+        invalid_before, element = len(self._invalid_keys), element_type(annotation)
+        if isinstance(data, list) and element:
+            data = [self._read_value(item, element, (*key, n), None) for n, item in enumerate(data)]
+        elif isinstance(data, dict) and element:
+            data = {name: self._read_value(item, element, (*key, name), None) for name, item in data.items()}
+        if len(self._invalid_keys) > invalid_before:
             return tuple(data) if isinstance(data, list) else data
         try:
             if isinstance(data, float) and not math.isfinite(data):
                 raise msgspec.ValidationError
-            return msgspec.convert(data, kind)
+            return msgspec.convert(data, annotation)
         except msgspec.ValidationError:
-            self.fault(key, f"expected {described(kind)}, not {short(data)}")
+            self.add_error(key, f"expected {describe_type(annotation)}, not {short(data)}")
             return fallback
--- a/glenfold/daemon/platform.py
+++ b/glenfold/daemon/platform.py
@@ -34,7 +34,7 @@
         if levels := log_levels(os.environ):
             logs.take_terms(logs.Terms(levels=levels))
         config = read_config(os.environ)
-        for key, fault in config.faults:
+        for key, fault in config.problems:
             events.config_default(key=key, fault=fault)
         trio.run(serve, config)
         return 0
--- a/tests/config/operators_files.py
+++ b/tests/config/operators_files.py
@@ -1,11 +1,11 @@
-"""Operators' files as texts, and what is amiss with them."""
+"""Texts of operators' files, and the errors that they give."""
 
 from pathlib import Path
 
 from glenfold.config.operators import OperatorsFile, read
 from glenfold.config.tables import FileErrors
 
-FIVE = """format = 1
+MINIMAL_FILE = """format = 1
 listeners.addresses = ["127.0.0.1:3000"]
 list.discovery = "127.0.0.1:8500"
 [[settings.classes]]
@@ -13,15 +13,16 @@
 """
 
 
-def reading(folder: Path, text: str) -> OperatorsFile:
+def read_text(folder: Path, text: str) -> OperatorsFile:
+    """Writes the text to a file in `folder` and reads it."""
     (folder / "glenfold.toml").write_text(text)
     return read(folder / "glenfold.toml")
 
 
-def faults(folder: Path, text: str) -> list[str]:
-    """One line each, without the file's name."""
+def errors_of(folder: Path, text: str) -> list[str]:
+    """Returns the errors of the text, one line each, without the file's name."""
     try:
-        reading(folder, text)
+        read_text(folder, text)
     except FileErrors as error:
         return [line.removeprefix(f"{folder}/glenfold.toml:") for line in error.message.splitlines()]
     return []
--- a/tests/config/test_fleet_file_page.py
+++ b/tests/config/test_fleet_file_page.py
@@ -1,4 +1,4 @@
-"""The operators' page on their file: complete, true bounds and defaults, sound examples."""
+"""The operators' page on their file lists every key with its bounds and default; its examples are valid."""
 
 import re
 from pathlib import Path
@@ -19,18 +19,18 @@
     assert rows(PAGE, heading) == {field.name: cells(field) for field in msgspec.structs.fields(kind)}
 
 
-def test_no_section_tells_of_a_table_that_is_not_there() -> None:
+def test_the_page_has_no_section_for_a_table_that_does_not_exist() -> None:
     assert sorted(re.findall(r"\n(### `\[+.+)", PAGE)) == sorted(heading for heading, _ in tables(Terms))
 
 
-def test_the_examples_are_sound(tmp_path: Path) -> None:
+def test_the_examples_are_valid(tmp_path: Path) -> None:
     shown = examples(PAGE)
     for name, text in shown:
         (tmp_path / name).write_text(text)
-    least, fleet = read(tmp_path / "least.toml"), read(tmp_path / "fleet.toml")
+    minimal, fleet = read(tmp_path / "least.toml"), read(tmp_path / "fleet.toml")
     parents = read(tmp_path / "parents.toml").config().parents
     assert parents is not None and (parents.zone, parents.region) == ("wrexham", "wales")
-    assert len(shown[0][1].splitlines()) == 5 and least.numbers == (None,)
+    assert len(shown[0][1].splitlines()) == 5 and minimal.numbers == (None,)
     assert [fleet.location(number).listeners for number in (1, 4)] == [
         (("0.0.0.0", 3000),),
         (("0.0.0.0", 3003),),
--- a/tests/config/test_sites.py
+++ b/tests/config/test_sites.py
@@ -1,11 +1,11 @@
-"""The variants of the site keep to what they are for: nothing shared with one another or ours."""
+"""The site variants share no name with each other, and no name and no deadline with our site."""
 
 import tomllib
 from pathlib import Path
 from typing import Any
 
 SITES = Path(__file__).parents[2] / "deploy" / "sites"
-OURS = {
+OUR_NAMES = {
     "cardiff",
     "wrexham",
     "trip-watch",
@@ -22,28 +22,28 @@
     "campus",
     "cardiff-live",
 }
-OURS_MS = {2000, 3000}  # deadlines
+OUR_DEADLINES_MS = {2000, 3000}
 
 
 def site(name: str) -> dict[str, Any]:
     return tomllib.loads((SITES / f"{name}.toml").read_text())
 
 
-def names(told: dict[str, Any]) -> set[str]:
-    tables = [*told["class"], *told["tenant"], *told["tier"], *told["tier"][0]["kind"]]
-    return {told["name"], *told["net"]["zones"], *(table["name"] for table in tables)}
+def names_of(document: dict[str, Any]) -> set[str]:
+    tables = [*document["class"], *document["tenant"], *document["tier"], *document["tier"][0]["kind"]]
+    return {document["name"], *document["net"]["zones"], *(table["name"] for table in tables)}
 
 
-def deadlines(told: dict[str, Any]) -> set[int]:
-    return {kind["deadline_ms"] for kind in told["class"]}
+def deadlines(document: dict[str, Any]) -> set[int]:
+    return {kind["deadline_ms"] for kind in document["class"]}
 
 
 def test_the_variants_share_no_name_with_one_another_or_with_our_site() -> None:
-    desk, moor = names(site("harbour-desk")), names(site("moor-meters"))
-    assert not desk & moor and not (desk | moor) & OURS
+    desk, moor = names_of(site("harbour-desk")), names_of(site("moor-meters"))
+    assert not desk & moor and not (desk | moor) & OUR_NAMES
 
 
-def test_one_variant_is_of_proxies_that_ask_and_one_passes_packets() -> None:
+def test_one_variant_proxies_and_asks_discovery_and_one_passes_and_is_pushed_lists() -> None:
     desk, moor = site("harbour-desk"), site("moor-meters")
     assert (desk["fam"]["mode"], desk["discovery"]["mode"], desk["fam"]["group_cost"]) == ("proxy", "ask", 0)
     assert (moor["fam"]["mode"], moor["discovery"]["mode"]) == ("pass", "push")
@@ -52,7 +52,9 @@
 
 
 def test_the_variants_have_other_classes_and_deadlines_on_both_sides_of_ours() -> None:
-    for told in (site("harbour-desk"), site("moor-meters")):
-        assert len(told["class"]) == len(told["fam"]["class"]) > 2
-        assert min(deadlines(told)) < min(OURS_MS) and max(deadlines(told)) > max(OURS_MS)
-        assert not deadlines(told) & OURS_MS
+    for document in (site("harbour-desk"), site("moor-meters")):
+        assert len(document["class"]) == len(document["fam"]["class"]) > 2
+        assert min(deadlines(document)) < min(OUR_DEADLINES_MS) and max(deadlines(document)) > max(
+            OUR_DEADLINES_MS
+        )
+        assert not deadlines(document) & OUR_DEADLINES_MS
