--- a/glenfold/cli/config.py
+++ b/glenfold/cli/config.py
@@ -5,8 +5,8 @@
 
 import click
 
-from glenfold.config.operators import Operators, Value, read
-from glenfold.config.places import Place
+from glenfold.config.locations import InstanceLocation
+from glenfold.config.operators import OperatorsFile, Value, read
 
 
 @click.group("config")
@@ -34,7 +34,7 @@
     click.echo(to_json(operators) if as_json else "\n".join(to_toml_lines(operators)))
 
 
-def to_json(operators: Operators) -> str:
+def to_json(operators: OperatorsFile) -> str:
     """Returns the values, their origins and the instances of the file as one JSON object."""
     return json.dumps(
         {
@@ -43,13 +43,13 @@
                 {"key": value.key, "value": value.value, "from": value.origin}
                 for value in operators.effective()
             ],
-            "instances": [_instance_fields(operators.place(number)) for number in operators.numbers],
+            "instances": [_instance_fields(operators.location(number)) for number in operators.numbers],
         },
         indent=1,
     )
 
 
-def _instance_fields(location: Place) -> dict[str, Any]:
+def _instance_fields(location: InstanceLocation) -> dict[str, Any]:
     return {
         "number": location.number,
         "name": location.name,
@@ -65,7 +65,7 @@
     }
 
 
-def to_toml_lines(operators: Operators) -> list[str]:
+def to_toml_lines(operators: OperatorsFile) -> list[str]:
     """Returns the lines of an operators' file with the same values; origins and instances are comments."""
     lines, table = [], ""
     for value in operators.effective():
@@ -74,7 +74,7 @@
             lines += ["", f"[{owner}]" if "[" not in owner else f"[[{owner.partition('[')[0]}]]"]
             table = owner
         lines.append(_value_line(name, value))
-    return [*lines, "", *(_instance_comment(operators.place(number)) for number in operators.numbers)]
+    return [*lines, "", *(_instance_comment(operators.location(number)) for number in operators.numbers)]
 
 
 def _value_line(name: str, value: Value) -> str:
@@ -97,7 +97,7 @@
     return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
 
 
-def _instance_comment(location: Place) -> str:
+def _instance_comment(location: InstanceLocation) -> str:
     number = "" if location.number is None else f" {location.number}"
     listeners = ", ".join(f"{host}:{port}" for host, port in location.listeners)
     return f"# instance{number}: {location.name} on {listeners}; control socket {location.socket or 'none'}"
--- a/glenfold/cli/instances.py
+++ b/glenfold/cli/instances.py
@@ -9,9 +9,9 @@
 import trio
 
 from glenfold.config import ConfigError
+from glenfold.config.locations import InstanceLocation
 from glenfold.config.operators import read
-from glenfold.config.places import Place
-from glenfold.config.tables import Faults
+from glenfold.config.tables import FileErrors
 from glenfold.daemon.ask import NoAnswer, ask
 
 ANSWER_TIMEOUT_S = 5.0
@@ -32,7 +32,7 @@
     exit_code = INVALID_FILE
 
 
-def locate_instances(file: Path, number: int | None, one_only: bool = False) -> list[Place]:
+def locate_instances(file: Path, number: int | None, one_only: bool = False) -> list[InstanceLocation]:
     """Returns the location of instance `number`, or of all instances if `number` is None.
 
     With `one_only`, `number` may be None only for a file without a fleet. Raises InvalidFile, also if an
@@ -41,8 +41,8 @@
     try:
         operators = read(file)
         numbers = operators.numbers if number is None and not one_only else (number,)
-        locations = [operators.place(instance_number) for instance_number in numbers]
-    except Faults as error:
+        locations = [operators.location(instance_number) for instance_number in numbers]
+    except FileErrors as error:
         error.show()
         raise SystemExit(INVALID_FILE) from None
     except ConfigError as error:
@@ -54,7 +54,7 @@
     return locations
 
 
-def ask_all(locations: Sequence[Place], word: str) -> list[Answer]:
+def ask_all(locations: Sequence[InstanceLocation], word: str) -> list[Answer]:
     """Sends the question `word` to all instances at once and returns their answers in the same order.
 
     Each answer has the `instance`, and the `pid` that the kernel reports for the socket's other end. For an
@@ -62,7 +62,7 @@
     """
     answers: list[Answer] = [{} for _ in locations]
 
-    async def ask_one(index: int, location: Place, deadline: float) -> None:
+    async def ask_one(index: int, location: InstanceLocation, deadline: float) -> None:
         assert location.socket is not None
         try:
             pid, answer = await ask(location.socket, {"ask": word}, deadline)
--- a/glenfold/config/__init__.py
+++ b/glenfold/config/__init__.py
@@ -1,15 +1,15 @@
-"""The only place that reads configuration: the platform's JSON, and the operators' file."""
+"""Reads all configuration: the platform's JSON, the operators' file and the file of a control replica."""
 
 from glenfold.config.platform import (
     Address,
     Config,
     ConfigError,
+    ConnectionLimits,
     Names,
-    Room,
+    format_address,
     read_address,
     read_again,
     read_config,
-    written,
 )
 
 __all__ = [
@@ -17,9 +17,9 @@
     "Config",
     "ConfigError",
     "Names",
-    "Room",
+    "ConnectionLimits",
     "read_address",
     "read_again",
     "read_config",
-    "written",
+    "format_address",
 ]
--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -12,8 +12,8 @@
 
 from glenfold import logs
 from glenfold.config import operators
-from glenfold.config.places import Place as InstancePlace
-from glenfold.config.tables import Faults
+from glenfold.config.locations import InstanceLocation as InstancePlace
+from glenfold.config.tables import FileErrors
 from glenfold.config.terms import Fleet
 from glenfold.daemon.logfiles import LogFiles
 from glenfold.daemon.state_file import write_atomically
@@ -24,10 +24,10 @@
 MAX_LOG_BYTES = 16 << 20  # An instance may use twice as much: its current and its previous log file.
 
 
-def _read(file: Path) -> operators.Operators:
+def _read(file: Path) -> operators.OperatorsFile:
     try:
         return operators.read(file)
-    except Faults as error:
+    except FileErrors as error:
         raise FileRefused(error.message) from error
 
 
@@ -47,7 +47,7 @@
     return file.parent.absolute() / folder / "supervisor"
 
 
-def _fleet_terms(read: operators.Operators, names: tuple[str, ...]) -> Options:
+def _fleet_terms(read: operators.OperatorsFile, names: tuple[str, ...]) -> Options:
     fleet = msgspec.structs.asdict(read.terms.fleet or Fleet(instances=1))
     settings = {name: value for name, value in fleet.items() if name in Options.__struct_fields__}
     return Options(**(settings | {"instances": names, "take_over": read.terms.restart.take_over}))
@@ -64,7 +64,7 @@
     def read(self) -> FleetSettings:
         """Returns the checked settings of the file. Raises FileRefused."""
         text, read = _read_stable(self.file)
-        places = [read.place(number) for number in read.numbers]
+        places = [read.location(number) for number in read.numbers]
         if supervisor_folder(self.file) != self.paths.folder:
             raise FileRefused(
                 f"{self.file}: instance.folder: is another one than this supervisor's; "
@@ -77,7 +77,7 @@
             _fleet_terms(read, tuple(controls)), controls, lambda: self._accept(text, read, places)
         )
 
-    def _accept(self, text: bytes, read: operators.Operators, places: list[InstancePlace]) -> None:
+    def _accept(self, text: bytes, read: operators.OperatorsFile, places: list[InstancePlace]) -> None:
         self._accepted.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
         write_atomically(self._accepted, text)
         self._numbers = {place.name: place.number for place in places}
@@ -108,7 +108,7 @@
         ]
 
 
-def _read_stable(file: Path) -> tuple[bytes, operators.Operators]:
+def _read_stable(file: Path) -> tuple[bytes, operators.OperatorsFile]:
     """Returns the text of the file and its checked contents.
 
     Reads again if the file changed during the check, so that the text is the one that was checked.
--- a/glenfold/daemon/listeners.py
+++ b/glenfold/daemon/listeners.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from glenfold.config.platform import Address, written
+from glenfold.config.platform import Address, format_address
 from glenfold.net.inbound import LISTEN_BACKLOG
 
 FIRST_PASSED_DESCRIPTOR = 3  # The descriptors 0 to 2 are the standard streams.
@@ -24,7 +24,7 @@
 
 def addresses_of(listeners: Iterable[socket.socket]) -> list[str]:
     """Returns the addresses of the sockets as HOST:PORT."""
-    return [written(sock.getsockname()) for sock in listeners]
+    return [format_address(sock.getsockname()) for sock in listeners]
 
 
 async def resolve(addresses: Iterable[Address]) -> list[str]:
@@ -35,7 +35,7 @@
             infos = await trio.socket.getaddrinfo(host, port, socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
             raise BadListener(f"{host}:{port}: {error.strerror or error}") from error
-        found.append(written((str(infos[0][4][0]), int(infos[0][4][1]))))
+        found.append(format_address((str(infos[0][4][0]), int(infos[0][4][1]))))
     return found
 
 
@@ -80,7 +80,7 @@
 
     If it raises BadListener, all passed and opened sockets are closed.
     """
-    unclaimed = {written(sock.getsockname()): sock for sock in reversed(passed)}
+    unclaimed = {format_address(sock.getsockname()): sock for sock in reversed(passed)}
     kept, opened = [], []
     try:
         for address in dict.fromkeys(wanted):
--- a/glenfold/daemon/replica.py
+++ b/glenfold/daemon/replica.py
@@ -11,9 +11,9 @@
 import trio
 
 from glenfold import logs
-from glenfold.config.platform import ConfigError, written
-from glenfold.config.replica import Terms, descriptors, read, waiting
-from glenfold.config.tables import Faults
+from glenfold.config.platform import ConfigError, format_address
+from glenfold.config.replica import Terms, descriptors_needed, read, tables_needing_restart
+from glenfold.config.tables import FileErrors
 from glenfold.config.terms import Logging
 from glenfold.daemon.listeners import BadListener, listen
 from glenfold.daemon.process import dispatch_signals
@@ -67,7 +67,9 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._server.serve, trio.socket.from_stdlib_socket(listener))
             nursery.start_soon(self._follower.follow)
-            events.listens(name=self._initial_terms.replica.name, address=written(listener.getsockname()))
+            events.listens(
+                name=self._initial_terms.replica.name, address=format_address(listener.getsockname())
+            )
             await self._stop_requested.wait()
             await self._server.end_watches(self._initial_terms.shutdown.spread_s)
             nursery.cancel_scope.cancel()
@@ -91,7 +93,7 @@
         """Reads the file again and applies it; a faulty file changes nothing."""
         try:
             terms = read(self._path)
-        except Faults as error:
+        except FileErrors as error:
             self._counters.reloads_refused += 1
             faults = "; ".join(error.message.splitlines())
             config_refused(error=ConfigError(str(self._path), faults))
@@ -102,7 +104,7 @@
         self._terms = terms
         logs.set_options(log_terms(terms.logging))
         events.reloaded(parents=[parent.address for parent in terms.parents])
-        if keys := waiting(self._initial_terms, terms):
+        if keys := tables_needing_restart(self._initial_terms, terms):
             config_waits(keys=keys)
 
 
@@ -115,8 +117,8 @@
     """Runs the replica of a checked file until it stops, and returns the exit status."""
     logs.begin(log_terms(terms.logging), terms.replica.name)
     try:
-        _raise_descriptor_limit(descriptors(terms.limits))
-        listener = listen(written(terms.listen))
+        _raise_descriptor_limit(descriptors_needed(terms.limits))
+        listener = listen(format_address(terms.listen))
         listener.listen(terms.limits.idle_connections)
         trio.run(_run_by_signals, ReplicaProcess(path, terms), listener)
         return Exit.FINISHED
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -13,8 +13,8 @@
 
 from glenfold import events, logs
 from glenfold.config import Config, ConfigError
-from glenfold.config.operators import Again, Operators
-from glenfold.config.places import Place
+from glenfold.config.locations import InstanceLocation
+from glenfold.config.operators import ConfigReload, OperatorsFile
 from glenfold.daemon import listeners, lock, notify, takeover
 from glenfold.daemon.process import BackgroundTask, MakeListSource, Process, run_by_signals
 
@@ -44,11 +44,11 @@
 class Run:
     """One run of `glenfold run`. `number` is the instance's number in its fleet, or None without one."""
 
-    def __init__(self, operators: Operators, number: int | None) -> None:
+    def __init__(self, operators: OperatorsFile, number: int | None) -> None:
         self._operators = operators
         self._number = number
-        self._place: Place = operators.place(number)
-        self._again = Again(operators, number)
+        self._place: InstanceLocation = operators.location(number)
+        self._again = ConfigReload(operators, number)
 
     def main(self) -> Exit:
         """Runs the instance until it stops and returns the exit status."""
--- a/glenfold/daemon/takeover.py
+++ b/glenfold/daemon/takeover.py
@@ -17,7 +17,7 @@
 import trio
 
 from glenfold import events
-from glenfold.config.platform import Address, written
+from glenfold.config.platform import Address, format_address
 from glenfold.daemon import handshake, private_socket
 from glenfold.daemon.life import State
 from glenfold.daemon.listeners import BadListener, addresses_of, check, reconcile, resolve
@@ -435,7 +435,7 @@
 
     def on_hello(self, hello: handshake.Hello, other_is_chosen: bool) -> None:
         """Answers a Hello; `other_is_chosen` is true if another process is taking over already."""
-        addresses = {listener: written(listener.getsockname()) for listener in self._process.listeners}
+        addresses = {listener: format_address(listener.getsockname()) for listener in self._process.listeners}
         passed = [listener for listener, address in addresses.items() if address in hello.wants]
         offer = handshake.Offer(
             [addresses[listener] for listener in passed],
--- a/glenfold/replica/follower.py
+++ b/glenfold/replica/follower.py
@@ -12,7 +12,7 @@
 import trio
 
 from glenfold import events
-from glenfold.config.platform import Parent, written
+from glenfold.config.platform import Parent, format_address
 from glenfold.destinations import BadList
 from glenfold.replica.accepted_lists import AcceptedLists, AfterPublish
 from glenfold.replica.parent_calls import FRESH_AGE_S, Answer, ParentCalls, Refused
@@ -138,7 +138,9 @@
         """Reads the watch until it ends or a better one is found. Returns the better one, or None."""
         self._publisher.via(watch.call.greeting.via)
         if watch.parent != self._last_parent:  # a silent source that is called again is not logged again
-            events.parent_followed(address=written(watch.parent.address), age_s=watch.call.greeting.age_s)
+            events.parent_followed(
+                address=format_address(watch.parent.address), age_s=watch.call.greeting.age_s
+            )
         self._last_parent = watch.parent
         self._follow_count += 1
         self._next_watch = None
--- a/glenfold/replica/parent_calls.py
+++ b/glenfold/replica/parent_calls.py
@@ -6,7 +6,7 @@
 import trio
 
 from glenfold import events
-from glenfold.config.platform import Parent, written
+from glenfold.config.platform import Parent, format_address
 from glenfold.destinations import BadList
 from glenfold.replica.accepted_lists import AcceptedLists
 from glenfold.replica.parent_watch import CALL_ERRORS, GONE, Call, open_call
@@ -150,7 +150,7 @@
         self._choice.record_refusal(parent, why, trio.current_time(), retry_after_s)
         if why is not Refusal.STALE and self._last_reported.get(parent) != repr(error):
             self._last_reported[parent] = repr(error)
-            events.parent_refused(address=written(parent.address), why=why.value, error=error)
+            events.parent_refused(address=format_address(parent.address), why=why.value, error=error)
 
     def close(self, call: Call) -> None:
         """Closes the call at once, even while it is in use."""
