--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -26,7 +26,7 @@
 from glenfold.daemon.process import Process
 from glenfold.daemon.takeover import Refused, TakeoverLocation, TakeoverServer, obtain_listeners
 from glenfold_lab.checker import Checker
-from glenfold_lab.observe import Capacity, Final, Over, Recorder, Told, replay
+from glenfold_lab.observe import AttemptOutcome, Capacity, Final, ListedState, Recorder, replay
 from glenfold_lab.spec import Rules
 from glenfold_lab.stand_ins.relays import ROOT, free_address
 from glenfold_lab.stand_ins.sockets import Address, written
@@ -94,7 +94,7 @@
             line = await stream.receive_some(4096)
             request = int(line.split(b" ")[1], 16)
             self.seen.sent(now_us(), request, 0, SERVER, now_us())
-            self.seen.attempt_over(now_us(), request, SERVER, Over.UP)
+            self.seen.attempt_over(now_us(), request, SERVER, AttemptOutcome.UP)
             await stream.send_all(UP)
             while await stream.receive_some(4096):
                 pass
@@ -188,7 +188,7 @@
 async def measure(folder: Path, restarts: int, per_s: float) -> bool:
     load = Load(free_address("127.0.0.1"))
     load.seen.server_started(0, SERVER, Capacity(1e6, 0.2, 1), False)
-    load.seen.told(0, 0, SERVER, Told.READY, 0)
+    load.seen.told(0, 0, SERVER, ListedState.READY, 0)
     spans: list[tuple[float, float, float]] = []
     async with trio.open_nursery() as nursery:
         served = await nursery.start(trio.serve_tcp, load.push_server, 0)
--- a/glenfold_lab/checker/answer.py
+++ b/glenfold_lab/checker/answer.py
@@ -8,7 +8,7 @@
 
 from glenfold_lab.checker.state import Request
 from glenfold_lab.checker.verdicts import Seen, Verdicts
-from glenfold_lab.observe import Final, Over
+from glenfold_lab.observe import AttemptOutcome, Final
 
 Death = Callable[[Request], int | None]  # when the relay that took the request died, if it did since
 
@@ -34,7 +34,7 @@
 def _judge_up(found: Verdicts, state: Request, slack_us: int) -> None:
     one, by = state.last, state.final_at + slack_us
     while one is not None:
-        if one.how == Over.UP and one.server == state.receipt_of and (one.over_at or 0) <= by:
+        if one.how == AttemptOutcome.UP and one.server == state.receipt_of and (one.over_at or 0) <= by:
             return
         one = one.before
     attempts = [seen for one in state.attempts() for seen in one.seen()]
--- a/glenfold_lab/checker/cold.py
+++ b/glenfold_lab/checker/cold.py
@@ -17,13 +17,13 @@
 # Beyond the budget: relays share nothing, so they can only hold the mean, and a server's budget may be a
 # connection or two. Two more, and twice the spread of a Poisson count of the budget's size: a server
 # that is sent half of its budget goes over that less than once in 7,000 spans, whatever the budget is.
-CHANCE = 2.0
-SPREADS = 2.0
+ALLOWED_EXCESS = 2.0
+ALLOWED_DEVIATIONS = 2.0
 
 
-def beyond_chance(count: int, budget: float) -> bool:
+def exceeds_budget(count: int, budget: float) -> bool:
     """Whether so many new connections are more than a budget of this size explains."""
-    return count > budget + CHANCE + SPREADS * math.sqrt(budget)
+    return count > budget + ALLOWED_EXCESS + ALLOWED_DEVIATIONS * math.sqrt(budget)
 
 
 @dataclass(slots=True, eq=False)
@@ -45,7 +45,7 @@
         while self.sends[0][0] <= at - span_us:
             self.knowing -= self.sends.popleft()[1]
 
-    def could_take(self, start: int, end: int) -> float:
+    def capacity_between(self, start: int, end: int) -> float:
         """New connections, from `start` to `end`."""
         return self.capacity.warm_per_s / 1e6 * (self._filled(end) - self._filled(start))
 
@@ -59,7 +59,7 @@
         return share * climbed + (1 - share) * climbed * climbed / length / 2 + age - climbed
 
 
-def told_after(ended: int, slack_us: int) -> int:
+def previous_end_bound(ended: int, slack_us: int) -> int:
     """A relay that was told of a start after this was told of one after the server's end. On sockets a start
     that follows at once is told by its planned moment, which may be before that at which the end was seen."""
     return max(0, ended - slack_us)
@@ -82,7 +82,7 @@
 
     def server_started(self, at: int, server: int, capacity: Capacity, cold: bool) -> None:
         if cold:
-            before = told_after(self._ended.get(server, 0), self._slack)
+            before = previous_end_bound(self._ended.get(server, 0), self._slack)
             self._cold[server] = ColdServer(at, before, capacity)
 
     def server_ended(self, at: int, server: int) -> None:
@@ -96,9 +96,9 @@
             del self._cold[server]
             return
         cold.take(at, self._told_start(relay, server) > cold.before, self._span_us)
-        budget = self._multiple * cold.could_take(at - self._span_us, at)
+        budget = self._multiple * cold.capacity_between(at - self._span_us, at)
         told_of = 3 * cold.knowing >= 2 * len(cold.sends)
-        if told_of and beyond_chance(len(cold.sends), budget) and at >= cold.next_verdict:
+        if told_of and exceeds_budget(len(cold.sends), budget) and at >= cold.next_verdict:
             cold.next_verdict = at + self._span_us
             self._pushed_over(cold, budget, at, request, relay, server)
 
--- a/glenfold_lab/checker/drain.py
+++ b/glenfold_lab/checker/drain.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from glenfold_lab.checker.verdicts import Verdicts
-from glenfold_lab.observe import Capacity, Told, Watcher
+from glenfold_lab.observe import Capacity, ListedState, Watcher
 from glenfold_lab.spec import Rules
 
 NOT_NAMED = -1
@@ -16,7 +16,7 @@
     """A server that a relay was told is draining or gone, since then and until it was told otherwise."""
 
     since: int
-    state: Told
+    state: ListedState
     until: int | None = None
 
 
@@ -56,23 +56,23 @@
     def relay_down(self, at: int, relay: int) -> None:
         self._relays[relay] = Relay(died=at)
 
-    def told(self, at: int, relay: int, server: int, state: Told, started_us: int) -> None:
+    def told(self, at: int, relay: int, server: int, state: ListedState, started_us: int) -> None:
         known = self._relays.get(relay)
         if known is None:
             known = self._relays[relay] = Relay()
         away = known.away.get(server)
-        if state == Told.READY:
+        if state == ListedState.READY:
             if (
                 away is not None
                 and away.until is None
-                and (away.state != Told.GONE or self._returned(relay, server, started_us))
+                and (away.state != ListedState.GONE or self._returned(relay, server, started_us))
             ):
                 away.until = at
         elif away is None or away.until is not None:
             known.away[server] = Away(at, state)
-        elif state == Told.GONE:
+        elif state == ListedState.GONE:
             away.state = state
-        if state != Told.GONE:
+        if state != ListedState.GONE:
             self._name(known, server, started_us)
 
     def _returned(self, relay: int, server: int, started_us: int) -> bool:
--- a/glenfold_lab/checker/requests.py
+++ b/glenfold_lab/checker/requests.py
@@ -10,7 +10,7 @@
 from glenfold_lab.checker import answer, attempt, move
 from glenfold_lab.checker.state import Attempt, Request
 from glenfold_lab.checker.verdicts import Verdicts
-from glenfold_lab.observe import End, Final, Over, Watcher
+from glenfold_lab.observe import AttemptOutcome, End, Final, Watcher
 from glenfold_lab.spec import Rules
 
 LINGER_US = 1_000_000  # how long a message may be under way: a request is judged so much after its time is up
@@ -46,13 +46,13 @@
             return attempt.for_nobody(self._found, at, request, relay, server, first)
         new = Attempt(server, first, at, state.last)
         if state.over_before and any(who == server and first <= over for who, over in state.over_before):
-            new.over_at, new.how = at, Over.ABANDONED
+            new.over_at, new.how = at, AttemptOutcome.ABANDONED
         if state.judged:
             attempt.judge_late(self._found, state, new, self._slack)
         else:
             state.last = new
 
-    def attempt_over(self, at: int, request: int, server: int, how: Over) -> None:
+    def attempt_over(self, at: int, request: int, server: int, how: AttemptOutcome) -> None:
         state = self._open.get(request)
         if state is None or state.judged:
             return
--- a/glenfold_lab/checker/state.py
+++ b/glenfold_lab/checker/state.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from glenfold_lab.checker.verdicts import Seen
-from glenfold_lab.observe import Final, Over
+from glenfold_lab.observe import AttemptOutcome, Final
 
 
 @dataclass(slots=True, eq=False)
@@ -15,7 +15,7 @@
     at: int
     before: "Attempt | None"
     over_at: int | None = None
-    how: Over | None = None
+    how: AttemptOutcome | None = None
 
     def seen(self) -> list[Seen]:
         seen = [
--- a/glenfold_lab/cold_work.py
+++ b/glenfold_lab/cold_work.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from glenfold_lab.checker.cold import ColdServer, beyond_chance, told_after
-from glenfold_lab.observe import Capacity, Told, Watcher
+from glenfold_lab.checker.cold import ColdServer, exceeds_budget, previous_end_bound
+from glenfold_lab.observe import Capacity, ListedState, Watcher
 from glenfold_lab.spec import Rules
 
 
@@ -57,14 +57,14 @@
 
     def server_started(self, at: int, server: int, capacity: Capacity, cold: bool) -> None:
         if cold:
-            before = told_after(self._ended.get(server, 0), self._slack)
+            before = previous_end_bound(self._ended.get(server, 0), self._slack)
             life = self._now[server] = _Life(ColdServer(at, before, capacity))
             self._lives.append((server, life))
 
     def server_ended(self, at: int, server: int) -> None:
         self._ended[server] = at
 
-    def told(self, at: int, relay: int, server: int, state: Told, started_us: int) -> None:
+    def told(self, at: int, relay: int, server: int, state: ListedState, started_us: int) -> None:
         self._told[relay, server] = started_us
 
     def sent(self, at: int, request: int, relay: int, server: int, first: int, goes_on: bool = False) -> None:
@@ -74,8 +74,8 @@
         cold = life.cold
         life.sent += 1
         cold.take(at, self._told.get((relay, server), 0) > cold.before, self._span_us)
-        budget, count = self._multiple * cold.could_take(at - self._span_us, at), len(cold.sends)
-        span = Span(count, budget, beyond_chance(count, budget))
+        budget, count = self._multiple * cold.capacity_between(at - self._span_us, at), len(cold.sends)
+        span = Span(count, budget, exceeds_budget(count, budget))
         life.worst = max(life.worst, span, key=_order)
         if 3 * cold.knowing >= 2 * count:
             life.known = max(life.known, span, key=_order)
--- a/glenfold_lab/model/listing/feeds.py
+++ b/glenfold_lab/model/listing/feeds.py
@@ -17,7 +17,7 @@
 from glenfold_lab.model.listing.known import Known
 from glenfold_lab.model.listing.versions import Document, Entry, Versions, names_of
 from glenfold_lab.model.network import Network
-from glenfold_lab.observe import Told, Watcher
+from glenfold_lab.observe import ListedState, Watcher
 from glenfold_lab.spec import Range, Scenario
 from glenfold_lab.streams import Streams
 from linnetspread.interface import ServerList
@@ -93,7 +93,7 @@
         self._told_within_us = int(spec.told_within_s * SECOND_US)
         self._streams = streams
         self._nothing = Known.nothing(names_of(scenario))
-        first = [Entry(machine, Told.READY, 0) for machine in fleet.machines]
+        first = [Entry(machine, ListedState.READY, 0) for machine in fleet.machines]
         self._versions = Versions(scenario.zones.names, first)
         self._feeds = [Feed(relay, 1) for relay in range(scenario.relays.count)]
         self._news_of: dict[int, int] = {}  # how much has happened to each server
@@ -104,11 +104,11 @@
 
     # ---- discovery ----
 
-    def news(self, machine: Machine, state: Told, started: int, silent: bool) -> None:
+    def news(self, machine: Machine, state: ListedState, started: int, silent: bool) -> None:
         """Something has happened to a server, of which discovery finds out later."""
         happened = self._news_of[machine.number] = self._news_of.get(machine.number, 0) + 1
         delay = self._silent_notice_us if silent else self._notice_us
-        delay = self._add_us if state is Told.READY else delay
+        delay = self._add_us if state is ListedState.READY else delay
         self._kernel.after(delay, self._notice, Entry(machine, state, started), happened)
 
     def _notice(self, entry: Entry, happened: int) -> None:
--- a/glenfold_lab/model/listing/versions.py
+++ b/glenfold_lab/model/listing/versions.py
@@ -7,14 +7,14 @@
 from glenfold.config import Names
 from glenfold.destinations import STATES
 from glenfold_lab.model.fleet import Machine
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.spec import Scenario
 
 Document = dict[str, Any]
 
 PORT = 3000
 WHOLE_KEPT = 8  # whole lists of so many versions are kept; others are put together again
-WORDS = {Told[state.name]: word for word, state in STATES.items()}
+WORDS = {ListedState[state.name]: word for word, state in STATES.items()}
 
 
 def names_of(scenario: Scenario) -> Names:
@@ -32,7 +32,7 @@
     """One server as the list has it; `started` in microseconds, 0 if long ago."""
 
     machine: Machine
-    state: Told
+    state: ListedState
     started: int
 
     def document(self, zones: tuple[str, ...]) -> Document:
@@ -74,7 +74,7 @@
 
     def _says_new(self, entry: Entry) -> bool:
         known = self._latest.get(entry.machine.number)
-        return entry != known[1] if known is not None else entry.state is not Told.GONE
+        return entry != known[1] if known is not None else entry.state is not ListedState.GONE
 
     def changed(self, version: int) -> list[Entry]:
         return self._changes[version]
@@ -96,7 +96,7 @@
     def _whole_of(self, version: int) -> tuple[list[Entry], Document]:
         if version not in self._whole:
             by_server = {e.machine.number: e for step in self._changes[: version + 1] for e in step}
-            entries = [entry for entry in by_server.values() if entry.state is not Told.GONE]
+            entries = [entry for entry in by_server.values() if entry.state is not ListedState.GONE]
             self._whole[version] = entries, self._document(version, True, entries)
             if len(self._whole) > WHOLE_KEPT:
                 self._whole.popitem(last=False)
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -19,17 +19,17 @@
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.relay_settings import Costs
 from glenfold_lab.model.wire import Call, Machines
-from glenfold_lab.observe import End, Final, Over, Watcher
+from glenfold_lab.observe import AttemptOutcome, End, Final, Watcher
 from linnetspread import interface as i
 
 SILENT_US = round(SERVER_SILENCE_TIMEOUT_S * SECOND_US)
 HELD_BACK_US = SECOND_US  # a line that waits here for longer is worth a word
 CALL_UP = r.CallUp(b"")
 CALL_ENDED = {
-    Over.BUSY: r.CallEnded(i.Outcome.FULL),
-    Over.ERROR: r.CallEnded(i.Outcome.ERROR),
-    Over.REFUSED: r.CallEnded(i.Outcome.CONNECT_FAILED),
-    Over.RESET: r.CallEnded(i.Outcome.RESET),
+    AttemptOutcome.BUSY: r.CallEnded(i.Outcome.FULL),
+    AttemptOutcome.ERROR: r.CallEnded(i.Outcome.ERROR),
+    AttemptOutcome.REFUSED: r.CallEnded(i.Outcome.CONNECT_FAILED),
+    AttemptOutcome.RESET: r.CallEnded(i.Outcome.RESET),
 }
 LEFT = r.ClientDisconnected()
 LATE = r.DeadlinePassed()
@@ -250,15 +250,15 @@
 
     # ---- from push servers ----
 
-    def replied(self, call: Call, over: Over) -> None:
+    def replied(self, call: Call, over: AttemptOutcome) -> None:
         if self.alive:
             self._do(self._costs.reply, self._replied, call, over)
 
-    def _replied(self, call: Call, over: Over) -> None:
+    def _replied(self, call: Call, over: AttemptOutcome) -> None:
         exchange = self._caller(call)
         if exchange is None:
             return
-        if over is Over.UP:
+        if over is AttemptOutcome.UP:
             self._on(exchange, CALL_UP)
             self._load_heard(exchange, call.load)  # right behind the receipt
         else:
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -6,7 +6,7 @@
 import numpy as np
 
 from glenfold.net.passing import SERVER_SILENCE_TIMEOUT_S
-from glenfold_lab.checker.cold import beyond_chance
+from glenfold_lab.checker.cold import exceeds_budget
 from glenfold_lab.model.draw import BLOCK, lognormals, value
 from glenfold_lab.model.fleet import Fleet, Machine
 from glenfold_lab.model.kernel import SECOND_US, Kernel
@@ -16,7 +16,7 @@
 from glenfold_lab.model.servers.server import Server, Stage
 from glenfold_lab.model.servers.store import store_of
 from glenfold_lab.model.wire import Call
-from glenfold_lab.observe import End, Over, Watcher
+from glenfold_lab.observe import AttemptOutcome, End, Watcher
 from glenfold_lab.spec import Scenario
 from glenfold_lab.streams import Streams
 
@@ -102,10 +102,10 @@
             call.resumed = True
             self._stand(call, server)
         elif server.cold and self._too_many(server):
-            self._answer(call, server, Over.RESET)
+            self._answer(call, server, AttemptOutcome.RESET)
             self.on_fall(server)
         elif server.stage is Stage.DRAINS or now > call.deadline or len(server.waiting) >= server.queue:
-            self._answer(call, server, Over.BUSY)
+            self._answer(call, server, AttemptOutcome.BUSY)
         else:
             self._set_up(call, server)
 
@@ -117,7 +117,7 @@
             arrivals.popleft()
         present = self.fleet.warm_per_s(server.machine) * server.warmth(now)
         budget = rules.fall_multiple * rules.fall_s * present
-        return beyond_chance(len(arrivals), budget)
+        return exceeds_budget(len(arrivals), budget)
 
     def _set_up(self, call: Call, server: Server) -> None:
         server.queue_up(call, next(self._works[call.request_class]))
@@ -157,27 +157,27 @@
         server.advance(self.kernel.now)
         del server.waiting[call.request]
         if self.kernel.now > call.deadline:
-            self._answer(call, server, Over.BUSY)
+            self._answer(call, server, AttemptOutcome.BUSY)
         elif self._error_rate and self._luck.uniform() < self._error_rate:
-            self._answer(call, server, Over.ERROR)
+            self._answer(call, server, AttemptOutcome.ERROR)
         else:
             self._stand(call, server)
 
     def _stand(self, call: Call, server: Server) -> None:
         self._put(call, server)
-        self._answer(call, server, Over.UP)
+        self._answer(call, server, AttemptOutcome.UP)
 
     def _refuse(self, call: Call, server: Server) -> None:
         if not call.dropped:
-            self._answer(call, server, Over.REFUSED)
+            self._answer(call, server, AttemptOutcome.REFUSED)
 
-    def _answer(self, call: Call, server: Server, over: Over) -> None:
+    def _answer(self, call: Call, server: Server, over: AttemptOutcome) -> None:
         call.over = True
         self.watcher.attempt_over(self.kernel.now, call.request, call.server, over)
         if self._reached(call, server):
             self.kernel.after(self._way(call, server), self._replied, call, server, over)
 
-    def _replied(self, call: Call, server: Server, over: Over) -> None:
+    def _replied(self, call: Call, server: Server, over: AttemptOutcome) -> None:
         if call.dropped:
             return
         call.back.replied(call, over)
@@ -205,7 +205,7 @@
         elif call.arrived and not call.over:
             server.advance(self.kernel.now)
             server.give_up(call)
-            self.watcher.attempt_over(self.kernel.now, call.request, call.server, Over.ABANDONED)
+            self.watcher.attempt_over(self.kernel.now, call.request, call.server, AttemptOutcome.ABANDONED)
 
     def park(self, call: Call) -> None:
         if not call.stands:
@@ -250,7 +250,7 @@
     def break_all(self, server: Server) -> None:
         """The process dies: all it holds is reset, and whoever waits there as well."""
         for set_up in list(server.waiting.values()):
-            self._answer(set_up.call, server, Over.RESET)
+            self._answer(set_up.call, server, AttemptOutcome.RESET)
         for call in list(server.standing.values()):
             self.break_off(call, server, End.BROKEN)
         server.clear()
--- a/glenfold_lab/model/servers/lives.py
+++ b/glenfold_lab/model/servers/lives.py
@@ -7,7 +7,7 @@
 from glenfold_lab.model.kernel import SECOND_US
 from glenfold_lab.model.servers.calls import PushServers
 from glenfold_lab.model.servers.server import Server, Stage
-from glenfold_lab.observe import Capacity, End, Told
+from glenfold_lab.observe import Capacity, End, ListedState
 from glenfold_lab.results import Happened
 from glenfold_lab.spec import Rules
 
@@ -15,7 +15,7 @@
 MS = 1000  # lists tell the moment of a start in milliseconds: starts fall on whole ones
 
 # Machine, its new state, when it started, and whether it went without a word.
-News = Callable[[Machine, Told, int, bool], None]
+News = Callable[[Machine, ListedState, int, bool], None]
 
 
 class Lives:
@@ -61,7 +61,7 @@
         server.cold = True
         server.refresh(self._kernel.now)
         self._tell_started(server, True)
-        self._news(server.machine, Told.READY, server.started, False)
+        self._news(server.machine, ListedState.READY, server.started, False)
 
     def _tell_started(self, server: Server, cold: bool) -> None:
         rules = self._rules
@@ -78,7 +78,7 @@
         self._servers.break_all(server)
         if not server.silent:
             self._tell_ended(server)
-        self._news(server.machine, Told.GONE, server.started, server.silent)
+        self._news(server.machine, ListedState.GONE, server.started, server.silent)
 
     def _tell_ended(self, server: Server) -> None:
         self._watcher.server_ended(self._kernel.now, server.machine.number)
@@ -107,7 +107,7 @@
             return False
         server.stage = Stage.DRAINS
         self._watcher.server_draining(self._kernel.now, server.machine.number)
-        self._news(server.machine, Told.DRAINING, server.started, False)
+        self._news(server.machine, ListedState.DRAINING, server.started, False)
         return True
 
     def take_again(self, server: Server, life: int) -> None:
@@ -115,7 +115,7 @@
         if server.stage is Stage.DRAINS and server.life == life:
             server.stage = Stage.RUNS
             self._tell_started(server, False)
-            self._news(server.machine, Told.READY, server.started, False)
+            self._news(server.machine, ListedState.READY, server.started, False)
 
     def _ask_to_leave(self, server: Server, life: int, count: int, over_us: int, left_us: int) -> None:
         """So many of `count` may stay as there is time left."""
@@ -161,11 +161,11 @@
 
     def _go_silent(self, server: Server) -> None:
         self._tell_ended(server)
-        self._news(server.machine, Told.GONE, server.started, True)
+        self._news(server.machine, ListedState.GONE, server.started, True)
 
     def _come_back(self, server: Server) -> None:
         self._tell_started(server, False)
-        state = Told.READY if server.stage is Stage.RUNS else Told.DRAINING
+        state = ListedState.READY if server.stage is Stage.RUNS else ListedState.DRAINING
         self._news(server.machine, state, server.started, False)
 
     # ---- capacity ----
--- a/glenfold_lab/model/wire.py
+++ b/glenfold_lab/model/wire.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from glenfold_lab.observe import End, Over
+from glenfold_lab.observe import AttemptOutcome, End
 from linnetspread.interface import ServerList
 
 
@@ -44,7 +44,7 @@
 class Caller(Protocol):
     """The relay's end of a call."""
 
-    def replied(self, call: Call, over: Over) -> None:
+    def replied(self, call: Call, over: AttemptOutcome) -> None:
         """The answer to its first line, or a refused or broken connection, has reached the relay."""
 
     def ended(self, call: Call, how: End) -> None:
--- a/glenfold_lab/observe.py
+++ b/glenfold_lab/observe.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 
-class Told(IntEnum):
+class ListedState(IntEnum):
     """A server's state in the list, as `linnetspread.interface.ServerState` has it."""
 
     GONE = 0
@@ -31,7 +31,7 @@
     CLOSED = 3  # the relay ended the connection without an answer
 
 
-class Over(IntEnum):
+class AttemptOutcome(IntEnum):
     """How an attempt ended, as its push server (or the network) saw it; UP ends it as an attempt."""
 
     UP = 0
@@ -87,7 +87,7 @@
     def relay_down(self, at: int, relay: int) -> None:
         """Its process is gone; what it held and had been told is void."""
 
-    def told(self, at: int, relay: int, server: int, state: Told, started_us: int) -> None:
+    def told(self, at: int, relay: int, server: int, state: ListedState, started_us: int) -> None:
         """The last byte of this news was written to the relay, or it counts as told by now.
 
         started_us: when the server last started; 0 if long ago. A relay that starts is told the list that it
@@ -106,7 +106,7 @@
         """An attempt: its last byte has arrived at `at`, its first was sent at `first`. goes_on: it carries a
         connection on that stands or is parked there already, which is no new work."""
 
-    def attempt_over(self, at: int, request: int, server: int, how: Over) -> None:
+    def attempt_over(self, at: int, request: int, server: int, how: AttemptOutcome) -> None:
         """The attempt on that server is no longer out."""
 
     def answered(self, at: int, request: int, final: Final, server: int | None, wait_us: int) -> None:
--- a/glenfold_lab/scale/control_plays.py
+++ b/glenfold_lab/scale/control_plays.py
@@ -7,7 +7,7 @@
 
 import psutil  # type: ignore[import-untyped]
 
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.scale.control_judge import Judge, Judgement, Outage
 from glenfold_lab.scale.control_links import Links
 from glenfold_lab.scale.control_processes import ControlProcesses
@@ -80,7 +80,7 @@
         relays = self.relays.pids() if self.relays is not None else {}
         return {SOURCE: self.source.pid} | control | relays
 
-    def publish(self, servers: Sequence[int], state: Told) -> None:
+    def publish(self, servers: Sequence[int], state: ListedState) -> None:
         self.revision = self.source.publish(servers, state)
 
     def wait_for_all(self, patience_s: float = PATIENCE_S) -> bool:
@@ -148,7 +148,7 @@
         for n in range(changes):
             if n % 2 == 0:
                 server = stage.chance.randrange(stage.source.servers)
-            stage.publish([server], Told.DRAINING if n % 2 == 0 else Told.READY)
+            stage.publish([server], ListedState.DRAINING if n % 2 == 0 else ListedState.READY)
             due += gap_s
             time.sleep(max(0.0, due - time.monotonic()))
         return {}
@@ -162,7 +162,7 @@
 
     def play(stage: Stage) -> dict[str, Outage]:
         servers = stage.source.zone(zone)
-        for state in (Told.DRAINING, Told.READY):
+        for state in (ListedState.DRAINING, ListedState.READY):
             for part in [[server] for server in servers] if apart else [servers]:
                 stage.publish(part, state)
             stage.wait_for_all()
@@ -177,9 +177,9 @@
     def play(stage: Stage) -> dict[str, Outage]:
         stage.fleet.drop(within_s, forget)
         server = stage.chance.randrange(stage.source.servers)
-        stage.publish([server], Told.DRAINING)
+        stage.publish([server], ListedState.DRAINING)
         stage.wait_for_all()
-        stage.publish([server], Told.READY)
+        stage.publish([server], ListedState.READY)
         return {}
 
     return play
@@ -190,7 +190,7 @@
 
     def play(stage: Stage) -> dict[str, Outage]:
         stage.source.reset()
-        stage.publish([stage.chance.randrange(stage.source.servers)], Told.DRAINING)
+        stage.publish([stage.chance.randrange(stage.source.servers)], ListedState.DRAINING)
         return {}
 
     return play
@@ -202,7 +202,7 @@
     def play(stage: Stage) -> dict[str, Outage]:
         began = time.monotonic()
         stage.source.speak(False)
-        stage.publish([stage.chance.randrange(stage.source.servers)], Told.DRAINING)
+        stage.publish([stage.chance.randrange(stage.source.servers)], ListedState.DRAINING)
         time.sleep(seconds)
         stage.source.speak(True)
         outage = Outage(round(began * 1e6), round(time.monotonic() * 1e6))
@@ -218,13 +218,13 @@
         assert stage.control is not None
         servers = stage.source.zone(ZONE)
         for server in servers:
-            stage.publish([server], Told.DRAINING)
+            stage.publish([server], ListedState.DRAINING)
             if server == servers[len(servers) // 2]:
                 stage.control.kill([name])
         time.sleep(again_s)
         stage.control.start([name])
         for server in servers:
-            stage.publish([server], Told.READY)
+            stage.publish([server], ListedState.READY)
         return {}
 
     return play
@@ -272,7 +272,7 @@
             control.kill(left)
         if now >= due:
             due, changes = now + gap_s, changes + 1
-            stage.publish([(changes - 1) // 2], Told.DRAINING if changes % 2 else Told.READY)
+            stage.publish([(changes - 1) // 2], ListedState.DRAINING if changes % 2 else ListedState.READY)
         left -= set(control.start_ended(left))
         time.sleep(LOOK_S)
 
@@ -285,7 +285,7 @@
         names = _layer(stage, layer)
         began = time.monotonic()
         stage.control.kill(names)
-        stage.publish([stage.chance.randrange(stage.source.servers)], Told.DRAINING)
+        stage.publish([stage.chance.randrange(stage.source.servers)], ListedState.DRAINING)
         stage.control.start(names)
         stage.control.wait_until_ready(names)
         stage.back_s = time.monotonic() - began
--- a/glenfold_lab/scale/control_relays.py
+++ b/glenfold_lab/scale/control_relays.py
@@ -10,7 +10,7 @@
 import trio
 
 from glenfold.config import Address
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.scale.control_source import Source, listed_server
 from glenfold_lab.scale.driven_process import DrivenProcess
 from glenfold_lab.scale.placement_probe import NOBODY, PlacementProbe, PushServers
@@ -158,7 +158,7 @@
         """The next server drains. Raises ProcessFailed."""
         watched = self._watched.pop()
         at_home = self._probe.ask(Expect(watched.key, watched.entry.host))
-        revision = source.publish([watched.entry.number], Told.DRAINING)
+        revision = source.publish([watched.entry.number], ListedState.DRAINING)
         return Drained(self._probe, at_home, revision, source.history()[-1].at_us / 1e6)
 
 
--- a/glenfold_lab/scale/control_source.py
+++ b/glenfold_lab/scale/control_source.py
@@ -9,7 +9,7 @@
 import trio
 
 from glenfold.config import Address
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.scale.driven_process import DrivenProcess
 from glenfold_lab.scale.hollow_list import GONE, digest, stamp
 from glenfold_lab.stand_ins.agent import Agent, Change, Entry, Holding
@@ -26,7 +26,7 @@
     """From now on these servers, by number, are in this state; one that is ready has started again."""
 
     servers: tuple[int, ...]
-    state: Told
+    state: ListedState
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
             self._digest ^= self._stamps.pop(host, GONE) ^ new
             if new != GONE:
                 self._stamps[host] = new
-        drains = sum(entry.state is Told.DRAINING for entry in entries)
+        drains = sum(entry.state is ListedState.DRAINING for entry in entries)
         self.history.append(Revision(revision, at_us, stamps, before, self._digest, drains))
 
 
@@ -115,7 +115,7 @@
         return None
 
     def _publish(self, command: Publish) -> int:
-        born_ms = time.time_ns() // 1_000_000 if command.state is Told.READY else 0
+        born_ms = time.time_ns() // 1_000_000 if command.state is ListedState.READY else 0
         entries = tuple(self._changed(number, command.state, born_ms) for number in command.servers)
         revision = self._holding.seq + 1
         at_us = self._clock.now_us()
@@ -123,7 +123,7 @@
         self._ledger.add(revision, at_us, entries)
         return revision
 
-    def _changed(self, number: int, state: Told, born_ms: int) -> Entry:
+    def _changed(self, number: int, state: ListedState, born_ms: int) -> Entry:
         entry = replace(self._by_number[number], state=state)
         if born_ms:
             entry = replace(entry, born_ms=born_ms)
@@ -182,7 +182,7 @@
     def pid(self) -> int:
         return self._process.pid
 
-    def publish(self, servers: Sequence[int], state: Told) -> int:
+    def publish(self, servers: Sequence[int], state: ListedState) -> int:
         """The revision."""
         revision: int = self._process.ask(Publish(tuple(servers), state))
         return revision
--- a/glenfold_lab/scale/list_costs.py
+++ b/glenfold_lab/scale/list_costs.py
@@ -15,7 +15,7 @@
 
 from glenfold.config.platform import names_of, settings_of
 from glenfold.destinations import DestinationSet, server_number
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.scale.measurements import Point
 from glenfold_lab.scale.server_lists import SETTINGS, ChangeScript, ServerFleet
 from glenfold_lab.stand_ins.agent import Holding
@@ -199,7 +199,7 @@
     def _lost_zone(self, follower: Follower) -> None:
         """A zone's servers end in one change, and start again in one."""
         zone = self._fleet.zone(0)
-        lost, back = self._script.change(zone, Told.GONE), self._script.change(zone, Told.READY)
+        lost, back = self._script.change(zone, ListedState.GONE), self._script.change(zone, ListedState.READY)
         self._add("zone_change.bytes", "KB", len(lost.line()) / KB)
         self._add_take_in("zone_change", follower.take(lost.line()))
         self._add("zone_return.cpu", "ms", follower.take(back.line()).total_s * MS)
--- a/glenfold_lab/scale/relay_lists.py
+++ b/glenfold_lab/scale/relay_lists.py
@@ -19,7 +19,7 @@
 import trio
 
 from glenfold.destinations import server_number
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.scale import list_agent, loop_watch
 from glenfold_lab.scale.list_costs import Follower
 from glenfold_lab.scale.measurements import Point
@@ -247,7 +247,7 @@
         async with self._loops_watched("relay"):
             for place, watched in enumerate(self._drained):
                 await trio.sleep(max(0.0, began + place * CHANGE_GAP_S - time.monotonic()))
-                change = self._script.change([self._listed(watched)], Told.DRAINING)
+                change = self._script.change([self._listed(watched)], ListedState.DRAINING)
                 spans += await self._until_in_force(watched, change)
             await trio.sleep(max(0.0, began + self._terms.seconds - time.monotonic()))
         seconds = time.monotonic() - began
@@ -260,9 +260,9 @@
     async def _zone_lost_at_once(self) -> None:
         """A zone's servers end in one change; then all start again in one."""
         zone = self._fleet.zone(LOST_AT_ONCE)
-        await self._burst("relay.zone_change", self._in_lost, self._script.change(zone, Told.GONE))
+        await self._burst("relay.zone_change", self._in_lost, self._script.change(zone, ListedState.GONE))
         before = self._used_s()
-        await self._take(self._script.change(zone, Told.READY))
+        await self._take(self._script.change(zone, ListedState.READY))
         await trio.sleep(self._terms.settle_s + self._terms.idle_s / 2)
         self._add("relay.zone_return.cpu", "ms", (self._used_s() - before) * MS)
 
@@ -273,7 +273,7 @@
         watched = self._in_lost_line_by_line
         zone = self._fleet.zone(LOST_LINE_BY_LINE)
         ordered = sorted(zone, key=lambda entry: entry.host == watched.entry.host)
-        changes = [self._script.change([entry], Told.GONE) for entry in ordered]
+        changes = [self._script.change([entry], ListedState.GONE) for entry in ordered]
         before = self._used_s()
         await self._burst("relay.zone_lines", watched, *changes)
         self._add("relay.zone_lines.cpu", "ms", (self._used_s() - before) * MS)
--- a/glenfold_lab/scale/server_lists.py
+++ b/glenfold_lab/scale/server_lists.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.stand_ins.agent import Change, Entry
 
 ZONES = 14  # of the target
@@ -65,10 +65,10 @@
     def __init__(self) -> None:
         self._seq = FIRST_SEQ
 
-    def change(self, entries: Sequence[Entry], state: Told) -> Change:
+    def change(self, entries: Sequence[Entry], state: ListedState) -> Change:
         """These servers are now listed as `state`; those in service have just started."""
         self._seq += 1
-        started = FIRST_START_MS + self._seq if state is Told.READY else 0
+        started = FIRST_START_MS + self._seq if state is ListedState.READY else 0
         return Change(
             self._seq,
             tuple(replace(entry, state=state, born_ms=started or entry.born_ms) for entry in entries),
@@ -77,7 +77,7 @@
     def replacement(self, entry: Entry) -> tuple[Change, Change, Change]:
         """The changes that one server's replacement takes: it drains, ends, and starts again."""
         return (
-            self.change([entry], Told.DRAINING),
-            self.change([entry], Told.GONE),
-            self.change([entry], Told.READY),
+            self.change([entry], ListedState.DRAINING),
+            self.change([entry], ListedState.GONE),
+            self.change([entry], ListedState.READY),
         )
--- a/glenfold_lab/stand_ins/agent.py
+++ b/glenfold_lab/stand_ins/agent.py
@@ -13,7 +13,7 @@
 import h11
 import trio
 
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, SocketType, bind, end_now, take
@@ -22,7 +22,11 @@
 CHUNK = 16 * 1024
 STILL_S = 2.0  # an empty line goes out when there was nothing for so long
 REMEMBERED = 4096  # changes; who asks for older ones gets the whole list
-HEALTH = {Told.READY: "in_service", Told.DRAINING: "terminating", Told.GONE: "terminated"}
+HEALTH = {
+    ListedState.READY: "in_service",
+    ListedState.DRAINING: "terminating",
+    ListedState.GONE: "terminated",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +41,7 @@
     kind: str
     block: int
     share: float
-    state: Told = Told.READY
+    state: ListedState = ListedState.READY
     born_ms: int = 0
     started_us: int = 0
 
@@ -93,7 +97,7 @@
             if change.seq < self._since.get(entry.host, 0):
                 continue
             self._since[entry.host] = change.seq
-            if entry.state is Told.GONE:
+            if entry.state is ListedState.GONE:
                 self.entries.pop(entry.host, None)
             else:
                 self.entries[entry.host] = entry
--- a/glenfold_lab/stand_ins/judge.py
+++ b/glenfold_lab/stand_ins/judge.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from glenfold_lab.observe import End, Record, Told
+from glenfold_lab.observe import End, ListedState, Record
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
 
 SLACK_US = 50_000  # by which every time limit is extended on sockets
@@ -16,7 +16,7 @@
 SILENT_US = 7 * SECOND_US  # within which a relay ends a connection that nothing comes back on
 EXIT_SEEN_US = 500_000  # a process may have ended so much before it was seen to have
 
-Listed = tuple[Told, int]
+Listed = tuple[ListedState, int]
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     """pass_through: whether connections outlive their relays. first: servers in the list at the start."""
 
     def __init__(self, relays: int, first: Iterable[int], pass_through: bool) -> None:
-        listed = dict.fromkeys(first, (Told.READY, 0))
+        listed = dict.fromkeys(first, (ListedState.READY, 0))
         self._relays = [_Relay(held=dict(listed)) for _ in range(relays)]
         self._pass_through = pass_through
         self._broken: dict[int, _Broken] = {}
@@ -102,10 +102,10 @@
     def _stalls(self, at: int, relay: int, until: int) -> None:
         self._stalled[relay].append((at, until))
 
-    def _told(self, at: int, relay: int, server: int, told: Told, started: int) -> None:
+    def _told(self, at: int, relay: int, server: int, told: ListedState, started: int) -> None:
         """Counts from the first time. While a relay is down its agent takes it all the same."""
         state = self._relays[relay]
-        if told == Told.GONE:
+        if told == ListedState.GONE:
             state.held.pop(server, None)
         else:
             state.held[server] = told, started
--- a/glenfold_lab/stand_ins/push_server.py
+++ b/glenfold_lab/stand_ins/push_server.py
@@ -10,7 +10,7 @@
 
 from glenfold_lab.model.servers.calls import TICK_US
 from glenfold_lab.model.servers.server import Stage
-from glenfold_lab.observe import Over
+from glenfold_lab.observe import AttemptOutcome
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 from glenfold_lab.stand_ins.push_states import Conversation, Ending, Fault, Holder, Phase
 from glenfold_lab.stand_ins.sockets import Address, SocketType, begin_connect, bind, end_now, finish, take
@@ -133,7 +133,7 @@
         self._gone = False
         self.refuse()
         for held in self._held:
-            held.state.end(now, Ending.RESET, Over.RESET)
+            held.state.end(now, Ending.RESET, AttemptOutcome.RESET)
             held.wake()
         self.holder.fluid.stage = Stage.DOWN
 
@@ -205,7 +205,7 @@
         now, cut, self._cut = self._clock.now_us(), self._cut, set()
         for held in self._held:
             if held.state.relay in cut:
-                held.state.end(now, Ending.RESET, Over.RESET)
+                held.state.end(now, Ending.RESET, AttemptOutcome.RESET)
                 held.wake()
         for door in self._doors:
             if door.filler is not None:
@@ -321,5 +321,5 @@
                 continue
             heavy = set(self.holder.look(now))
             for held in [held for held in self._held if held.state in heavy]:
-                held.state.end(now, Ending.RESET, Over.RESET)
+                held.state.end(now, Ending.RESET, AttemptOutcome.RESET)
                 held.wake()
--- a/glenfold_lab/stand_ins/push_states.py
+++ b/glenfold_lab/stand_ins/push_states.py
@@ -17,7 +17,7 @@
 from glenfold_lab.model.servers.server import Server, Stage
 from glenfold_lab.model.servers.store import Store
 from glenfold_lab.model.wire import Call
-from glenfold_lab.observe import Capacity, End, Over
+from glenfold_lab.observe import AttemptOutcome, Capacity, End
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
 from glenfold_lab.stand_ins.seal import NotSent, Seal
 from glenfold_lab.stand_ins.seen import Seen
@@ -99,7 +99,7 @@
 class _Nobody:
     """Conversations hear of their calls without the model's messages."""
 
-    def replied(self, call: Call, over: Over) -> None: ...
+    def replied(self, call: Call, over: AttemptOutcome) -> None: ...
 
     def ended(self, call: Call, how: End) -> None: ...
 
@@ -254,7 +254,7 @@
     def gone(self, now: int) -> None:
         """The relay has closed this connection, or reset it."""
         if self.phase is Phase.SETTING_UP:
-            self._attempt_over(now, Over.ABANDONED)
+            self._attempt_over(now, AttemptOutcome.ABANDONED)
         elif self.phase is Phase.STANDING:
             self._leave(now, park=self.holder.park_us > 0)
         self.phase = Phase.OVER
@@ -278,9 +278,9 @@
             return
         self.fault = fault
         if fault is Fault.RESET:
-            self.end(now, Ending.RESET, Over.RESET)
+            self.end(now, Ending.RESET, AttemptOutcome.RESET)
         elif fault in (Fault.HALF_CLOSE, Fault.ERROR) and self.phase is Phase.STANDING:
-            self.end(now, Ending.FINISH, Over.RESET)
+            self.end(now, Ending.FINISH, AttemptOutcome.RESET)
         elif fault is Fault.HANG:
             self.hang(now)
 
@@ -293,7 +293,7 @@
         self._hung = True
         self.due = None
 
-    def end(self, now: int, ending: Ending, over: Over, word: bytes = b"") -> None:
+    def end(self, now: int, ending: Ending, over: AttemptOutcome, word: bytes = b"") -> None:
         """With `word`, a polite end; without, the connection breaks."""
         if self.phase is Phase.SETTING_UP:
             self._attempt_over(now, over)
@@ -309,7 +309,7 @@
     def move(self, now: int) -> None:
         """A draining server sends its client away."""
         if self.phase is Phase.STANDING and not self._hung:
-            self.end(now, Ending.CLOSE, Over.UP, b"MOVE\r\n")
+            self.end(now, Ending.CLOSE, AttemptOutcome.UP, b"MOVE\r\n")
 
     def supersede(self, now: int) -> None:
         """The same connection has come another way; this end of it means nothing any more."""
@@ -357,22 +357,22 @@
         if self.fault is Fault.HANG or self._hung:
             self._hung = True
         elif self.fault is Fault.AFTER_LINE:
-            self._answer(now, Over.RESET, ending=Ending.RESET)
+            self._answer(now, AttemptOutcome.RESET, ending=Ending.RESET)
         elif self.fault is Fault.HALF_CLOSE:
-            self._answer(now, Over.RESET, ending=Ending.FINISH)
+            self._answer(now, AttemptOutcome.RESET, ending=Ending.FINISH)
         elif (
             self.fault is Fault.ERROR
             or holder.random.random() < holder.error_rate
             or call.request in fluid.waiting
             or call.request in fluid.standing
         ):
-            self._answer(now, Over.ERROR, b"ERR\r\n")
+            self._answer(now, AttemptOutcome.ERROR, b"ERR\r\n")
         elif call.mid_flow:
             self._resume(call, now)
         elif "at" in first.figures and first.figures["at"] != holder.host:
-            self._answer(now, Over.RESET, ending=Ending.RESET)
+            self._answer(now, AttemptOutcome.RESET, ending=Ending.RESET)
         elif fluid.stage is Stage.DRAINS or len(fluid.waiting) >= fluid.queue or fluid.held >= fluid.cap:
-            self._answer(now, Over.BUSY, b"BUSY\r\n")
+            self._answer(now, AttemptOutcome.BUSY, b"BUSY\r\n")
         elif "at" in first.figures or first.figures.get("s") == "0":  # it stood before: that costs nothing
             self._up(now, call)
         else:
@@ -386,7 +386,7 @@
         elif call.connection in self.holder.parked_until:
             self.holder.forget(call.connection)
         else:
-            return self._answer(now, Over.RESET, ending=Ending.RESET)
+            return self._answer(now, AttemptOutcome.RESET, ending=Ending.RESET)
         self._up(now, call)
 
     def _queue_up(self, call: Call, now: int) -> None:
@@ -419,7 +419,7 @@
         del fluid.waiting[call.request]
         self.due = None
         if now > call.deadline:
-            self._answer(now, Over.BUSY, b"BUSY\r\n")
+            self._answer(now, AttemptOutcome.BUSY, b"BUSY\r\n")
         else:
             self._up(now, call)
 
@@ -429,14 +429,16 @@
         if holder.seal is not None:
             receipt = holder.seal.receipt(holder.host, call.request)
         self.out += f"UP {receipt}\r\n".encode()
-        self._attempt_over(now, Over.UP)
+        self._attempt_over(now, AttemptOutcome.UP)
         self.phase = Phase.STANDING
         holder.by_key[call.connection] = self
         holder.fluid.put(call)
         self._plan_change(now)
         self._next_due()
 
-    def _answer(self, now: int, over: Over, word: bytes = b"", ending: Ending = Ending.CLOSE) -> None:
+    def _answer(
+        self, now: int, over: AttemptOutcome, word: bytes = b"", ending: Ending = Ending.CLOSE
+    ) -> None:
         self._attempt_over(now, over)
         self.out += word
         self.phase = Phase.OVER
@@ -449,7 +451,7 @@
             fluid.give_up(call)
             self.due = None
 
-    def _attempt_over(self, now: int, over: Over) -> None:
+    def _attempt_over(self, now: int, over: AttemptOutcome) -> None:
         self._give_up_turn(now)
         if self._call is not None:
             self.holder.seen.attempt_over(now, self._call.request, self.holder.number, over)
@@ -460,7 +462,7 @@
         self.holder.syntax += 1
         words = f"it sent server {self.holder.number} what no client sends: {fault}"
         self.holder.seen.fault(now, self.relay, words)
-        self.end(now, Ending.CLOSE, Over.ERROR, b"SYNTAX\r\n")
+        self.end(now, Ending.CLOSE, AttemptOutcome.ERROR, b"SYNTAX\r\n")
 
     # ---- standing ----
 
@@ -468,9 +470,9 @@
         if self._hung:
             return
         if self.fault is Fault.AFTER_LINE:
-            return self.end(now, Ending.RESET, Over.RESET)
+            return self.end(now, Ending.RESET, AttemptOutcome.RESET)
         if line == b"QUIT":
-            return self.end(now, Ending.CLOSE, Over.UP, b"BYE\r\n")
+            return self.end(now, Ending.CLOSE, AttemptOutcome.UP, b"BYE\r\n")
         self._note_held_back(line, now)
         delay = self.holder.delay_us(now) + self.holder.ways_us[self.relay]
         # An answer tells when it was given; lines that are not of this form come back as they are.
--- a/glenfold_lab/stand_ins/script.py
+++ b/glenfold_lab/stand_ins/script.py
@@ -18,7 +18,7 @@
 from glenfold_lab.model.servers.calls import PushServers
 from glenfold_lab.model.servers.lives import Lives
 from glenfold_lab.model.servers.server import Server
-from glenfold_lab.observe import Told, Watcher
+from glenfold_lab.observe import ListedState, Watcher
 from glenfold_lab.results import Happened
 from glenfold_lab.spec import Scenario
 from glenfold_lab.streams import Streams
@@ -88,7 +88,7 @@
 
     def known(self, relay: int, at: int) -> tuple[int, tuple[Entry, ...]]:
         """Version and list as this relay's agent holds them at that moment."""
-        held = {machine.number: (1, Entry(machine, Told.READY, 0)) for machine in self.first}
+        held = {machine.number: (1, Entry(machine, ListedState.READY, 0)) for machine in self.first}
         for one in self.news:
             if one.relay == relay and one.at <= at:
                 held |= {
@@ -97,7 +97,7 @@
                     if one.version >= held.get(entry.machine.number, (0,))[0]
                 }
         version = max(version for version, _ in held.values())
-        return version, tuple(entry for _, entry in held.values() if entry.state is not Told.GONE)
+        return version, tuple(entry for _, entry in held.values() if entry.state is not ListedState.GONE)
 
 
 def draw(scenario: Scenario, seed: int) -> Script:
@@ -146,7 +146,7 @@
     """Notes what is done to which server."""
 
     def __init__(
-        self, script: Script, servers: PushServers, news: Callable[[Machine, Told, int, bool], None]
+        self, script: Script, servers: PushServers, news: Callable[[Machine, ListedState, int, bool], None]
     ) -> None:
         super().__init__(servers, script.scenario.rules, news, script.happened.append)
         self._script = script
--- a/glenfold_lab/stand_ins/seen.py
+++ b/glenfold_lab/stand_ins/seen.py
@@ -4,7 +4,7 @@
 observations once those of all stand-ins are at hand.
 """
 
-from glenfold_lab.observe import Recorder, Told
+from glenfold_lab.observe import ListedState, Recorder
 
 
 class Seen(Recorder):
@@ -33,7 +33,7 @@
         """The relay's process is stopped until then."""
         self.records.append(("stalled", (at, relay, until)))
 
-    def due(self, at: int, relay: int, server: int, state: Told, started_us: int) -> None:
+    def due(self, at: int, relay: int, server: int, state: ListedState, started_us: int) -> None:
         """The relay counts as told this by now, whether it was or not."""
         self.records.append(("due", (at, relay, server, state, started_us)))
 
--- a/tests/glenfold_lab/modelled_machines.py
+++ b/tests/glenfold_lab/modelled_machines.py
@@ -6,7 +6,7 @@
 from glenfold_lab.model.machinery import Machinery
 from glenfold_lab.model.servers.server import Server, Stage
 from glenfold_lab.model.wire import Call
-from glenfold_lab.observe import End, Over, Recorder
+from glenfold_lab.observe import AttemptOutcome, End, Recorder
 from glenfold_lab.spec import Relays, RequestClass, Scenario, ServerKind, ServerList, Servers, Zones
 from glenfold_lab.streams import Streams
 
@@ -59,7 +59,7 @@
         self.kernel, self.seen = Kernel(), Recorder()
         self.machinery = Machinery(Scenario(**made | scenario), Streams(seed), self.kernel, self.seen)
         self.servers, self.lives = self.machinery.servers, self.machinery.lives
-        self.replies: dict[int, Over] = {}  # all by request
+        self.replies: dict[int, AttemptOutcome] = {}  # all by request
         self.took: dict[int, int] = {}
         self.ends: dict[int, End] = {}
         self.silent: list[int] = []
@@ -105,7 +105,7 @@
     def observed(self, name: str) -> list[tuple[Any, ...]]:
         return [values for kind, values in self.seen.records if kind == name]
 
-    def replied(self, call: Call, over: Over) -> None:
+    def replied(self, call: Call, over: AttemptOutcome) -> None:
         assert call.request not in self.replies
         self.replies[call.request] = over
         self.took[call.request] = self.kernel.now - call.sent_at
--- a/tests/glenfold_lab/modelled_relays.py
+++ b/tests/glenfold_lab/modelled_relays.py
@@ -9,7 +9,7 @@
 from glenfold_lab.model.relay_settings import Costs
 from glenfold_lab.model.relays import Exchange, Relay, Surroundings
 from glenfold_lab.model.wire import Call
-from glenfold_lab.observe import End, Over, Recorder
+from glenfold_lab.observe import AttemptOutcome, End, Recorder
 from linnetspread import interface as i
 
 WAY_US = 500  # from the relay to a push server, or back
@@ -34,7 +34,7 @@
     """As `wire.Machines`. `answer`: what a server says to a call; None: nothing. `silent`: never come up."""
 
     kernel: Kernel
-    answer: Callable[[Call], Over | None] = lambda call: Over.UP
+    answer: Callable[[Call], AttemptOutcome | None] = lambda call: AttemptOutcome.UP
     silent: set[int] = field(default_factory=set)
     calls: list[Call] = field(default_factory=list)
     closed: list[Call] = field(default_factory=list)
@@ -51,7 +51,7 @@
 
     def resume(self, call: Call) -> bool:
         self.calls.append(call)
-        return self.answer(call) is Over.UP
+        return self.answer(call) is AttemptOutcome.UP
 
     def close(self, call: Call) -> None:
         self.closed.append(call)
--- a/tests/glenfold_lab/scale/test_lists.py
+++ b/tests/glenfold_lab/scale/test_lists.py
@@ -14,7 +14,7 @@
 import pytest
 import trio
 
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.scale.list_costs import Effort, Follower, TakeIn, allocated_mb, measure
 from glenfold_lab.scale.measurements import Results
 from glenfold_lab.scale.relay_lists import Play, Terms
@@ -113,8 +113,8 @@
         return self._new_follower().take(self.whole).total_s
 
     def change_s(self) -> float:
-        change = self._script.change([self._entries[0]], Told.DRAINING)
-        back = self._script.change([self._entries[0]], Told.READY)
+        change = self._script.change([self._entries[0]], ListedState.DRAINING)
+        back = self._script.change([self._entries[0]], ListedState.READY)
         return self.follower.take(change.line()).total_s + self.follower.take(back.line()).total_s
 
     def replace(self, times: int) -> None:
--- a/tests/glenfold_lab/scale/test_scale_control.py
+++ b/tests/glenfold_lab/scale/test_scale_control.py
@@ -12,7 +12,7 @@
 
 from glenfold.config import Address
 from glenfold.net.discovery import ASKING_TIMEOUT_S, MAX_WATCH_SILENCE_S, RETRY_DELAY_S
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.scale import control_command
 from glenfold_lab.scale import control_plays as plays
 from glenfold_lab.scale.control_judge import Judge, Judgement, Outage
@@ -73,7 +73,7 @@
         self.watcher.received(WATCH_HEAD + chunk(line), self.now)
         return request
 
-    def change(self, number: int, state: Told) -> bytes:
+    def change(self, number: int, state: ListedState) -> bytes:
         """The source has it; the line that a watch would carry."""
         self.now += 1.0
         entry = replace(self.entries[number], state=state)
@@ -104,7 +104,7 @@
 def test_a_sound_source_is_judged_sound(world: World) -> None:
     assert world.connect() == b"GET /v1/servers?watch=1&from=1 HTTP/1.1\r\nHost: 127.0.0.1:1001\r\n\r\n"
     for n in range(4):
-        world.hear(world.change(n, Told.DRAINING))
+        world.hear(world.change(n, ListedState.DRAINING))
     judged = world.judged()
     assert judged.sound
     assert (judged.revisions, judged.in_force.count, judged.drains_in_force.count) == (4, 4, 4)
@@ -114,8 +114,8 @@
 
 def test_a_skipped_revision_is_lost(world: World) -> None:
     world.connect()
-    world.change(0, Told.DRAINING)  # never sent
-    world.hear(world.change(1, Told.DRAINING))
+    world.change(0, ListedState.DRAINING)  # never sent
+    world.hear(world.change(1, ListedState.DRAINING))
     judged = world.judged()
     assert (judged.lost, judged.doubled, judged.disagreeing) == (1, 0, 1)
     assert judged.in_force.count == 1
@@ -123,15 +123,15 @@
 
 def test_a_revision_that_never_came_is_lost(world: World) -> None:
     world.connect()
-    world.hear(world.change(0, Told.DRAINING))
-    world.change(1, Told.DRAINING)
+    world.hear(world.change(0, ListedState.DRAINING))
+    world.change(1, ListedState.DRAINING)
     judged = world.judged()
     assert (judged.lost, judged.doubled, judged.in_force.count) == (1, 0, 1)
 
 
 def test_a_repeated_revision_is_doubled(world: World) -> None:
     world.connect()
-    line = world.change(0, Told.DRAINING)
+    line = world.change(0, ListedState.DRAINING)
     world.hear(line)
     world.hear(line)
     assert (world.judged().lost, world.judged().doubled) == (0, 1)
@@ -139,16 +139,16 @@
 
 def test_a_revision_that_changes_nothing_need_tell_nothing(world: World) -> None:
     world.connect()
-    world.hear(world.change(0, Told.DRAINING))
-    world.change(0, Told.DRAINING)
+    world.hear(world.change(0, ListedState.DRAINING))
+    world.change(0, ListedState.DRAINING)
     world.hear(Change(3, ()).line())
-    world.hear(world.change(0, Told.DRAINING))
+    world.hear(world.change(0, ListedState.DRAINING))
     assert world.judged().sound and world.judged().in_force.count == 3
 
 
 def test_a_revision_that_comes_again_after_a_resume_is_doubled(world: World) -> None:
     world.connect()
-    line = world.change(0, Told.DRAINING)
+    line = world.change(0, ListedState.DRAINING)
     world.hear(line)
     world.watcher.failed(Fault("closed"), world.now)
     world.connect(first=line)
@@ -157,8 +157,8 @@
 
 def test_an_entry_that_is_told_again_with_a_newer_one_is_doubled(world: World) -> None:
     world.connect()
-    world.hear(world.change(0, Told.DRAINING))
-    world.change(1, Told.DRAINING)
+    world.hear(world.change(0, ListedState.DRAINING))
+    world.change(1, ListedState.DRAINING)
     merged = world.holding.after(1, None)  # the watcher knows revision 2
     world.hear(merged)
     assert (world.judged().lost, world.judged().doubled) == (0, 1)
@@ -168,8 +168,8 @@
     world.connect()
     world.watcher.failed(Fault("closed"), world.now)
     for n in range(3):
-        world.change(n, Told.DRAINING)
-    world.change(0, Told.GONE)
+        world.change(n, ListedState.DRAINING)
+    world.change(0, ListedState.GONE)
     assert b"from=1 " in world.connect()
     judged = world.judged()
     assert judged.sound
@@ -178,8 +178,8 @@
 
 def test_a_wrong_entry_is_lost_and_another_list_disagrees(world: World) -> None:
     world.connect()
-    world.change(0, Told.DRAINING)
-    wrong = replace(world.entries[0], state=Told.DRAINING, share=0.5)
+    world.change(0, ListedState.DRAINING)
+    wrong = replace(world.entries[0], state=ListedState.DRAINING, share=0.5)
     world.hear(Change(2, (wrong,)).line())
     assert (world.judged().lost, world.judged().disagreeing) == (1, 1)
 
@@ -192,9 +192,9 @@
 
 def test_an_older_change_has_no_place(world: World) -> None:
     world.connect()
-    old = world.change(0, Told.DRAINING)
+    old = world.change(0, ListedState.DRAINING)
     world.hear(old)
-    world.hear(world.change(0, Told.READY))
+    world.hear(world.change(0, ListedState.READY))
     world.hear(old)
     judged = world.judged()
     assert (judged.doubled, judged.disagreeing) == (1, 0)
@@ -202,7 +202,7 @@
 
 def test_what_could_not_be_reached_counts_from_then_on(world: World) -> None:
     world.connect()
-    world.hear(world.change(0, Told.DRAINING), late_s=5.0)
+    world.hear(world.change(0, ListedState.DRAINING), late_s=5.0)
     assert world.judged().in_force.max_s == pytest.approx(5.0)
     assert world.judged(Outage(0, 5_500_000)).in_force.max_s == pytest.approx(0.5)
 
@@ -223,7 +223,7 @@
 
 def test_half_a_line_is_no_word_and_does_not_outlive_its_connection(world: World) -> None:
     world.connect()
-    line = world.change(0, Told.DRAINING)
+    line = world.change(0, ListedState.DRAINING)
     whole = chunk(line)
     world.watcher.received(whole[:40], world.now)
     assert world.watcher.due_at == MAX_WATCH_SILENCE_S
@@ -423,8 +423,8 @@
 
 def test_a_play_that_exceeds_a_bound_says_which(world: World) -> None:
     world.connect()
-    world.hear(world.change(0, Told.DRAINING), late_s=5.0)
-    world.change(1, Told.DRAINING)
+    world.hear(world.change(0, ListedState.DRAINING), late_s=5.0)
+    world.change(1, ListedState.DRAINING)
     result = PlayResult("steady", 1.0, world.judged(), {}, RelayWaits(2, [4.5]), 0.0)
     assert broken(result) == [
         "1 lost",
--- a/tests/glenfold_lab/standing.py
+++ b/tests/glenfold_lab/standing.py
@@ -21,7 +21,7 @@
 from glenfold_lab.model.network import Network
 from glenfold_lab.model.servers.messages import Messages
 from glenfold_lab.model.servers.server import Server
-from glenfold_lab.observe import Capacity, Over
+from glenfold_lab.observe import AttemptOutcome, Capacity
 from glenfold_lab.spec import Zones
 from glenfold_lab.stand_ins.agent import Agent, Change, Entry, Holding
 from glenfold_lab.stand_ins.machine_clock import MachineClock
@@ -56,7 +56,7 @@
     async def answer(self, key: int = 7) -> bytes:
         return await relaying.read_line(await self.open(key))
 
-    def overs(self, server: PushServer) -> list[Over]:
+    def overs(self, server: PushServer) -> list[AttemptOutcome]:
         return [
             values[3]
             for name, values in self.seen.records
--- a/tests/glenfold_lab/test_checker.py
+++ b/tests/glenfold_lab/test_checker.py
@@ -10,9 +10,19 @@
 from hypothesis import strategies as st
 
 from glenfold_lab.checker import Checker
-from glenfold_lab.checker.cold import CHANCE, SPREADS
+from glenfold_lab.checker.cold import ALLOWED_DEVIATIONS, ALLOWED_EXCESS
 from glenfold_lab.checker.state import Request
-from glenfold_lab.observe import OBSERVATIONS, Capacity, End, Final, Over, Record, Told, Watcher, replay
+from glenfold_lab.observe import (
+    OBSERVATIONS,
+    AttemptOutcome,
+    Capacity,
+    End,
+    Final,
+    ListedState,
+    Record,
+    Watcher,
+    replay,
+)
 from glenfold_lab.spec import Rules
 
 S = 1_000_000
@@ -22,16 +32,16 @@
 SEEDS = st.integers(0, 2**32)
 CAPACITY = Capacity(warm_per_s=4.0, cold_share=0.12, cold_us=23 * S)
 NEWS = (  # moment, server, state, start; to each relay
-    (0, OLD, Told.READY, 0),
-    (0, DRAINS, Told.READY, 0),
-    (0, FLAPS, Told.READY, 0),
-    (0, DIES, Told.READY, 0),
-    (4 * S, DRAINS, Told.DRAINING, 0),
-    (6 * S, FLAPS, Told.DRAINING, 0),
-    (9 * S, FLAPS, Told.READY, 0),
-    (12 * S, DIES, Told.DRAINING, 0),
-    (13 * S, DIES, Told.GONE, 0),
-    (11 * S, COLD, Told.READY, 10 * S),
+    (0, OLD, ListedState.READY, 0),
+    (0, DRAINS, ListedState.READY, 0),
+    (0, FLAPS, ListedState.READY, 0),
+    (0, DIES, ListedState.READY, 0),
+    (4 * S, DRAINS, ListedState.DRAINING, 0),
+    (6 * S, FLAPS, ListedState.DRAINING, 0),
+    (9 * S, FLAPS, ListedState.READY, 0),
+    (12 * S, DIES, ListedState.DRAINING, 0),
+    (13 * S, DIES, ListedState.GONE, 0),
+    (11 * S, COLD, ListedState.READY, 10 * S),
 )
 
 
@@ -40,8 +50,8 @@
     at: int,
     relay: int = 0,
     server: int = OLD,
-    last: Over = Over.UP,
-    before: tuple[Over, ...] = (),
+    last: AttemptOutcome = AttemptOutcome.UP,
+    before: tuple[AttemptOutcome, ...] = (),
     wait: int = 1000,
     at_first: int | None = None,
 ) -> list[Record]:
@@ -52,7 +62,7 @@
         made.append(("sent", (at + 2 * wait, number, relay, place, at + wait)))
         at += 3 * wait
         made.append(("attempt_over", (at, number, place, how)))
-    final = {Over.UP: Final.UP, Over.BUSY: Final.BUSY}.get(last, Final.ERROR)
+    final = {AttemptOutcome.UP: Final.UP, AttemptOutcome.BUSY: Final.BUSY}.get(last, Final.ERROR)
     made.append(("answered", (at + wait, number, final, server if final is Final.UP else None, 0)))
     return made + [("ended", (at + 8 * S, number, End.CLIENT))] * (final is Final.UP)
 
@@ -76,21 +86,24 @@
 
 
 def sound(random: Random) -> list[Record]:
-    made = world() + request(PLAIN, 3 * S, before=(Over.BUSY,), at_first=FLAPS)
-    made += request(REFUSED, 5 * S, last=Over.BUSY)
+    made = world() + request(PLAIN, 3 * S, before=(AttemptOutcome.BUSY,), at_first=FLAPS)
+    made += request(REFUSED, 5 * S, last=AttemptOutcome.BUSY)
     dies = random.randrange(1, 25) * S  # relay 1
     for number in range(random.randrange(25)):
         at, relay = random.randrange(S, 30 * S), random.randrange(2)
         servers = [one for one in (OLD, DRAINS, FLAPS, DIES) if allowed(one, at) and allowed(one, at + S)]
         if relay == 1 and dies <= at < dies + 2 * S:
             continue
-        before = random.choices([Over.BUSY, Over.ERROR, Over.RESET, Over.ABANDONED], k=random.randrange(5))
+        before = random.choices(
+            [AttemptOutcome.BUSY, AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.ABANDONED],
+            k=random.randrange(5),
+        )
         one = request(
             number,
             at,
             relay,
             random.choice(servers),
-            random.choice(list(Over)),
+            random.choice(list(AttemptOutcome)),
             tuple(before),
             random.randrange(S // 20),
         )
@@ -169,7 +182,7 @@
         *without(made, "answered", REFUSED),
         ("left", (6 * S, REFUSED)),
         ("sent", (6 * S + then + slack + 1000, REFUSED, 0, OLD, 6 * S + then + slack)),
-        ("attempt_over", (6 * S + then + slack + 2000, REFUSED, OLD, Over.ABANDONED)),
+        ("attempt_over", (6 * S + then + slack + 2000, REFUSED, OLD, AttemptOutcome.ABANDONED)),
     ]
 
 
@@ -196,7 +209,7 @@
             "attempt_over",
             PLAIN,
             lambda slack, at, number, server, how: (
-                at + 3000 + slack if how is Over.BUSY else at,
+                at + 3000 + slack if how is AttemptOutcome.BUSY else at,
                 number,
                 server,
                 how,
@@ -211,14 +224,14 @@
     "after the answer, while it stands": ("attempt", again("sent", 10_500_000, PLAIN, 0, OLD, 10_500_000)),
     "long after its client left": ("attempt", left(300_001)),
     "for nobody": ("attempt", again("sent", 10_500_000, 999, 0, OLD, 10_500_000)),
-    "too many": ("attempt", add(lambda slack: request(7777, 3 * S, before=(Over.BUSY,) * 5))),
+    "too many": ("attempt", add(lambda slack: request(7777, 3 * S, before=(AttemptOutcome.BUSY,) * 5))),
     "drained": ("drain", late_send(DRAINS, 4 * S)),
     "drains again": ("drain", late_send(FLAPS, 6 * S)),
     "gone": ("drain", late_send(DIES, 12 * S)),
     "gone, with old news": (
         "drain",
         lambda made, slack: late_send(DIES, 14 * S)(
-            [*made, ("told", (13_500_000, 0, DIES, Told.READY, 0))], slack
+            [*made, ("told", (13_500_000, 0, DIES, ListedState.READY, 0))], slack
         ),
     ),
     "never named": ("drain", late_send(COLD, 12 * S, relay=UNTOLD)),
@@ -258,7 +271,7 @@
         "attempt_over",
         PLAIN,
         lambda slack, at, number, server, how: (
-            at + 2000 + slack if how is Over.BUSY else at,
+            at + 2000 + slack if how is AttemptOutcome.BUSY else at,
             number,
             server,
             how,
@@ -266,7 +279,7 @@
     ),
     "over before it arrived": add(
         lambda slack: [
-            ("attempt_over", (5_001_500, REFUSED, FLAPS, Over.ABANDONED)),
+            ("attempt_over", (5_001_500, REFUSED, FLAPS, AttemptOutcome.ABANDONED)),
             ("sent", (5_001_700, REFUSED, 0, FLAPS, 5_001_000)),
         ]
     ),
@@ -277,12 +290,12 @@
         [
             *made,
             ("server_started", (13_200_000, DIES, CAPACITY, False)),
-            ("told", (13_500_000, 0, DIES, Told.READY, 0)),
+            ("told", (13_500_000, 0, DIES, ListedState.READY, 0)),
         ],
         slack,
     ),
     "cold, by relays that were not told": lambda made, slack: burst(20, UNTOLD)(
-        [*made, ("told", (11 * S, UNTOLD, COLD, Told.READY, 0))], slack
+        [*made, ("told", (11 * S, UNTOLD, COLD, ListedState.READY, 0))], slack
     ),
     "cold, by relays that were told of an earlier start": lambda made, slack: burst(20, 0)(
         [*made, ("server_ended", (11_500_000, COLD)), ("server_started", (11_600_000, COLD, CAPACITY, True))],
@@ -316,7 +329,7 @@
 
     at, steps = round((10 + age_s) * S), range(0, 3 * S, 1000)
     budget = 3 * 10 * sum(share(age_s * S - before) for before in steps) / len(steps) * 3
-    most = int(budget + CHANCE + SPREADS * budget**0.5)
+    most = int(budget + ALLOWED_EXCESS + ALLOWED_DEVIATIONS * budget**0.5)
     start = [("server_started", (10 * S, COLD, Capacity(10.0, 0.12, cold_s * S), True))]
     late = [record for n in range(most + 1) for record in request(7000 + n, at - 2000, 0, COLD)]
     early = request(6000, at - 3 * S - 2000, 0, COLD) if age_s > 4 else []  # its span is over
@@ -330,7 +343,7 @@
     start = [
         ("server_ended", (10 * S + 1000, OLD)),
         ("server_started", (10 * S + 1500, OLD, CAPACITY, True)),
-        *(("told", (10 * S + 2000, relay, OLD, Told.READY, 10 * S)) for relay in (0, 1)),
+        *(("told", (10 * S + 2000, relay, OLD, ListedState.READY, 10 * S)) for relay in (0, 1)),
     ]
     crowd = [record for n in range(40) for record in request(7000 + n, 11 * S, 0, OLD)]
     assert judge([*world(), *start, *crowd], slack) == broken
@@ -340,8 +353,8 @@
 NAMED = {
     "capacity": st.just(CAPACITY),
     "cold": st.booleans(),
-    "state": st.sampled_from(Told),
-    "how": st.integers(0, 5).map(Over),
+    "state": st.sampled_from(ListedState),
+    "how": st.integers(0, 5).map(AttemptOutcome),
     "final": st.sampled_from(Final),
     "server": NUMBERS,
     "goes_on": st.booleans(),
@@ -374,5 +387,5 @@
 def test_what_is_over_is_forgotten():
     checker = Checker(RULES, 0)
     for n in range(3000):  # one each 10 ms, so 400 within a deadline and the second behind it
-        replay(request(n, n * 10_000, last=Over.BUSY if n % 2 else Over.UP), checker)
+        replay(request(n, n * 10_000, last=AttemptOutcome.BUSY if n % 2 else AttemptOutcome.UP), checker)
     assert sum(isinstance(one, Request) for one in gc.get_objects()) < 600
--- a/tests/glenfold_lab/test_cold_work.py
+++ b/tests/glenfold_lab/test_cold_work.py
@@ -1,7 +1,7 @@
 """What cold push servers are sent, against their budget."""
 
 from glenfold_lab.cold_work import ColdWork
-from glenfold_lab.observe import Capacity, Told, Watcher
+from glenfold_lab.observe import Capacity, ListedState, Watcher
 from glenfold_lab.spec import Rules
 
 SECOND_US = 1_000_000
@@ -16,7 +16,7 @@
 def test_work_counts_against_the_budget_of_the_span_that_used_most() -> None:
     work = ColdWork(RULES)
     cold_at(work, SECOND_US)
-    work.told(SECOND_US, 0, 7, Told.READY, SECOND_US)
+    work.told(SECOND_US, 0, 7, ListedState.READY, SECOND_US)
     for n in range(6):  # at the start three seconds are worth 3 s * 3 * 1 a second
         work.sent(SECOND_US, n, n % 2, 7, SECOND_US)
     for n in range(20):  # nearly warm: 3 s * 3 * 9.5 a second
--- a/tests/glenfold_lab/test_machines_calls.py
+++ b/tests/glenfold_lab/test_machines_calls.py
@@ -8,7 +8,7 @@
 from glenfold_lab.model.servers.calls import SILENT_US
 from glenfold_lab.model.servers.server import Stage
 from glenfold_lab.model.wire import Call
-from glenfold_lab.observe import End, Over
+from glenfold_lab.observe import AttemptOutcome, End
 from glenfold_lab.spec import Clients
 
 GROUP = 200_000.0  # what a group costs: 2 mean loads
@@ -23,7 +23,7 @@
     assert not world.replies and world.servers.answer_us(stands) is None and world.ends
     world.lives.jam(world.server(), False)
     world.run(100 * MS)
-    assert world.replies == {call.request: Over.UP}
+    assert world.replies == {call.request: AttemptOutcome.UP}
 
 
 def test_full_tables_refuse_and_full_queues_turn_away() -> None:
@@ -31,12 +31,14 @@
     world.standing(19, load=0.0)
     calls = [world.call() for _ in range(2)]
     world.run(100 * MS)
-    assert [world.replies[call.request] for call in calls] == [Over.UP, Over.REFUSED]
+    assert [world.replies[call.request] for call in calls] == [AttemptOutcome.UP, AttemptOutcome.REFUSED]
     assert len(world.observed("sent")) == 1  # a line to a refused connection never arrives
     crowd = Fixed()
     calls = [crowd.call() for _ in range(8)]
     crowd.run(1 * S)
-    assert [crowd.replies[call.request] for call in calls] == [Over.UP] * 5 + [Over.BUSY] * 3
+    assert [crowd.replies[call.request] for call in calls] == [AttemptOutcome.UP] * 5 + [
+        AttemptOutcome.BUSY
+    ] * 3
 
 
 @pytest.mark.parametrize("late", [2 * WAY, 20 * MS])  # by its arrival, or by the time it is its turn
@@ -46,7 +48,7 @@
         world.call()
     call = world.call(deadline=world.kernel.now + late)
     world.run(1 * S)
-    assert world.replies[call.request] is Over.BUSY
+    assert world.replies[call.request] is AttemptOutcome.BUSY
     assert world.took[call.request] == WAY * 2 or late > 2 * WAY
 
 
@@ -61,7 +63,7 @@
     assert list(world.replies) == [calls[19].request]
     assert world.took[calls[19].request] < 50 * MS
     over = [how for _, _, _, how in world.observed("attempt_over")]
-    assert over == [Over.ABANDONED] * 19 + [Over.UP]
+    assert over == [AttemptOutcome.ABANDONED] * 19 + [AttemptOutcome.UP]
 
 
 def test_a_parked_connection_goes_on_where_it_stands_and_nowhere_else() -> None:
@@ -79,8 +81,8 @@
     third = world.call(connection=kept.connection, mid_flow=True)  # it has its time again
     world.run(1 * S)
     assert again.resumed and world.took[again.request] < 4 * WAY and third.resumed
-    assert world.replies[elsewhere.request] is Over.UP and not elsewhere.resumed
-    assert world.replies[too_late.request] is Over.BUSY
+    assert world.replies[elsewhere.request] is AttemptOutcome.UP and not elsewhere.resumed
+    assert world.replies[too_late.request] is AttemptOutcome.BUSY
     assert not world.server().parked and world.server().demand == 100_000.0
 
 
@@ -117,7 +119,7 @@
     comes = world.call()
     world.run(1 * S)
     assert world.ends == {stands.request: End.BROKEN}
-    assert world.replies == {waits.request: Over.RESET, comes.request: Over.REFUSED}
+    assert world.replies == {waits.request: AttemptOutcome.RESET, comes.request: AttemptOutcome.REFUSED}
     assert world.took[comes.request] == 0  # known as soon as a connection would have been up
     world.run(2 * S)
     (_, (_, again, capacity, cold)), started = world.observed("server_started"), world.server().started
@@ -139,7 +141,7 @@
     world.lives.appear(world.server(), world.server().life)
     world.run(2 * S)
     assert stands.stands and world.servers.answer_us(stands) is not None and not world.replies
-    assert [how for *_, how in world.observed("attempt_over")] == [Over.ABANDONED]
+    assert [how for *_, how in world.observed("attempt_over")] == [AttemptOutcome.ABANDONED]
 
 
 def test_what_was_planned_for_one_process_does_not_happen_to_the_next() -> None:
@@ -242,5 +244,7 @@
         world.servers.close(call)
     world.run(10 * S)
     assert not any(server.held or server.demand for server in world.servers.all)
-    over = [request for _, request, _, how in world.observed("attempt_over") if how is not Over.REFUSED]
+    over = [
+        request for _, request, _, how in world.observed("attempt_over") if how is not AttemptOutcome.REFUSED
+    ]
     assert sorted(over) == sorted(request for _, request, *_ in world.observed("sent"))
--- a/tests/glenfold_lab/test_machines_listing.py
+++ b/tests/glenfold_lab/test_machines_listing.py
@@ -11,7 +11,7 @@
 from glenfold_lab.model.fleet import Fleet
 from glenfold_lab.model.listing.known import Known
 from glenfold_lab.model.listing.versions import Entry, Versions, names_of
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.spec import RequestClass, Scenario, Servers
 from glenfold_lab.streams import Streams
 from linnetspread.interface import ListKind, ServerList, ServerState
@@ -40,7 +40,7 @@
     def drain(self, server: int) -> None:
         self.world.lives.turn_away(self.world.server(server))
 
-    def told(self, server: int) -> list[tuple[float, Told]]:
+    def told(self, server: int) -> list[tuple[float, ListedState]]:
         """After its start, in seconds from the start of the history."""
         return [
             ((at - self.world.kernel.start) / S, state)
@@ -60,7 +60,7 @@
     assert relay.kinds() == [ListKind.CACHED, ListKind.DELTA, ListKind.DELTA]  # it is told all twice
     assert relay.states() == {0: ServerState.DRAINING, 1: ServerState.DRAINING}
     ((at, state),) = relay.told(0)
-    assert state is Told.DRAINING and 2.5 <= at <= 2.55
+    assert state is ListedState.DRAINING and 2.5 <= at <= 2.55
 
 
 def test_a_restart_that_is_noticed_first_is_not_undone_by_the_end_before_it() -> None:
@@ -97,7 +97,7 @@
     relay.world.run(6 * S)
     assert relay.kinds() == [ListKind.CACHED, ListKind.DELTA, ListKind.FULL]
     assert relay.states() == dict.fromkeys(range(3), ServerState.READY)
-    assert [state for _, state in relay.told(0)] == [Told.READY]
+    assert [state for _, state in relay.told(0)] == [ListedState.READY]
 
 
 def test_what_comes_too_late_counts_as_told_all_the_same() -> None:
@@ -107,7 +107,7 @@
     relay.world.machinery.listing.relay_down(0)
     relay.up()  # with a list that does not say so
     relay.world.run(10 * S)
-    moments = [at for at, state in relay.told(0) if state is Told.DRAINING]
+    moments = [at for at, state in relay.told(0) if state is ListedState.DRAINING]
     assert moments[:2] == [8.5, 10.0] and 11 <= moments[2] <= 11.6
 
 
@@ -136,15 +136,17 @@
     relay.up()
     assert relay.kinds() == [ListKind.CACHED]
     assert relay.states() == {0: ServerState.DRAINING, 1: ServerState.READY, 2: ServerState.READY}
-    assert before == 0 and relay.told(1)[-1][1] is Told.DRAINING  # the agent held it: that counts
-    assert relay.told(0)[-1][1] is Told.GONE
+    assert before == 0 and relay.told(1)[-1][1] is ListedState.DRAINING  # the agent held it: that counts
+    assert relay.told(0)[-1][1] is ListedState.GONE
     relay.world.run(10 * MS)
     assert relay.kinds() == [ListKind.CACHED, ListKind.FULL]
     assert relay.states() == {1: ServerState.DRAINING, 2: ServerState.READY}
 
 
 ENTRIES = st.lists(
-    st.tuples(st.integers(0, 4), st.sampled_from(list(Told)), st.integers(0, 3)), min_size=1, max_size=3
+    st.tuples(st.integers(0, 4), st.sampled_from(list(ListedState)), st.integers(0, 3)),
+    min_size=1,
+    max_size=3,
 )
 READS = st.lists(st.tuples(st.integers(0, 2), st.integers(1, 8), st.booleans(), st.booleans()), max_size=30)
 
@@ -152,14 +154,14 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(ENTRIES, min_size=7, max_size=7), READS)
 def test_relays_that_share_what_they_know_hear_what_each_would_alone(
-    changes: list[list[tuple[int, Told, int]]], reads: list[tuple[int, int, bool, bool]]
+    changes: list[list[tuple[int, ListedState, int]]], reads: list[tuple[int, int, bool, bool]]
 ) -> None:
     """Whatever lists come to whom in whatever order, stale ones and starts with old ones among them."""
     scenario = Scenario(
         format=1, name="t", guards_against="-", classes=(RequestClass(name="c"),), servers=Servers(count=5)
     )
     names, machines = names_of(scenario), Fleet(scenario, Streams(1)).machines
-    versions = Versions(scenario.zones.names, [Entry(machine, Told.READY, 0) for machine in machines])
+    versions = Versions(scenario.zones.names, [Entry(machine, ListedState.READY, 0) for machine in machines])
     for change in changes:
         entries = {n: Entry(machines[n], state, started * S) for n, state, started in change}
         versions.add(list(entries.values()))
--- a/tests/glenfold_lab/test_model_follows_relay.py
+++ b/tests/glenfold_lab/test_model_follows_relay.py
@@ -13,11 +13,15 @@
 
 from glenfold.dispatch import Dispatch
 from glenfold.net import sockets
-from glenfold_lab.observe import End, Over
+from glenfold_lab.observe import AttemptOutcome, End
 from linnetspread import interface as i
 
 Heard = list[tuple[object, ...]]
-LINES = {Over.UP: b"UP r1\r\nLOAD 40000.0\r\n", Over.BUSY: b"BUSY\r\n", Over.ERROR: b"ERR\r\n"}
+LINES = {
+    AttemptOutcome.UP: b"UP r1\r\nLOAD 40000.0\r\n",
+    AttemptOutcome.BUSY: b"BUSY\r\n",
+    AttemptOutcome.ERROR: b"ERR\r\n",
+}
 
 
 @dataclass(frozen=True)
@@ -26,16 +30,16 @@
     end: who ends it then, the client ("client") or its server, and how."""
 
     name: str
-    answers: tuple[Over | None, ...]
+    answers: tuple[AttemptOutcome | None, ...]
     end: str | End | None = None
 
 
 SCRIPTS = [
-    Script("up, and the client goes", (Over.UP,), "client"),
-    Script("refused, up, and reset by its server", (Over.BUSY, Over.UP), End.BROKEN),
-    Script("reset, up, and moved by its server", (Over.RESET, Over.UP), End.MOVED),
-    Script("failed twice", (Over.ERROR, Over.ERROR)),
-    Script("no answer, then up, and the client goes", (None, Over.UP), "client"),
+    Script("up, and the client goes", (AttemptOutcome.UP,), "client"),
+    Script("refused, up, and reset by its server", (AttemptOutcome.BUSY, AttemptOutcome.UP), End.BROKEN),
+    Script("reset, up, and moved by its server", (AttemptOutcome.RESET, AttemptOutcome.UP), End.MOVED),
+    Script("failed twice", (AttemptOutcome.ERROR, AttemptOutcome.ERROR)),
+    Script("no answer, then up, and the client goes", (None, AttemptOutcome.UP), "client"),
     Script("no answer at all", (None, None)),
     Script("the client goes before its answer", (None,), "client"),
 ]
@@ -97,7 +101,7 @@
             else:
                 up_or_over.set()
             await stream.receive_some()
-        elif answer is Over.RESET:
+        elif answer is AttemptOutcome.RESET:
             sockets.reset_on_close(stream.socket)
         else:
             await stream.send_all(LINES[answer])
--- a/tests/glenfold_lab/test_model_relays.py
+++ b/tests/glenfold_lab/test_model_relays.py
@@ -6,7 +6,7 @@
 from modelled_relays import SETTINGS, WAY_US, Stage
 
 from glenfold_lab.model.kernel import SECOND_US
-from glenfold_lab.observe import Final, Over
+from glenfold_lab.observe import AttemptOutcome, Final
 
 
 def test_a_crowd_makes_a_relay_late_and_an_idle_one_answers_at_once() -> None:
@@ -23,7 +23,7 @@
 
 def test_a_server_that_never_answers_costs_one_attempt_and_the_client_is_answered_in_time() -> None:
     stage = Stage()
-    stage.servers.answer = lambda call: None if call is stage.servers.calls[0] else Over.UP
+    stage.servers.answer = lambda call: None if call is stage.servers.calls[0] else AttemptOutcome.UP
     stage.ask(0)
     stage.run(4)
     first, second = stage.servers.calls
@@ -132,7 +132,7 @@
     assert [exchange.client for exchange in stage.relay.die()] == [0, 1]
     assert stage.servers.parked == [standing] * pass_through
     assert stage.servers.closed == [standing] * (not pass_through) + [calling]
-    calling.back.replied(calling, Over.UP)
+    calling.back.replied(calling, AttemptOutcome.UP)
     stage.run(5)
     assert stage.clients.told() == ["up"]
 
@@ -154,7 +154,7 @@
 def test_connections_that_stood_before_are_where_the_decisions_would_place_them() -> None:
     stage = Stage()
     full = 3
-    stage.servers.answer = lambda call: Over.BUSY if call.server == full else Over.UP
+    stage.servers.answer = lambda call: AttemptOutcome.BUSY if call.server == full else AttemptOutcome.UP
     assert all(stage.relay.stand(stage.exchange(client)) for client in range(40))
     held = {number: set(known.connections) for number, known in stage.relay.dispatch.balancer.servers.items()}
     stood = {
@@ -163,6 +163,6 @@
     }
     assert held == stood | {full: set()} and sum(map(len, held.values())) == 40
     assert stage.observed("taken") == [] and stage.relay.dispatch.next_timer_us is None
-    stage.servers.answer = lambda call: Over.BUSY
+    stage.servers.answer = lambda call: AttemptOutcome.BUSY
     assert not stage.relay.stand(stage.exchange(40))
     assert len(stage.relay.dispatch.balancer.connections) == 40
--- a/tests/glenfold_lab/test_mutants.py
+++ b/tests/glenfold_lab/test_mutants.py
@@ -6,7 +6,7 @@
 from glenfold_lab.checker import Checker
 from glenfold_lab.model import world
 from glenfold_lab.model.relays import CALL_UP, Relay
-from glenfold_lab.observe import End, Final, Over, Record, Told, replay
+from glenfold_lab.observe import AttemptOutcome, End, Final, ListedState, Record, replay
 from glenfold_lab.spec import Clients, Fault, Relays, RequestClass, Rules, Scenario, Servers
 from glenfold_lab.stand_ins.judge import SLACK_US, Judge
 from linnetspread import Balancer
@@ -152,7 +152,7 @@
     ("relay_up", (0, 0)),
     ("taken", (S, STOOD, 0, 4 * S, 0)),
     ("sent", (1_003_000, STOOD, 0, SERVER, 1_002_000)),
-    ("attempt_over", (1_006_000, STOOD, SERVER, Over.UP)),
+    ("attempt_over", (1_006_000, STOOD, SERVER, AttemptOutcome.UP)),
     ("answered", (1_007_000, STOOD, Final.UP, SERVER, 0)),
 ]
 UNSAID = ("unsaid", (9 * S, STOOD))
@@ -163,7 +163,7 @@
     return [
         ("taken", (sent - 2000, ASKED, 0, sent + 3 * S, 0)),
         ("sent", (sent + 500, ASKED, 0, SERVER, sent)),
-        ("attempt_over", (sent + 900, ASKED, SERVER, Over.BUSY)),
+        ("attempt_over", (sent + 900, ASKED, SERVER, AttemptOutcome.BUSY)),
         *answers,
     ]
 
@@ -172,7 +172,7 @@
     return "answered", (sent + wait, ASKED, Final.BUSY, None, 0)
 
 
-DRAINS = ("due", (10 * S, 0, SERVER, Told.DRAINING, 0))
+DRAINS = ("due", (10 * S, 0, SERVER, ListedState.DRAINING, 0))
 SOUND: dict[str, list[Record]] = {
     "its server broke it": [("broke", (8_100_000, STOOD, SERVER, False)), UNSAID],
     "its server fell silent": [("broke", (2 * S, STOOD, SERVER, True)), UNSAID],
--- a/tests/glenfold_lab/test_shipped_scenarios.py
+++ b/tests/glenfold_lab/test_shipped_scenarios.py
@@ -11,7 +11,7 @@
 
 from glenfold_lab import scenario
 from glenfold_lab.model.world import play
-from glenfold_lab.observe import Capacity, End, Told, Watcher
+from glenfold_lab.observe import Capacity, End, ListedState, Watcher
 from glenfold_lab.results import RunResult
 
 SECOND = 1_000_000
@@ -36,8 +36,8 @@
     def relay_down(self, at: int, relay: int) -> None:
         self.down[relay] += 1
 
-    def told(self, at: int, relay: int, server: int, state: Told, started_us: int) -> None:
-        if state is Told.DRAINING:
+    def told(self, at: int, relay: int, server: int, state: ListedState, started_us: int) -> None:
+        if state is ListedState.DRAINING:
             self.drains[server][relay].append(at)
 
     def taken(self, at: int, request: int, relay: int, deadline: int, request_class: int) -> None:
--- a/tests/glenfold_lab/test_stand_in_agent.py
+++ b/tests/glenfold_lab/test_stand_in_agent.py
@@ -8,7 +8,7 @@
 import trio.testing
 from standing import World, play
 
-from glenfold_lab.observe import Told
+from glenfold_lab.observe import ListedState
 from glenfold_lab.stand_ins.agent import Change, Holding
 from glenfold_lab.stand_ins.sockets import end_now
 
@@ -16,12 +16,12 @@
 def gone(world: World, n: int) -> tuple[int, int]:
     """The server's number, and how many of the told observations say that it is gone."""
     number = world.entries[n].number
-    return number, sum(values[2:4] == (number, Told.GONE) for values in world.seen_of("told"))
+    return number, sum(values[2:4] == (number, ListedState.GONE) for values in world.seen_of("told"))
 
 
 def test_a_change_is_told_once_it_was_written_and_comes_but_once(tmp_path: Path) -> None:
     async def script(world: World) -> None:
-        left = replace(world.entries[0], state=Told.GONE)
+        left = replace(world.entries[0], state=ListedState.GONE)
         world.change(2, left)
         number, _ = gone(world, 0)
         await world.heard(lambda known: known.address(number) is None and known.version == 2)
@@ -37,7 +37,7 @@
     async def script(world: World) -> None:
         number, _ = gone(world, 0)
         world.agent.go_quiet()
-        world.change(2, replace(world.entries[0], state=Told.GONE))
+        world.change(2, replace(world.entries[0], state=ListedState.GONE))
         lists = world.shared.counters.lists
         await world.clock.until(world.clock.now_us() + 10_000_000)
         assert (world.shared.counters.lists, gone(world, 0)[1]) == (lists, 0)
@@ -54,7 +54,7 @@
 def test_nothing_counts_as_told_by_an_agent_that_moved_until_it_is_found(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         address = world.agent.move("127.9.2.2")
-        world.change(2, replace(world.entries[0], state=Told.GONE))
+        world.change(2, replace(world.entries[0], state=ListedState.GONE))
         await world.clock.until(world.clock.now_us() + 5_000_000)
         assert gone(world, 0)[1] == 0
         world.discovery.move_to(address)
@@ -73,7 +73,7 @@
         for stream in gone_away:
             end_now(stream.socket)
             await stream.aclose()
-        world.change(2, replace(world.entries[0], state=Told.GONE))
+        world.change(2, replace(world.entries[0], state=ListedState.GONE))
         await world.heard(lambda known: known.version == 2)
         await trio.testing.wait_all_tasks_blocked()
         assert gone(world, 0)[1] == 1
@@ -84,7 +84,7 @@
 def test_a_watch_begins_with_what_its_relay_lacks() -> None:
     held = Holding(4, [])
     one, two = (standing.entry(n, "127.0.0.1:1") for n in range(2))
-    for seq, entry in ((5, one), (7, replace(two, state=Told.GONE)), (6, two)):
+    for seq, entry in ((5, one), (7, replace(two, state=ListedState.GONE)), (6, two)):
         held.take(Change(seq, (entry,)))
     assert list(held.entries) == ["s-0"]  # the late change undoes no newer one
     assert b'"seq":7' in held.after(5, None) and b'"s-0"' not in held.after(5, None)
@@ -95,9 +95,9 @@
 def test_what_comes_while_a_watch_is_being_written_to_follows_at_once(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         began = trio.current_time()
-        world.change(2, replace(world.entries[0], state=Told.DRAINING))
+        world.change(2, replace(world.entries[0], state=ListedState.DRAINING))
         await trio.lowlevel.checkpoint()  # the watch has woken, and is writing that change
-        world.change(3, replace(world.entries[1], state=Told.DRAINING))
+        world.change(3, replace(world.entries[1], state=ListedState.DRAINING))
         await world.heard(lambda known: known.version == 3)
         assert trio.current_time() - began < 1.0
 
--- a/tests/glenfold_lab/test_stand_in_judge.py
+++ b/tests/glenfold_lab/test_stand_in_judge.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from glenfold_lab.observe import End, Record, Told
+from glenfold_lab.observe import End, ListedState, Record
 from glenfold_lab.stand_ins.judge import Judge
 
 S = 1_000_000
@@ -44,16 +44,16 @@
 
 def test_a_relay_that_starts_again_counts_as_told_what_its_agent_holds() -> None:
     out = settled(
-        ("told", (2 * S, 0, 3, Told.DRAINING, 0)),
-        ("due", (3 * S, 0, 3, Told.DRAINING, 0)),
+        ("told", (2 * S, 0, 3, ListedState.DRAINING, 0)),
+        ("due", (3 * S, 0, 3, ListedState.DRAINING, 0)),
         ("relay_down", (4 * S, 0)),
-        ("told", (5 * S, 0, 3, Told.GONE, 0)),
-        ("told", (5 * S, 0, 4, Told.READY, 9)),
+        ("told", (5 * S, 0, 3, ListedState.GONE, 0)),
+        ("told", (5 * S, 0, 4, ListedState.READY, 9)),
         ("relay_up", (6 * S, 0)),
-        ("told", (99 * S, 0, 4, Told.GONE, 9)),
+        ("told", (99 * S, 0, 4, ListedState.GONE, 9)),
     )
     assert of("told", out) == [
-        (0, 0, 3, Told.READY, 0),
-        (2 * S, 0, 3, Told.DRAINING, 0),
-        (6 * S, 0, 4, Told.READY, 9),
+        (0, 0, 3, ListedState.READY, 0),
+        (2 * S, 0, 3, ListedState.DRAINING, 0),
+        (6 * S, 0, 4, ListedState.READY, 9),
     ]
--- a/tests/glenfold_lab/test_stand_in_servers.py
+++ b/tests/glenfold_lab/test_stand_in_servers.py
@@ -9,7 +9,7 @@
 from relaying import read_line
 from standing import World, holder, play
 
-from glenfold_lab.observe import Over
+from glenfold_lab.observe import AttemptOutcome
 from glenfold_lab.stand_ins import push_server
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.push_server import PushServer
@@ -21,17 +21,17 @@
 @pytest.mark.parametrize(
     ("fault", "over"),
     [
-        (Fault.AFTER_LINE, Over.RESET),
-        (Fault.HALF_CLOSE, Over.RESET),
-        (Fault.ERROR, Over.ERROR),
-        (Fault.HANG, Over.ABANDONED),
+        (Fault.AFTER_LINE, AttemptOutcome.RESET),
+        (Fault.HALF_CLOSE, AttemptOutcome.RESET),
+        (Fault.ERROR, AttemptOutcome.ERROR),
+        (Fault.HANG, AttemptOutcome.ABANDONED),
         (Fault.RESET, None),
         ("refuse", None),
         ("vanish", None),
     ],
 )
 def test_a_faulty_server_costs_an_attempt_at_most_and_no_answer(
-    tmp_path: Path, fault: Fault | str, over: Over | None
+    tmp_path: Path, fault: Fault | str, over: AttemptOutcome | None
 ) -> None:
     """None: no line reaches it, so no attempt counts."""
 
@@ -125,7 +125,7 @@
         assert (await world.answer(key=8)).startswith(b"BUSY ")
         await stream.send_all(b"QUIT\r\n")
         assert await read_line(stream) == b"BYE\r\n"
-        assert world.overs(world.servers[0]) == [Over.UP, Over.BUSY]
+        assert world.overs(world.servers[0]) == [AttemptOutcome.UP, AttemptOutcome.BUSY]
 
     play(tmp_path, script, servers=1, cap=0.01)
 
@@ -192,7 +192,7 @@
         await again.aclose()
         await trio.sleep(5.0)
         assert not (await read_line(await world.open(more=("mid=1",)))).startswith(b"UP")
-        assert sum((world.overs(server) for server in world.servers), [])[-1] is Over.RESET
+        assert sum((world.overs(server) for server in world.servers), [])[-1] is AttemptOutcome.RESET
         assert not any(server.holder.fluid.demand or server.holder.fluid.held for server in world.servers)
 
     play(tmp_path, script, park_us=4_000_000, group_load=60_000.0)
