--- a/glenfold_lab/checker/__init__.py
+++ b/glenfold_lab/checker/__init__.py
@@ -1,12 +1,12 @@
-"""The rules of the platform, judged from what the outside saw: for the model and for sockets alike.
+"""Checks the rules of the platform from outside observations, for the model and for runs on sockets.
 
-One module for each rule. `requests` keeps what is open and asks `answer`, `attempt` and `move` about it;
-`drain` and `cold` are watchers of their own.
+Each rule has its own module. `requests` keeps the open requests and passes them to `answer`, `attempt` and
+`move`; `drain` and `cold` are watchers.
 """
 
-from glenfold_lab.checker.cold import Cold
-from glenfold_lab.checker.drain import Drain
-from glenfold_lab.checker.requests import Requests
+from glenfold_lab.checker.cold import ColdRule
+from glenfold_lab.checker.drain import DrainRule
+from glenfold_lab.checker.requests import RequestRules
 from glenfold_lab.checker.verdicts import Verdicts
 from glenfold_lab.observe import Watchers
 from glenfold_lab.results import Verdict
@@ -14,30 +14,32 @@
 
 
 class Checker(Watchers):
-    """A watcher that finds broken rules as the observations stream by.
+    """A watcher that finds broken rules while observations arrive.
 
-    slack_us: by how much every time limit is extended: 0 in the model, where moments are exact, and 50,000
-    on sockets, where they are as late as the process that saw them. keep: most verdicts kept; the others are
-    only counted. start_us: the moment from which verdicts count theirs.
+    `slack_us` extends every time limit: it is 0 in the model, where times are exact, and 50,000 on sockets,
+    where an observation is as late as the process that made it. `keep` is the maximum number of verdicts
+    kept; further ones are only counted. `start_us` is the time from which the times in verdicts count.
 
-    What it holds grows with the requests and connections that are open, not with those that ever were.
+    Memory use grows with the open requests and connections, not with all those of the history.
     """
 
     def __init__(self, rules: Rules, slack_us: int, keep: int = 100, start_us: int = 0) -> None:
-        self._found = Verdicts(keep, start_us)
-        drain = Drain(rules, slack_us, self._found)
+        self._verdicts = Verdicts(keep, start_us)
+        drain = DrainRule(rules, slack_us, self._verdicts)
         super().__init__(
-            Requests(rules, slack_us, self._found),
+            RequestRules(rules, slack_us, self._verdicts),
             drain,
-            Cold(rules, slack_us, drain.told_start, self._found),
+            ColdRule(rules, slack_us, drain.listed_start, self._verdicts),
         )
 
     def verdicts(self) -> tuple[Verdict, ...]:
-        """Those kept so far, in the order of their moments. A request is judged some time after its deadline,
-        so all are there only after `finish`."""
-        return tuple(sorted(self._found.kept, key=lambda verdict: verdict.at_us))
+        """Returns the verdicts kept so far, in the order of their times.
+
+        A request is judged some time after its deadline, so the verdicts are complete only after `finish`.
+        """
+        return tuple(sorted(self._verdicts.kept, key=lambda verdict: verdict.at_us))
 
     @property
     def left_out(self) -> int:
-        """Broken rules beyond those that are kept."""
-        return self._found.left_out
+        """The number of broken rules beyond the verdicts that are kept."""
+        return self._verdicts.left_out
--- a/glenfold_lab/checker/answer.py
+++ b/glenfold_lab/checker/answer.py
@@ -1,63 +1,84 @@
-"""Exactly one final answer for each request taken, in time, and an UP only as a push server gave it.
+"""Rule "answer": each accepted request gets exactly one final answer in time, and UP only from a push server.
 
-Excused: a client that left before its deadline, without an answer until then; a relay that died first. A
-client that gave up when its time ran out excuses nothing.
+A missing answer is excused if the client left before its deadline or the relay died first. A client that
+gave up when its time ran out does not excuse it.
 """
 
 from collections.abc import Callable
 
 from glenfold_lab.checker.state import Request
-from glenfold_lab.checker.verdicts import Seen, Verdicts
+from glenfold_lab.checker.verdicts import Evidence, Verdicts
 from glenfold_lab.observe import AttemptOutcome, Final
 
-Death = Callable[[Request], int | None]  # when the relay that took the request died, if it did since
+# Returns the time at which the relay that accepted the request died, or None if it is still running.
+RelayDeathLookup = Callable[[Request], int | None]
 
 
-def judge(found: Verdicts, state: Request, now: int, slack_us: int, death: Death) -> None:
-    final, left = state.final, state.left_at
+def judge(
+    verdicts: Verdicts, record: Request, now: int, slack_us: int, relay_death: RelayDeathLookup
+) -> None:
+    """Checks the answers of one request when its time is up."""
+    final, client_left_at = record.final, record.client_left_at
     if final is None:
-        _judge_none(found, state, now, death)
-    elif left is not None and left < min(state.deadline, state.final_at):
+        _judge_unanswered(verdicts, record, now, relay_death)
+    elif client_left_at is not None and client_left_at < min(record.deadline, record.final_at):
         return
-    elif state.again:
-        second(found, state)
-    elif state.final_at > state.due:
-        _broken(found, state, state.final_at, [_due(state), state.final_seen()])
+    elif record.later_answers:
+        report_second_answer(verdicts, record)
+    elif record.final_at > record.due:
+        _report(verdicts, record, record.final_at, [_deadline_evidence(record), record.final_evidence()])
     elif final == Final.UP:
-        _judge_up(found, state, slack_us)
+        _judge_up(verdicts, record, slack_us)
     elif final == Final.CLOSED:
-        died = death(state)
-        if died is None or died >= state.final_at:
-            _broken(found, state, state.final_at, [state.final_seen()])
-
-
-def _judge_up(found: Verdicts, state: Request, slack_us: int) -> None:
-    one, by = state.last, state.final_at + slack_us
-    while one is not None:
-        if one.how == AttemptOutcome.UP and one.server == state.receipt_of and (one.over_at or 0) <= by:
+        died_at = relay_death(record)
+        if died_at is None or died_at >= record.final_at:
+            _report(verdicts, record, record.final_at, [record.final_evidence()])
+
+
+def _judge_up(verdicts: Verdicts, record: Request, slack_us: int) -> None:
+    attempt, latest = record.last_attempt, record.final_at + slack_us
+    while attempt is not None:
+        if (
+            attempt.outcome == AttemptOutcome.UP
+            and attempt.server == record.receipt_server
+            and (attempt.ended_at or 0) <= latest
+        ):
             return
-        one = one.before
-    attempts = [seen for one in state.attempts() for seen in one.seen()]
-    nobody = (state.final_at, "no push server had given such an UP for it by then")
-    _broken(found, state, state.final_at, [*attempts, state.final_seen(), nobody])
-
-
-def _judge_none(found: Verdicts, state: Request, now: int, death: Death) -> None:
-    left, died = state.left_at, death(state)
-    if now < state.due or left is not None and left < state.deadline or died is not None and died < state.due:
+        attempt = attempt.previous
+    attempts = [evidence for attempt in record.attempts() for evidence in attempt.evidence()]
+    no_up = (record.final_at, "no push server had given such an UP for it by then")
+    _report(verdicts, record, record.final_at, [*attempts, record.final_evidence(), no_up])
+
+
+def _judge_unanswered(verdicts: Verdicts, record: Request, now: int, relay_death: RelayDeathLookup) -> None:
+    client_left_at, died_at = record.client_left_at, relay_death(record)
+    if (
+        now < record.due
+        or client_left_at is not None
+        and client_left_at < record.deadline
+        or died_at is not None
+        and died_at < record.due
+    ):
         return
-    seen = [_due(state)] if left is None else [_due(state), (left, "its client gave up")]
-    _broken(found, state, state.due, [*seen, (state.due, "it had no answer")])
+    evidence = (
+        [_deadline_evidence(record)]
+        if client_left_at is None
+        else [_deadline_evidence(record), (client_left_at, "its client gave up")]
+    )
+    _report(verdicts, record, record.due, [*evidence, (record.due, "it had no answer")])
 
 
-def second(found: Verdicts, state: Request) -> None:
-    at, final = state.again[-1]
-    _broken(found, state, at, [state.final_seen(), (at, f"another answer: {final.name.lower()}")])
+def report_second_answer(verdicts: Verdicts, record: Request) -> None:
+    """Reports the latest answer of a request that had been answered before."""
+    at, final = record.later_answers[-1]
+    _report(verdicts, record, at, [record.final_evidence(), (at, f"another answer: {final.name.lower()}")])
 
 
-def _due(state: Request) -> Seen:
-    return state.deadline, "its deadline"
+def _deadline_evidence(record: Request) -> Evidence:
+    return record.deadline, "its deadline"
 
 
-def _broken(found: Verdicts, state: Request, at: int, seen: list[Seen]) -> None:
-    found.add("answer", at, [state.taken_seen(), *seen], state.number, state.receipt_of, state.relay)
+def _report(verdicts: Verdicts, record: Request, at: int, evidence: list[Evidence]) -> None:
+    verdicts.add(
+        "answer", at, [record.taken_evidence(), *evidence], record.number, record.receipt_server, record.relay
+    )
--- a/glenfold_lab/checker/attempt.py
+++ b/glenfold_lab/checker/attempt.py
@@ -1,50 +1,78 @@
-"""At most one attempt out for a request at any moment, none after its final answer or long after its client
-has left, and not too many."""
+"""Rule "attempt": a request has at most one open attempt at any time, and a limited number of attempts.
+
+No attempt may be sent after the final answer, or long after the client has left.
+"""
 
 from glenfold_lab.checker.state import Attempt, Request
-from glenfold_lab.checker.verdicts import Seen, Verdicts
+from glenfold_lab.checker.verdicts import Evidence, Verdicts
+
+CLIENT_LEFT_GRACE_US = 300_000  # An attempt may still be sent this long after the client has left.
+
 
-LEFT_US = 300_000  # after its client has left a request may be sent on for so long
+def judge(verdicts: Verdicts, record: Request, now: int, max_attempts: int, slack_us: int) -> None:
+    """Checks all attempts of one request when its time is up."""
+    attempt = record.last_attempt
+    if attempt is not None and attempt.previous is not None:
+        _judge_several(verdicts, record, now, max_attempts, slack_us)
+    while attempt is not None:
+        judge_late(verdicts, record, attempt, slack_us)
+        attempt = attempt.previous
 
 
-def judge(found: Verdicts, state: Request, now: int, most: int, slack_us: int) -> None:
-    one = state.last
-    if one is not None and one.before is not None:
-        _judge_several(found, state, now, most, slack_us)
-    while one is not None:
-        judge_late(found, state, one, slack_us)
-        one = one.before
+def judge_late(verdicts: Verdicts, record: Request, attempt: Attempt, slack_us: int) -> None:
+    """Checks that an attempt was not sent after the final answer, or too long after the client had left."""
+    if record.final is not None and attempt.first_sent_at > record.final_at + slack_us:
+        _report(verdicts, record, attempt, [record.final_evidence(), *attempt.evidence()])
+    elif (
+        record.client_left_at is not None
+        and attempt.first_sent_at > record.client_left_at + CLIENT_LEFT_GRACE_US + slack_us
+    ):
+        _report(
+            verdicts,
+            record,
+            attempt,
+            [(record.client_left_at, "its client had left"), *attempt.evidence()],
+        )
 
 
-def judge_late(found: Verdicts, state: Request, one: Attempt, slack_us: int) -> None:
-    """Against the final answer, and against the client's end."""
-    if state.final is not None and one.first > state.final_at + slack_us:
-        _broken(found, state, one, [state.final_seen(), *one.seen()])
-    elif state.left_at is not None and one.first > state.left_at + LEFT_US + slack_us:
-        _broken(found, state, one, [(state.left_at, "its client had left"), *one.seen()])
+def _judge_several(verdicts: Verdicts, record: Request, now: int, max_attempts: int, slack_us: int) -> None:
+    """Checks the number of attempts, and that no two of them overlap.
 
+    Two attempts overlap if one was still open more than the slack after the other had arrived. The end of the
+    one and the arrival of the other are observed at two servers.
+    """
+    attempts = record.attempts()
+    if len(attempts) > max_attempts:
+        attempt = attempts[max_attempts]
+        count = (attempt.arrived_at, f"that was attempt {max_attempts + 1} of {max_attempts} at the most")
+        _report(verdicts, record, attempt, [*attempts[0].evidence(), *attempt.evidence(), count])
+    for index, attempt in enumerate(attempts):
+        for earlier in attempts[:index]:
+            if (now if earlier.ended_at is None else earlier.ended_at) > attempt.arrived_at + slack_us:
+                still_open = [] if earlier.ended_at is not None else [(now, "the first was still out")]
+                return _report(
+                    verdicts, record, attempt, [*earlier.evidence(), *attempt.evidence(), *still_open]
+                )
 
-def _judge_several(found: Verdicts, state: Request, now: int, most: int, slack_us: int) -> None:
-    """Two attempts overlap when the one was out for more than the slack after the other had arrived: the end
-    of the one and the arrival of the other are seen at two servers."""
-    attempts = state.attempts()
-    if len(attempts) > most:
-        one = attempts[most]
-        count = (one.at, f"that was attempt {most + 1} of {most} at the most")
-        _broken(found, state, one, [*attempts[0].seen(), *one.seen(), count])
-    for index, one in enumerate(attempts):
-        for before in attempts[:index]:
-            if (now if before.over_at is None else before.over_at) > one.at + slack_us:
-                still = [] if before.over_at is not None else [(now, "the first was still out")]
-                return _broken(found, state, one, [*before.seen(), *one.seen(), *still])
 
+def report_unrequested(
+    verdicts: Verdicts, at: int, request: int, relay: int, server: int, first_sent_at: int
+) -> None:
+    """Reports an attempt for a request that is not open: finished long before, or never made by a client.
 
-def for_nobody(found: Verdicts, at: int, request: int, relay: int, server: int, first: int) -> None:
-    """What is over is forgotten: an attempt for it is as much of a break as one that no client asked for."""
-    sent = (first, f"relay {relay} sent an attempt for request {request} to server {server}")
-    nobody = (at, "no relay held this request: it was never taken, or over long before")
-    found.add("attempt", at, [sent, nobody], request, server, relay)
+    The checker forgets finished requests, so it cannot tell these two apart; both break the rule.
+    """
+    sent = (first_sent_at, f"relay {relay} sent an attempt for request {request} to server {server}")
+    not_open = (at, "no relay held this request: it was never taken, or over long before")
+    verdicts.add("attempt", at, [sent, not_open], request, server, relay)
 
 
-def _broken(found: Verdicts, state: Request, one: Attempt, seen: list[Seen]) -> None:
-    found.add("attempt", one.at, [state.taken_seen(), *seen], state.number, one.server, state.relay)
+def _report(verdicts: Verdicts, record: Request, attempt: Attempt, evidence: list[Evidence]) -> None:
+    verdicts.add(
+        "attempt",
+        attempt.arrived_at,
+        [record.taken_evidence(), *evidence],
+        record.number,
+        attempt.server,
+        record.relay,
+    )
--- a/glenfold_lab/checker/move.py
+++ b/glenfold_lab/checker/move.py
@@ -1,26 +1,35 @@
-"""MOVE before a cut: a standing connection whose push server still answers is ended only politely, and no
-line on it is held back for more than a second."""
+"""Rule "move": a relay sends MOVE before it ends a standing connection whose push server still answers.
+
+No line on a standing connection may be delayed by more than a second.
+"""
 
 from glenfold_lab.checker.state import Request
-from glenfold_lab.checker.verdicts import Seen, Verdicts
+from glenfold_lab.checker.verdicts import Evidence, Verdicts
+
+MAX_LINE_DELAY_US = 1_000_000
 
-HELD_BACK_US = 1_000_000
 
+def report_cut(verdicts: Verdicts, record: Request | None, at: int, request: int) -> None:
+    """Reports a standing connection that the relay closed without MOVE."""
+    _report(
+        verdicts, record, at, request, "the relay cut it without MOVE while its push server still answered"
+    )
 
-def cut(found: Verdicts, state: Request | None, at: int, request: int) -> None:
-    _lost(found, state, at, request, "the relay cut it without MOVE while its push server still answered")
 
+def report_delayed_line(verdicts: Verdicts, record: Request | None, at: int, request: int, us: int) -> None:
+    """Reports a line that was delayed by `us` microseconds."""
+    _report(verdicts, record, at, request, f"a line on it had been held back for {us / 1e6:.6f} s")
 
-def held_back(found: Verdicts, state: Request | None, at: int, request: int, us: int) -> None:
-    _lost(found, state, at, request, f"a line on it had been held back for {us / 1e6:.6f} s")
 
+def _report(verdicts: Verdicts, record: Request | None, at: int, request: int, reason: str) -> None:
+    """Adds at most one verdict for each connection.
 
-def _lost(found: Verdicts, state: Request | None, at: int, request: int, words: str) -> None:
-    """Once for each connection. One that stood before the history did was never taken in it."""
-    if state is None:
-        stood: Seen = at, f"connection {request} had stood since before the history"
-        return found.add("move", at, [stood, (at, words)], request)
-    if not state.lost:
-        state.lost = True
-        seen = [state.taken_seen(), state.final_seen(), (at, words)]
-        found.add("move", at, seen, request, state.receipt_of, state.relay)
+    `record` is None for a connection that was set up before the history began: its request was not observed.
+    """
+    if record is None:
+        stood: Evidence = at, f"connection {request} had stood since before the history"
+        return verdicts.add("move", at, [stood, (at, reason)], request)
+    if not record.has_broken_move_rule:
+        record.has_broken_move_rule = True
+        evidence = [record.taken_evidence(), record.final_evidence(), (at, reason)]
+        verdicts.add("move", at, evidence, request, record.receipt_server, record.relay)
--- a/glenfold_lab/checker/requests.py
+++ b/glenfold_lab/checker/requests.py
@@ -1,7 +1,7 @@
-"""What is open: requests, their attempts, and the connections that they became.
+"""Keeps the open requests, their attempts and the connections that they set up.
 
-Observations are only noted down here. A request is judged once, a while after its deadline, when all that
-belongs to it has been seen; what comes for it later still is a break by itself.
+Observations are only recorded at first. A request is judged once, some time after its deadline, when all
+observations of it have arrived; an observation that arrives later still breaks a rule by itself.
 """
 
 from bisect import bisect_left
@@ -13,90 +13,97 @@
 from glenfold_lab.observe import AttemptOutcome, End, Final, Watcher
 from glenfold_lab.spec import Rules
 
-LINGER_US = 1_000_000  # how long a message may be under way: a request is judged so much after its time is up
-STEP_US = 250_000  # requests whose times are up within one step are judged together
+# Time in transit that a message may have: a request is judged this long after the time for its answer is up.
+JUDGING_DELAY_US = 1_000_000
+JUDGING_STEP_US = 250_000  # Requests whose time is up within one step are judged together.
 
 
-class Requests(Watcher):
-    """Judges "answer", "attempt" and "move"."""
+class RequestRules(Watcher):
+    """Checks the rules "answer", "attempt" and "move"."""
 
-    def __init__(self, rules: Rules, slack_us: int, found: Verdicts) -> None:
-        self._most = rules.max_attempts
-        self._slack = slack_us
-        self._answer_slack = slack_us + round(rules.answer_slack_ms * 1000)
-        self._found = found
+    def __init__(self, rules: Rules, slack_us: int, verdicts: Verdicts) -> None:
+        self._max_attempts = rules.max_attempts
+        self._slack_us = slack_us
+        self._answer_slack_us = slack_us + round(rules.answer_slack_ms * 1000)
+        self._verdicts = verdicts
         self._open: dict[int, Request] = {}
-        self._to_judge: defaultdict[int, list[Request]] = defaultdict(list)  # by the step in which it is time
+        # The requests to judge, by the number of their step.
+        self._to_judge: defaultdict[int, list[Request]] = defaultdict(list)
         self._next_step = 0
-        self._deaths: defaultdict[int, list[int]] = defaultdict(list)  # moments, by relay
+        self._relay_deaths: defaultdict[int, list[int]] = defaultdict(
+            list
+        )  # The times of death of each relay.
 
-    # ---- what is seen ----
+    # ---- observations ----
 
     def taken(self, at: int, request: int, relay: int, deadline: int, request_class: int) -> None:
-        step = at // STEP_US
+        step = at // JUDGING_STEP_US
         if step > self._next_step:
             self._judge_until(step, at)
-        due = deadline + self._answer_slack
-        state = self._open[request] = Request(request, relay, at, deadline, due)
-        self._to_judge[(due + LINGER_US) // STEP_US].append(state)
+        due = deadline + self._answer_slack_us
+        record = self._open[request] = Request(request, relay, at, deadline, due)
+        self._to_judge[(due + JUDGING_DELAY_US) // JUDGING_STEP_US].append(record)
 
     def sent(self, at: int, request: int, relay: int, server: int, first: int, goes_on: bool = False) -> None:
-        state = self._open.get(request)
-        if state is None:
-            return attempt.for_nobody(self._found, at, request, relay, server, first)
-        new = Attempt(server, first, at, state.last)
-        if state.over_before and any(who == server and first <= over for who, over in state.over_before):
-            new.over_at, new.how = at, AttemptOutcome.ABANDONED
-        if state.judged:
-            attempt.judge_late(self._found, state, new, self._slack)
+        record = self._open.get(request)
+        if record is None:
+            return attempt.report_unrequested(self._verdicts, at, request, relay, server, first)
+        new = Attempt(server, first, at, record.last_attempt)
+        if record.ended_before_arrival and any(
+            ended_server == server and first <= ended_at
+            for ended_server, ended_at in record.ended_before_arrival
+        ):
+            new.ended_at, new.outcome = at, AttemptOutcome.ABANDONED
+        if record.is_judged:
+            attempt.judge_late(self._verdicts, record, new, self._slack_us)
         else:
-            state.last = new
+            record.last_attempt = new
 
     def attempt_over(self, at: int, request: int, server: int, how: AttemptOutcome) -> None:
-        state = self._open.get(request)
-        if state is None or state.judged:
+        record = self._open.get(request)
+        if record is None or record.is_judged:
             return
-        one, out = state.last, None
-        while one is not None:  # of two at one server, the older
-            if one.server == server and one.over_at is None:
-                out = one
-            one = one.before
-        if out is None:
-            state.over_before = (*state.over_before, (server, at))
+        candidate, ended = record.last_attempt, None
+        while candidate is not None:  # Of two open attempts on one server, the older has ended.
+            if candidate.server == server and candidate.ended_at is None:
+                ended = candidate
+            candidate = candidate.previous
+        if ended is None:
+            record.ended_before_arrival = (*record.ended_before_arrival, (server, at))
         else:
-            out.over_at, out.how = at, how
+            ended.ended_at, ended.outcome = at, how
 
     def answered(self, at: int, request: int, final: Final, server: int | None, wait_us: int) -> None:
-        state = self._open.get(request)
-        if state is None:  # judged without one, or never taken
+        record = self._open.get(request)
+        if record is None:  # The request was judged without an answer, or never taken.
             return
-        if state.final is None:
-            state.final, state.final_at, state.receipt_of = final, at, server
+        if record.final is None:
+            record.final, record.final_at, record.receipt_server = final, at, server
             return
-        state.again = (*state.again, (at, final))
-        if state.judged:
-            answer.second(self._found, state)
+        record.later_answers = (*record.later_answers, (at, final))
+        if record.is_judged:
+            answer.report_second_answer(self._verdicts, record)
 
     def left(self, at: int, request: int) -> None:
-        state = self._open.get(request)
-        if state is not None and state.left_at is None:
-            state.left_at = at
+        record = self._open.get(request)
+        if record is not None and record.client_left_at is None:
+            record.client_left_at = at
 
     def ended(self, at: int, request: int, how: End) -> None:
-        state = self._open.get(request)
+        record = self._open.get(request)
         if how == End.CUT:
-            move.cut(self._found, state, at, request)
-        if state is not None:
-            state.ended = True
-            if state.judged:
+            move.report_cut(self._verdicts, record, at, request)
+        if record is not None:
+            record.has_ended = True
+            if record.is_judged:
                 del self._open[request]
 
     def held_back(self, at: int, request: int, us: int) -> None:
-        if us > move.HELD_BACK_US + self._slack:
-            move.held_back(self._found, self._open.get(request), at, request, us)
+        if us > move.MAX_LINE_DELAY_US + self._slack_us:
+            move.report_delayed_line(self._verdicts, self._open.get(request), at, request, us)
 
     def relay_down(self, at: int, relay: int) -> None:
-        self._deaths[relay].append(at)
+        self._relay_deaths[relay].append(at)
 
     def finish(self, at: int) -> None:
         for step in sorted(self._to_judge):
@@ -106,21 +113,21 @@
 
     def _judge_until(self, step: int, now: int) -> None:
         self._next_step = step
-        for due in sorted(due for due in self._to_judge if due < step):
-            self._judge_step(due, now)
+        for due_step in sorted(due_step for due_step in self._to_judge if due_step < step):
+            self._judge_step(due_step, now)
 
     def _judge_step(self, step: int, now: int) -> None:
-        for state in self._to_judge.pop(step):
-            answer.judge(self._found, state, now, self._slack, self._death)
-            attempt.judge(self._found, state, now, self._most, self._slack)
-            state.judged, state.last = True, None
-            if state.over and self._open.get(state.number) is state:
-                del self._open[state.number]
-
-    def _death(self, state: Request) -> int | None:
-        """When the relay that took it died; None if it lives on."""
-        deaths = self._deaths.get(state.relay)
+        for record in self._to_judge.pop(step):
+            answer.judge(self._verdicts, record, now, self._slack_us, self._relay_death)
+            attempt.judge(self._verdicts, record, now, self._max_attempts, self._slack_us)
+            record.is_judged, record.last_attempt = True, None
+            if record.is_finished and self._open.get(record.number) is record:
+                del self._open[record.number]
+
+    def _relay_death(self, record: Request) -> int | None:
+        """Returns when the relay that took the request died, or None if it is still running."""
+        deaths = self._relay_deaths.get(record.relay)
         if deaths is None:
             return None
-        index = bisect_left(deaths, state.taken_at)
+        index = bisect_left(deaths, record.taken_at)
         return deaths[index] if index < len(deaths) else None
--- a/glenfold_lab/checker/verdicts.py
+++ b/glenfold_lab/checker/verdicts.py
@@ -1,12 +1,12 @@
-"""Verdicts, and the words of their evidence."""
+"""Collects verdicts and formats their evidence."""
 
 from glenfold_lab.results import Verdict
 
-Seen = tuple[int, str]  # the moment of an observation, and what was seen
+Evidence = tuple[int, str]  # An observation: its time in microseconds, and a description.
 
 
 class Verdicts:
-    """Keeps the first `keep` verdicts and counts those beyond."""
+    """Keeps the first `keep` verdicts and counts the others."""
 
     def __init__(self, keep: int, start_us: int) -> None:
         self.kept: list[Verdict] = []
@@ -18,17 +18,17 @@
         self,
         rule: str,
         at: int,
-        seen: list[Seen],
+        evidence: list[Evidence],
         request: int | None = None,
         server: int | None = None,
         relay: int | None = None,
     ) -> None:
-        """`seen`: what proves it; put into the order of its moments here."""
+        """Adds a verdict. `evidence` may be in any order; the verdict lists it in the order of time."""
         if len(self.kept) >= self._keep:
             self.left_out += 1
             return
-        evidence = tuple(f"{self._seconds(moment)}: {words}" for moment, words in sorted(seen))
-        self.kept.append(Verdict(rule, at - self._start_us, request, server, relay, evidence))
+        lines = tuple(f"{self._seconds(time)}: {description}" for time, description in sorted(evidence))
+        self.kept.append(Verdict(rule, at - self._start_us, request, server, relay, lines))
 
-    def _seconds(self, moment: int) -> str:
-        return f"{(moment - self._start_us) / 1e6:.6f} s"
+    def _seconds(self, time: int) -> str:
+        return f"{(time - self._start_us) / 1e6:.6f} s"
--- a/glenfold_lab/cold_work.py
+++ b/glenfold_lab/cold_work.py
@@ -1,4 +1,4 @@
-"""How much work cold push servers were sent, against the budget that rule "cold" gives them."""
+"""Measures the work that cold push servers were sent, against the budget of rule "cold"."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,10 @@
 
 
 class Span(msgspec.Struct, frozen=True):
-    """The `fall_s` in which most was sent against the budget, both in attempts. over: more than chance
-    explains."""
+    """The span of `fall_s` in which most was sent compared with its budget.
+
+    `sent` and `budget` are numbers of attempts. `over` is set if `sent` is more than chance explains.
+    """
 
     sent: int = 0
     budget: float = 0.0
@@ -19,13 +21,17 @@
 
     @property
     def used(self) -> float:
-        """The part of the budget."""
+        """The used part of the budget; 0 if there is no budget."""
         return self.sent / self.budget if self.budget else 0.0
 
 
 class ColdLife(msgspec.Struct, frozen=True):
-    """One cold start. sent: attempts until it was warm. worst: of all spans; known: of those in which two
-    thirds came from relays that had been told of the start, which alone the rule judges."""
+    """One cold start of a server.
+
+    `sent` is the number of attempts until the server was warm. `worst` is the worst of all spans. `known` is
+    the worst of those spans in which two thirds of the attempts came from relays that had been notified of
+    the start; rule "cold" judges only these.
+    """
 
     server: int
     at_us: int
@@ -35,7 +41,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Life:
+class _ColdStart:
     cold: ColdServer
     sent: int = 0
     worst: Span = Span()
@@ -43,49 +49,50 @@
 
 
 class ColdWork(Watcher):
-    """Every cold start of a history, in their order. slack_us: as the checker's."""
+    """Collects every cold start of a history, in order. `slack_us` is the slack of the checker."""
 
     def __init__(self, rules: Rules, slack_us: int = 0) -> None:
-        self._slack = slack_us
+        self._slack_us = slack_us
         self._cold_us = round(rules.cold_s * 1e6)
         self._span_us = round(rules.fall_s * 1e6)
         self._multiple = rules.fall_multiple
-        self._lives: list[tuple[int, _Life]] = []
-        self._now: dict[int, _Life] = {}
-        self._ended: dict[int, int] = {}
-        self._told: dict[tuple[int, int], int] = {}
+        self._starts: list[tuple[int, _ColdStart]] = []
+        self._latest: dict[int, _ColdStart] = {}
+        self._ended_at: dict[int, int] = {}
+        self._listed_starts: dict[tuple[int, int], int] = {}
 
     def server_started(self, at: int, server: int, capacity: Capacity, cold: bool) -> None:
         if cold:
-            before = previous_end_bound(self._ended.get(server, 0), self._slack)
-            life = self._now[server] = _Life(ColdServer(at, before, capacity))
-            self._lives.append((server, life))
+            previous_end = previous_end_bound(self._ended_at.get(server, 0), self._slack_us)
+            start = self._latest[server] = _ColdStart(ColdServer(at, previous_end, capacity))
+            self._starts.append((server, start))
 
     def server_ended(self, at: int, server: int) -> None:
-        self._ended[server] = at
+        self._ended_at[server] = at
 
     def told(self, at: int, relay: int, server: int, state: ListedState, started_us: int) -> None:
-        self._told[relay, server] = started_us
+        self._listed_starts[relay, server] = started_us
 
     def sent(self, at: int, request: int, relay: int, server: int, first: int, goes_on: bool = False) -> None:
-        life = self._now.get(server)
-        if life is None or goes_on or at >= life.cold.since + self._cold_us:
+        start = self._latest.get(server)
+        if start is None or goes_on or at >= start.cold.started_at + self._cold_us:
             return
-        cold = life.cold
-        life.sent += 1
-        cold.take(at, self._told.get((relay, server), 0) > cold.before, self._span_us)
-        budget, count = self._multiple * cold.capacity_between(at - self._span_us, at), len(cold.sends)
+        cold = start.cold
+        start.sent += 1
+        cold.add_attempt(at, self._listed_starts.get((relay, server), 0) > cold.previous_end, self._span_us)
+        budget, count = self._multiple * cold.capacity_between(at - self._span_us, at), len(cold.recent)
         span = Span(count, budget, exceeds_budget(count, budget))
-        life.worst = max(life.worst, span, key=_order)
-        if 3 * cold.knowing >= 2 * count:
-            life.known = max(life.known, span, key=_order)
+        start.worst = max(start.worst, span, key=_severity)
+        if 3 * cold.notified_count >= 2 * count:
+            start.known = max(start.known, span, key=_severity)
 
     def lives(self) -> tuple[ColdLife, ...]:
+        """Returns the cold starts in the order in which they were observed."""
         return tuple(
-            ColdLife(server, life.cold.since, life.sent, life.worst, life.known)
-            for server, life in self._lives
+            ColdLife(server, start.cold.started_at, start.sent, start.worst, start.known)
+            for server, start in self._starts
         )
 
 
-def _order(span: Span) -> tuple[bool, float]:
+def _severity(span: Span) -> tuple[bool, float]:
     return span.over, span.used
