--- a/glenfold_lab/checker/move.py
+++ b/glenfold_lab/checker/move.py
@@ -16,7 +16,7 @@
     )
 
 
-def report_delayed_line(verdicts: Verdicts, record: Request | None, at: int, request: int, us: int) -> None:
+def held_back(verdicts: Verdicts, record: Request | None, at: int, request: int, us: int) -> None:
     """Reports a line that was delayed by `us` microseconds."""
     _report(verdicts, record, at, request, f"a line on it had been held back for {us / 1e6:.6f} s")
 
--- a/glenfold_lab/checker/requests.py
+++ b/glenfold_lab/checker/requests.py
@@ -100,7 +100,7 @@
 
     def held_back(self, at: int, request: int, us: int) -> None:
         if us > move.MAX_LINE_DELAY_US + self._slack_us:
-            move.report_delayed_line(self._verdicts, self._open.get(request), at, request, us)
+            move.held_back(self._verdicts, self._open.get(request), at, request, us)
 
     def relay_down(self, at: int, relay: int) -> None:
         self._relay_deaths[relay].append(at)
--- a/glenfold_lab/cli.py
+++ b/glenfold_lab/cli.py
@@ -1,7 +1,7 @@
 """`glenfold lab ...`: the model, stand-ins on sockets, load, experiments and reports.
 
-Exit status: 0 done and every rule kept, 1 a rule was broken (or what was asked for failed), 2 the words or a
-file are at fault; then nothing has been written.
+Exit status: 0 if the command succeeded and every rule was kept, 1 if a rule was broken or the command failed,
+2 if an argument or a file is invalid; in that case nothing has been written.
 """
 
 import click
--- a/glenfold_lab/observe.py
+++ b/glenfold_lab/observe.py
@@ -1,11 +1,11 @@
-"""What can be seen from outside a relay, in the model and on sockets alike.
+"""Observations from outside a relay, the same in the model and on sockets.
 
-Times are integer microseconds on one clock (virtual, or that of the machine on which all stand-ins run).
-Servers go by the number that every relay gives them (`glenfold.destinations.server_number` of the host),
-relays by their place in the scenario, requests by a number that is new for each try of a client (on sockets
-the id of the OPEN line). Nothing here comes from a relay's own counters or log.
+Times are integer microseconds on one clock: the virtual clock, or that of the machine on which all stand-ins
+run. Servers are identified by the number that every relay gives them (`glenfold.destinations.server_number`
+of the host), relays by their index in the scenario, requests by a number that is new for each try of a client
+(on sockets the id of the OPEN line). No observation comes from a relay's own counters or log.
 
-Observations reach a watcher in the order of their moments.
+A watcher receives observations in the order of their times.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,7 +15,7 @@
 
 
 class ListedState(IntEnum):
-    """A server's state in the list, as `linnetspread.interface.ServerState` has it."""
+    """The state of a server in the list, as in `linnetspread.interface.ServerState`."""
 
     GONE = 0
     READY = 1
@@ -23,43 +23,43 @@
 
 
 class Final(IntEnum):
-    """How a request ended for its client."""
+    """The final answer of a request, as its client received it."""
 
-    UP = 0  # with the receipt of a push server
-    BUSY = 1  # refused: trying again is harmless
-    ERROR = 2  # any other line
-    CLOSED = 3  # the relay ended the connection without an answer
+    UP = 0  # accepted, with the receipt of a push server
+    BUSY = 1  # refused; the client may safely retry
+    ERROR = 2  # any other reply line
+    CLOSED = 3  # the relay closed the connection without an answer
 
 
 class AttemptOutcome(IntEnum):
-    """How an attempt ended, as its push server (or the network) saw it; UP ends it as an attempt."""
+    """How an attempt ended, as observed at its push server or by the network; UP ends the attempt."""
 
     UP = 0
-    BUSY = 1  # turned away unseen
+    BUSY = 1  # refused without being processed
     ERROR = 2
-    REFUSED = 3  # no connection: the server process is down, or at its cap
-    RESET = 4  # broken by the server's side
-    ABANDONED = 5  # the relay closed it, or ended its sending
+    REFUSED = 3  # no connection: the server process is down or at its connection limit
+    RESET = 4  # connection broken by the server
+    ABANDONED = 5  # the relay closed the connection or its sending half
 
 
 class End(IntEnum):
     """How a standing connection ended for its client."""
 
-    CLIENT = 0  # it had what it wanted, or went away
-    MOVED = 1  # told MOVE first
-    SERVED = 2  # BYE
-    BROKEN = 3  # its push server reset it, crashed or fell silent, and the relay passed that on
-    CUT = 4  # by the relay, without MOVE, while its push server still answered
-    RELAY_DIED = 5  # with the relay's process, or because packets now go to another relay
+    CLIENT = 0  # the client finished or disconnected
+    MOVED = 1  # the client was sent MOVE first
+    SERVED = 2  # the push server sent BYE
+    BROKEN = 3  # its push server reset it, crashed or stopped answering, and the relay passed that on
+    CUT = 4  # closed by the relay without MOVE while its push server still answered
+    RELAY_DIED = 5  # the relay's process died, or packets now go to another relay
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What a push server can take, as the world (never a relay) knows it.
+    """The capacity of a push server for new connections. Relays do not know it.
 
-    warm_per_s: new connections a second whose usual load fills all of its cores.
-    cold_share: the part of that which it can take at its start.
-    cold_us: how long it takes to be warm, evenly.
+    `warm_per_s` is the number of new connections a second whose usual load fills all cores of the server.
+    `cold_share` is the part of that which the server can take at its start. `cold_us` is how long the server
+    takes to become warm; its capacity grows linearly.
     """
 
     warm_per_s: float
@@ -68,64 +68,77 @@
 
 
 class Watcher:
-    """Takes observations; each method is one kind. A watcher overrides those that it cares for."""
+    """Receives observations; each method is one kind.
 
-    # ---- the world, as it is ----
+    A subclass overrides the methods of the observations that it needs. `at` is the time of the observation.
+    """
+
+    # ---- servers and relays ----
 
     def server_started(self, at: int, server: int, capacity: Capacity, cold: bool) -> None:
-        """Its process answers from now on. `cold` is False for those that ran long before the history."""
+        """The server's process starts to answer. `cold` is False if it ran long before the history."""
 
     def server_draining(self, at: int, server: int) -> None:
-        """It finishes its work and wants nothing new."""
+        """The server drains: it finishes its work and takes no new connections."""
 
     def server_ended(self, at: int, server: int) -> None:
-        """Its process is gone, or its machine cut off: it answers nothing from now on."""
+        """The server's process exited or its machine was cut off; it no longer answers."""
 
     def relay_up(self, at: int, relay: int) -> None:
-        """It listens and has answered its first PING."""
+        """The relay listens and has answered its first PING."""
 
     def relay_down(self, at: int, relay: int) -> None:
-        """Its process is gone; what it held and had been told is void."""
+        """The relay's process exited; its connections and the list that it was sent are void."""
 
     def told(self, at: int, relay: int, server: int, state: ListedState, started_us: int) -> None:
-        """The last byte of this news was written to the relay, or it counts as told by now.
+        """The last byte of this change of the list was written to the relay, or counts as written by now.
 
-        started_us: when the server last started; 0 if long ago. A relay that starts is told the list that it
-        starts with, one server at a time."""
+        `started_us` is when the server last started; 0 if long ago. The list with which a relay starts is
+        reported as one such observation for each server.
+        """
 
     # ---- requests ----
 
     def asked(self, at: int, request: int, connection: int, request_class: int, first_ask: int) -> None:
-        """A client begins this try of a connection that it first wanted at `first_ask`. `connection` is its
-        own number, the same over all tries. For latencies alone: no rule depends on it."""
+        """A client starts a try for a connection that it first asked for at `first_ask`.
+
+        `connection` is the client's number for the connection, the same over all tries. This observation is
+        only for latencies: no rule depends on it.
+        """
 
     def taken(self, at: int, request: int, relay: int, deadline: int, request_class: int) -> None:
         """The last byte of the request was written to a connection that the relay's machine accepted."""
 
     def sent(self, at: int, request: int, relay: int, server: int, first: int, goes_on: bool = False) -> None:
-        """An attempt: its last byte has arrived at `at`, its first was sent at `first`. goes_on: it carries a
-        connection on that stands or is parked there already, which is no new work."""
+        """An attempt reached a server: its last byte arrived at `at`, its first byte was sent at `first`.
+
+        `goes_on` is set if the attempt continues a connection that already stands or is parked there, which
+        is no new work.
+        """
 
     def attempt_over(self, at: int, request: int, server: int, how: AttemptOutcome) -> None:
-        """The attempt on that server is no longer out."""
+        """The attempt on that server has ended."""
 
     def answered(self, at: int, request: int, final: Final, server: int | None, wait_us: int) -> None:
-        """The final answer's first byte left the relay. `server`: the push server whose receipt an UP bears,
-        None if no server produced it; `wait_us`: the wait that a BUSY advises, else 0."""
+        """The first byte of the final answer left the relay.
+
+        `server` is the push server whose receipt an UP carries, None if no server produced the answer.
+        `wait_us` is the wait that a BUSY advises, else 0.
+        """
 
     def left(self, at: int, request: int) -> None:
-        """Its client went away before the answer."""
+        """The client of the request left before the answer."""
 
     # ---- standing connections ----
 
     def ended(self, at: int, request: int, how: End) -> None:
-        """The connection that this request set up is over for its client."""
+        """The connection that this request set up has ended for its client."""
 
     def held_back(self, at: int, request: int, us: int) -> None:
-        """A line on this standing connection reached its other side so much later than it should have."""
+        """A line on this standing connection reached the other side `us` microseconds too late."""
 
     def finish(self, at: int) -> None:
-        """Nothing more will come."""
+        """No further observations follow."""
 
 
 OBSERVATIONS = tuple(name for name in vars(Watcher) if not name.startswith("_"))
@@ -134,7 +147,10 @@
 
 
 class Watchers(Watcher):
-    """Hands each observation to several watchers, in their order; those that pass it over cost nothing."""
+    """Passes each observation to several watchers, in their order.
+
+    A watcher that does not override a method is not called for it.
+    """
 
     def __init__(self, *watchers: Watcher) -> None:
         for name in OBSERVATIONS:
@@ -144,10 +160,10 @@
                 if getattr(type(watcher), name) is not getattr(Watcher, name) or name in vars(watcher)
             ]
             if calls:
-                setattr(self, name, _to_all(calls))
+                setattr(self, name, _call_each(calls))
 
 
-def _to_all(calls: list[Callable[..., None]]) -> Callable[..., None]:
+def _call_each(calls: list[Callable[..., None]]) -> Callable[..., None]:
     if len(calls) == 1:
         return calls[0]
 
@@ -159,19 +175,22 @@
 
 
 class Recorder(Watcher):
-    """Keeps all observations, as pairs of a kind's name and its values, the moment first."""
+    """Records all observations, as pairs of the method's name and its arguments, the time first."""
 
     def __init__(self) -> None:
         self.records: list[Record] = []
         for name in OBSERVATIONS:
-            setattr(self, name, self._keeper(name))
+            setattr(self, name, self._recording_method(name))
 
-    def _keeper(self, name: str) -> Callable[..., None]:
+    def _recording_method(self, name: str) -> Callable[..., None]:
         keep = self.records.append
         return lambda *values: keep((name, values))
 
 
 def replay(records: Iterable[Record], watcher: Watcher) -> None:
-    """Hands recorded observations to a watcher, in the order of their moments (those alike as recorded)."""
+    """Passes recorded observations to a watcher in the order of their times.
+
+    Observations of the same time stay in the order in which they were recorded.
+    """
     for name, values in sorted(records, key=lambda record: record[1][0]):
         getattr(watcher, name)(*values)
--- a/glenfold_lab/results.py
+++ b/glenfold_lab/results.py
@@ -1,4 +1,4 @@
-"""What one history gave: written by the model and by runs on sockets, read by experiments and reports."""
+"""The results of one history. The model and runs on sockets write them; experiments and reports read them."""
 
 import msgspec
 
@@ -6,10 +6,10 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """One broken rule, with what shows it.
+    """One broken rule and its evidence.
 
-    rule: "answer", "attempt", "drain", "cold" or "move". at_us: the moment, from the history's start.
-    evidence: the observations that prove it, in words, in their order.
+    `rule` is "answer", "attempt", "drain", "cold" or "move". `at_us` is the time since the start of the
+    history. `evidence` describes the observations that prove the break, in the order of time.
     """
 
     rule: str
@@ -21,7 +21,7 @@
 
 
 class Happened(msgspec.Struct, frozen=True):
-    """A fault or a planned event, for the time line. until_us is None for what has no end."""
+    """A fault or a planned event on the time line. `until_us` is None for an event without an end."""
 
     what: str
     at_us: int
@@ -31,15 +31,15 @@
 
 
 class Distribution(msgspec.Struct, frozen=True):
-    """Of latencies in microseconds, from a HDR histogram with three digits."""
+    """A distribution of latencies in microseconds, from an HDR histogram with three significant digits."""
 
     count: int
     mean: float
-    quantiles: dict[str, int]  # "50", "90", "99", "99.9", "100" (the greatest)
+    quantiles: dict[str, int]  # The keys are "50", "90", "99", "99.9" and "100" (the maximum).
 
 
 class Series(msgspec.Struct, frozen=True):
-    """Values over time: the n-th stands for the step that ends at (n + 1) * step_us."""
+    """Values over time: value n stands for the step that ends at (n + 1) * step_us."""
 
     step_us: int
     values: tuple[float, ...]
@@ -47,12 +47,15 @@
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """One history. The same scenario, seed and revision give the same bytes; what differs between two
-    machines (time taken, memory) is in `cost`, which is kept apart from everything that is compared.
+    """The result of one history.
 
-    figures: single numbers by name, as "service", "worst_window", "rules_broken"; all finite.
-    series: by name, as "service", "connections", "refused"; servers_load: by server, the load over the
-    limit at that moment. answers: by kind. set_up: by class, from the client's first ask to its UP.
+    The same scenario, seed and revision give the same bytes. Values that differ between machines (time taken,
+    memory) are in `cost`, which is kept apart from everything that is compared.
+
+    `figures` holds single numbers by name, such as "service", "worst_window" and "rules_broken"; all are
+    finite. `series` holds time series by name, such as "service", "connections" and "refused". `server_load`
+    holds, by server, its load divided by its limit at that time. `answers` counts the answers of each kind.
+    `set_up` holds, by class, the time from a client's first request to its UP.
     """
 
     scenario: str
@@ -65,16 +68,16 @@
     series: dict[str, Series] = {}
     server_load: dict[str, Series] = {}
     verdicts: tuple[Verdict, ...] = ()
-    verdicts_left_out: int = 0  # broken rules beyond those that are kept
+    verdicts_left_out: int = 0  # Number of broken rules beyond the verdicts that are kept.
     happened: tuple[Happened, ...] = ()
     factors: dict[str, str] = {}
-    guards_against: str = ""  # the scenario's own words
+    guards_against: str = ""  # The text of the scenario.
     format: int = FORMAT
     cost: dict[str, float] = {}
 
 
 def encode(result: RunResult) -> bytes:
-    """The bytes that are compared: JSON with sorted keys, without `cost`."""
+    """Returns the bytes that are compared: JSON with sorted keys, without `cost`."""
     plain = msgspec.to_builtins(result)
     del plain["cost"]
     return msgspec.json.encode(plain, order="sorted")
--- a/glenfold_lab/scenario.py
+++ b/glenfold_lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: read, checked beyond what the types of their values say, and those that are shipped."""
+"""Reads scenario files, checks more than the types of their values, and finds the shipped scenarios."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -16,93 +16,103 @@
 
 
 class Bound(NamedTuple):
-    """What a value means something within; `least` itself only with `closed`."""
+    """The range of valid values; `minimum` itself is valid only if `includes_minimum` is set."""
 
-    least: float = 0.0
-    most: float = float("inf")
-    closed: bool = True
+    minimum: float = 0.0
+    maximum: float = float("inf")
+    includes_minimum: bool = True
 
-    def holds(self, value: float) -> bool:
-        return self.least <= value <= self.most and (self.closed or value > self.least)
+    def contains(self, value: float) -> bool:
+        return self.minimum <= value <= self.maximum and (self.includes_minimum or value > self.minimum)
 
     def __str__(self) -> str:
-        least = f"{'at least' if self.closed else 'above'} {self.least:g}"
-        return least if self.most == float("inf") else f"{least} and at most {self.most:g}"
+        lower = f"{'at least' if self.includes_minimum else 'above'} {self.minimum:g}"
+        return lower if self.maximum == float("inf") else f"{lower} and at most {self.maximum:g}"
 
 
-SHARE = Bound(most=1)
-SOME = Bound(closed=False)
-SOME_SHARE = Bound(most=1, closed=False)
+SHARE = Bound(maximum=1)
+POSITIVE = Bound(includes_minimum=False)
+POSITIVE_SHARE = Bound(maximum=1, includes_minimum=False)
 
-# Narrower than the types of spec.py, where the type is a Range or bears no upper bound.
+# Bounds narrower than the types in spec.py, for values whose type is a Range or has no upper bound.
 BOUNDS = {
-    "length_s": Bound(most=DAY_S, closed=False),
+    "length_s": Bound(maximum=DAY_S, includes_minimum=False),
     "zones.jitter": SHARE,
     "servers.count": Bound(1, 100_000),
     "servers.error_rate": SHARE,
-    "servers.kinds.speed": SOME,
+    "servers.kinds.speed": POSITIVE,
     "servers.kinds.speed_cv": SHARE,
-    "servers.kinds.per_core": SOME,
-    "servers.kinds.cap": SOME,
-    "servers.kinds.cold_from": SOME_SHARE,
-    "servers.kinds.buffer_s": SOME,
-    "servers.kinds.message_ms": SOME,
+    "servers.kinds.per_core": POSITIVE,
+    "servers.kinds.cap": POSITIVE,
+    "servers.kinds.cold_from": POSITIVE_SHARE,
+    "servers.kinds.buffer_s": POSITIVE,
+    "servers.kinds.message_ms": POSITIVE,
     "servers.kinds.burst": Bound(1),
     "relays.count": Bound(1, 10_000),
-    "relays.cores": SOME,
+    "relays.cores": POSITIVE,
     "front.reshuffle": SHARE,
-    "classes.load": SOME,
-    "classes.change_s": SOME,
-    "clients.life_s": SOME,
+    "classes.load": POSITIVE,
+    "classes.change_s": POSITIVE,
+    "clients.life_s": POSITIVE,
     "clients.swing": SHARE,
     "clients.group_size": Bound(1),
     "clients.honour": SHARE,
     "clients.zone_skew": SHARE,
-    "faults.part": SOME_SHARE,
-    "faults.every_s": SOME,
+    "faults.part": POSITIVE_SHARE,
+    "faults.every_s": POSITIVE,
 }
 
 
-class Terms(NamedTuple):
-    """Which values a kind of fault needs (`who`: one of part and count) and which others mean something."""
+class FaultOptions(NamedTuple):
+    """The keys that one kind of fault takes.
 
-    needs: tuple[str, ...]
-    may: tuple[str, ...] = ()
-    who: bool = True
+    `required` keys must be given, `optional` ones may be. If `has_targets` is set, the fault needs either
+    `part` or `count`. `size` is the bound of the key of that name.
+    """
+
+    required: tuple[str, ...]
+    optional: tuple[str, ...] = ()
+    has_targets: bool = True
     size: Bound | None = None
 
 
-FAULTS = {
-    "neighbour": Terms(("size",), ("len_s", "every_s"), size=SOME_SHARE),
-    "shrink": Terms(("size", "over_s"), who=False, size=Bound(1, closed=False)),
-    "drain": Terms(("over_s",), ("replace",)),
-    "restart_servers": Terms((), ("over_s", "len_s")),
-    "start_servers": Terms(("count",), ("over_s",), who=False),
-    "server_crash": Terms((), ("len_s",)),
-    "server_vanish": Terms((), ("len_s",)),
-    "server_jam": Terms((), ("len_s",)),
-    "zone_loss": Terms(("zone",), ("len_s", "relays"), who=False),
-    "relay_crash": Terms(()),
-    "relay_restart": Terms((), ("over_s",)),
-    "relay_stall": Terms(("len_s",)),
-    "reconnect": Terms(("size",), ("over_s",), who=False, size=SOME_SHARE),
-    "list_silent": Terms((), ("len_s",), who=False),
-    "flap": Terms(("every_s",), ("len_s",)),
+FAULT_OPTIONS = {
+    "neighbour": FaultOptions(("size",), ("len_s", "every_s"), size=POSITIVE_SHARE),
+    "shrink": FaultOptions(("size", "over_s"), has_targets=False, size=Bound(1, includes_minimum=False)),
+    "drain": FaultOptions(("over_s",), ("replace",)),
+    "restart_servers": FaultOptions((), ("over_s", "len_s")),
+    "start_servers": FaultOptions(("count",), ("over_s",), has_targets=False),
+    "server_crash": FaultOptions((), ("len_s",)),
+    "server_vanish": FaultOptions((), ("len_s",)),
+    "server_jam": FaultOptions((), ("len_s",)),
+    "zone_loss": FaultOptions(("zone",), ("len_s", "relays"), has_targets=False),
+    "relay_crash": FaultOptions(()),
+    "relay_restart": FaultOptions((), ("over_s",)),
+    "relay_stall": FaultOptions(("len_s",)),
+    "reconnect": FaultOptions(("size",), ("over_s",), has_targets=False, size=POSITIVE_SHARE),
+    "list_silent": FaultOptions((), ("len_s",), has_targets=False),
+    "flap": FaultOptions(("every_s",), ("len_s",)),
 }
 
 
 def shipped() -> list[str]:
-    """The names of the scenarios that come with the lab."""
+    """Returns the names of the shipped scenarios."""
     return sorted(path.stem for path in FOLDER.glob("*.toml"))
 
 
 def load(name_or_path: str) -> Scenario:
-    """A shipped scenario by its name, or one from a file; BadFile tells key, line and reason."""
+    """Returns a shipped scenario by its name, or the scenario of a file.
+
+    Raises BadFile with the key, the line and the reason if the file is invalid.
+    """
     return check(find(name_or_path))
 
 
 def find(name_or_path: str, beside: Path | None = None) -> TomlFile:
-    """The unchecked values of that file. A path is taken from the folder `beside`, if there is one."""
+    """Returns the unchecked values of a scenario file.
+
+    A path is relative to the folder `beside`, or to the current folder if that is None.
+    """
     if name_or_path in shipped():
         return toml_file.read(FOLDER / f"{name_or_path}.toml")
     if "/" in name_or_path or name_or_path.endswith(".toml"):
@@ -113,21 +123,21 @@
 
 
 def check(file: TomlFile) -> Scenario:
-    """The scenario, if all of its values fit each other."""
+    """Returns the scenario of a file; raises BadFile if its values are invalid or do not fit each other."""
     scenario = file.convert(Scenario)
     for key, value, kind in _values(scenario, ()):
         _check_value(file, key, value, kind)
     _check_names(file, scenario)
-    _check_whole(file, scenario)
+    _check_consistency(file, scenario)
     for number, fault in enumerate(scenario.faults):
         _check_fault(file, ("faults", number), fault, scenario)
     return scenario
 
 
-def _values(part: Part, at: Key) -> Iterator[tuple[Key, Any, Any]]:
-    """All values, with their keys and types; those of tables within tables one by one."""
+def _values(part: Part, prefix: Key) -> Iterator[tuple[Key, Any, Any]]:
+    """Yields each value with its key and type, also those of nested tables."""
     for field in msgspec.structs.fields(part):
-        key, value = (*at, field.name), getattr(part, field.name)
+        key, value = (*prefix, field.name), getattr(part, field.name)
         if isinstance(value, Part):
             yield from _values(value, key)
         elif isinstance(value, tuple) and value and isinstance(value[0], Part):
@@ -147,7 +157,7 @@
 
 def _check_bound(file: TomlFile, key: Key, value: Any, bound: Bound) -> None:
     for number in value if isinstance(value, tuple) else (value,):
-        if not bound.holds(number):
+        if not bound.contains(number):
             raise file.error(key, f"must be {bound}, not {number:g}")
 
 
@@ -168,7 +178,7 @@
             seen.add(name)
 
 
-def _check_whole(file: TomlFile, scenario: Scenario) -> None:
+def _check_consistency(file: TomlFile, scenario: Scenario) -> None:
     shares, zones = scenario.servers.zone_shares, scenario.zones.names
     if not zones:
         raise file.error(("zones", "names"), "there must be at least one zone")
@@ -181,23 +191,31 @@
 
 
 def _check_fault(file: TomlFile, key: Key, fault: Fault, scenario: Scenario) -> None:
-    terms, given = FAULTS[fault.kind], file.data["faults"][key[-1]]
-    known = ["kind", "at_s", *(("part", "count") if terms.who else ()), *terms.needs, *terms.may]
+    options, given = FAULT_OPTIONS[fault.kind], file.data["faults"][key[-1]]
+    allowed = [
+        "kind",
+        "at_s",
+        *(("part", "count") if options.has_targets else ()),
+        *options.required,
+        *options.optional,
+    ]
     for name in given:
-        if name not in known:
-            reason = f"has no meaning for {fault.kind}, which takes {', '.join(known)}"
+        if name not in allowed:
+            reason = f"has no meaning for {fault.kind}, which takes {', '.join(allowed)}"
             raise file.error((*key, name), reason)
-    for name in terms.needs:
+    for name in options.required:
         if not getattr(fault, name):
-            raise file.error((*key, name), f"{fault.kind} needs it" + " above 0" * (name in given))
-    if terms.who and ("part" in given) == ("count" in given):
+            raise file.error(
+                (*key, name), f"{fault.kind} needs this key" + " to be above 0" * (name in given)
+            )
+    if options.has_targets and ("part" in given) == ("count" in given):
         raise file.error((*key, "part"), f"{fault.kind} needs one of part and count")
-    if terms.size is not None:
-        _check_bound(file, (*key, "size"), fault.size, terms.size)
-    _check_against(file, key, fault, scenario)
+    if options.size is not None:
+        _check_bound(file, (*key, "size"), fault.size, options.size)
+    _check_fault_fits(file, key, fault, scenario)
 
 
-def _check_against(file: TomlFile, key: Key, fault: Fault, scenario: Scenario) -> None:
+def _check_fault_fits(file: TomlFile, key: Key, fault: Fault, scenario: Scenario) -> None:
     latest = fault.at_s[1] if isinstance(fault.at_s, tuple) else fault.at_s
     if latest >= scenario.length_s:
         raise file.error((*key, "at_s"), f"{latest:g} is beyond length_s ({scenario.length_s:g})")
@@ -206,4 +224,4 @@
         raise file.error((*key, "zone"), reason)
     machines = scenario.relays.count if fault.kind.startswith("relay") else scenario.servers.count
     if fault.count is not None and fault.kind != "start_servers" and fault.count > machines:
-        raise file.error((*key, "count"), f"{fault.count} of only {machines}")
+        raise file.error((*key, "count"), f"{fault.count} is more than the {machines} there are")
--- a/glenfold_lab/spec.py
+++ b/glenfold_lab/spec.py
@@ -1,7 +1,8 @@
-"""The terms of a scenario: what a history is made of. Plain values, checked as they are read.
+"""The values of a scenario, from which histories are drawn. Their types are checked when they are read.
 
-A `Range` is one number, or a pair of which each history draws one evenly. Times bear their unit in the
-name; shares are parts of 1; loads are parts of a standard core. `scenario.py` reads these from TOML files.
+A `Range` is one number, or a pair between whose numbers each history draws one uniformly. Names of times end
+in their unit; shares are fractions of 1; loads are fractions of a standard core. `scenario.py` reads these
+values from TOML files.
 """
 
 from typing import Annotated, Literal
@@ -13,18 +14,21 @@
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1)]
-# Not tuple[float, float]: msgspec 0.23 crashes when its types are collected with such a pair in a union.
+# A Pair is not tuple[float, float], as msgspec 0.23 crashes while collecting a union with such a pair.
 Pair = Annotated[tuple[NotNegative, ...], Meta(min_length=2, max_length=2)]
 Range = NotNegative | Pair
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 
 
 class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of a scenario file: a key that it does not know is a fault."""
+    """A table of a scenario file. An unknown key is an error."""
 
 
 class Zones(Part, frozen=True):
-    """Where machines stand; one-way delays in milliseconds, each message's spread by `jitter` (a share)."""
+    """The zones of the machines, and the one-way delays within and between them.
+
+    The delay of each message varies by `jitter`, a share of the delay.
+    """
 
     names: tuple[Name, ...] = ("cardiff", "wrexham")
     same_ms: Range = (0.14, 0.34)
@@ -34,21 +38,22 @@
 
 
 class ServerKind(Part, frozen=True):
-    """Push servers of one kind. Shares of kinds are relative to each other.
-
-    speed: of a core, against a standard one; speed_cv: its spread between servers of the kind.
-    per_core: standing connections of the mean load that fill a standard core.
-    cap: most connections, as a multiple of what its cores can serve; beyond that it takes no connection.
-    queue: most set-ups waiting, per core; beyond that it answers BUSY.
-    cold_from, cold_s: it starts at this share of its capacity and is warm after so long.
-    buffer_s: work piled up (seconds of its capacity) beyond which it drops the heaviest connections.
-    message_ms: own work of one message; burst: how far messages come in bursts (1: not at all).
+    """Push servers of one kind. The shares of kinds are relative to each other.
+
+    `speed` is that of a core, relative to a standard core; `speed_cv` is its coefficient of variation between
+    servers of the kind. `per_core` is the number of standing connections of mean load that fill one standard
+    core. `cap` is the maximum number of connections, as a multiple of what the cores can serve; a server
+    accepts no connection beyond it. `queue` is the maximum number of waiting set-ups per core; beyond it the
+    server answers BUSY. A server starts at the share `cold_from` of its capacity and is warm after `cold_s`.
+    `buffer_s` is the queued work, in seconds of the server's capacity, beyond which it drops the heaviest
+    connections. `message_ms` is the work of one message itself. `burst` is how far messages come in bursts; 1
+    means not at all.
     """
 
     name: Name = "mid-steady"
     share: Positive = 1.0
     cores: Count = 3
-    weight: Positive | None = None  # as listed; None: its cores
+    weight: Positive | None = None  # The listed weight; None means the number of cores.
     speed: Range = (1.0, 1.4)
     speed_cv: Range = (0.03, 0.2)
     per_core: Range = (21, 45)
@@ -62,46 +67,49 @@
 
 
 class Servers(Part, frozen=True):
-    """The push servers. cell_size: servers of a cell (a block of the list).
+    """The push servers.
 
-    store_ms: a set-up's call to the one store that all push servers share; store_headroom: how many times
-    the rate of new connections that keeps all of them full that store can serve, beyond which calls wait in
-    turn; 0: there is none.
+    `cell_size` is the number of servers of a cell, which is a block of the list. `store_ms` is the time of
+    the call that each set-up makes to the one store that all push servers share. `store_headroom` is the rate
+    of calls that the store can serve, as a multiple of the rate of new connections that keeps all servers
+    full; further calls wait in a queue. 0 means that there is no store.
     """
 
     count: Count = 12
     kinds: Annotated[tuple[ServerKind, ...], Meta(min_length=1)] = (ServerKind(),)
     zone_shares: tuple[Positive, ...] | None = None  # None: evenly over the zones
     cell_size: Count = 4
-    group_cost: Range = 2.0  # of a group at a server, in mean loads of a connection
-    error_rate: Range = 0.0  # share of set-ups that it answers ERR
+    group_cost: Range = 2.0  # The load of a group at a server, in mean loads of a connection.
+    error_rate: Range = 0.0  # The share of set-ups that a server answers with ERR.
     store_ms: Range = (5.0, 40.0)
     store_headroom: Range = (10.0, 16.0)
-    park_s: Range = (4.0, 9.0)  # for how long a connection whose packets stopped is kept
+    park_s: Range = (4.0, 9.0)  # How long a server keeps a connection whose packets stopped.
 
 
 class Relays(Part, frozen=True):
-    """The relays. cores: the part of a core that each may use. *_us: its work for one step, on a full core.
+    """The relays.
 
-    memory_mb and sockets: its limits, as the platform tells them; None: no bound.
+    `cores` is the part of a core that each relay may use. The values in `_us` are a relay's work for one step
+    on a full core. `memory_mb` and `sockets` are the limits that the platform sets; None means no limit.
     """
 
     count: Count = 2
     cores: Range = 1.0
-    accept_us: NotNegative = 250.0  # a client's connection and its first line
-    call_us: NotNegative = 250.0  # an outbound call begun
-    reply_us: NotNegative = 300.0  # a server's answer, passed on
-    notice_us: NotNegative = 40.0  # a LOAD line, an end
+    accept_us: NotNegative = 250.0  # Accepting a client's connection and reading its first line.
+    call_us: NotNegative = 250.0  # Starting an outbound call.
+    reply_us: NotNegative = 300.0  # Passing on a server's answer.
+    notice_us: NotNegative = 40.0  # Handling a LOAD line or the end of a connection.
     memory_mb: Positive | None = None
     sockets: Annotated[int, Meta(ge=32)] | None = None
-    pass_through: bool = True  # packets pass through: connections outlive their relay
-    restart_s: Range = (1.0, 8.0)  # a relay that died is up again after so long
+    pass_through: bool = True  # Packets pass through, so connections outlive their relay.
+    restart_s: Range = (1.0, 8.0)  # The time after which a relay that died is up again.
 
 
 class Front(Part, frozen=True):
-    """Spreads clients over the relays of their zone; a dead relay is noticed only after notice_s.
+    """The front, which spreads clients over the relays of their zone.
 
-    reshuffle: share of a living relay's connections that land elsewhere when the set of relays changes.
+    It detects a dead relay only after `notice_s`. `reshuffle` is the share of a running relay's connections
+    that reach another relay when the set of relays changes.
     """
 
     notice_s: Range = (1.1, 3.0)
@@ -109,11 +117,13 @@
 
 
 class RequestClass(Part, frozen=True):
-    """A class of connections. share: of all; load: mean, against the mean of all classes.
+    """A class of connections.
 
-    load_sigma: spread of loads between connections (lognormal); swing_sigma: of one over time, drawn anew
-    every change_s. set_up_ms: work of a set-up at its server on a standard core.
-    message_aim_ms: a message is worth something within it. worth: for each second of a connection served.
+    `share` is its share of all connections, `load` its mean load relative to the mean of all classes.
+    `load_sigma` is the spread of loads between connections (lognormal), `swing_sigma` that of one connection
+    over time, drawn again every `change_s`. `set_up_ms` is the work of a set-up at its server on a standard
+    core. A message has worth only if it arrives within `message_aim_ms`. `worth` is that of each second for
+    which a connection is served.
     """
 
     name: Name
@@ -130,7 +140,7 @@
 
 
 class Scheme(Part, frozen=True):
-    """A tenant. share: of what the fleet can do; usage: what it asks, against that share."""
+    """A tenant. `share` is its share of the fleet's capacity, `usage` its demand relative to that share."""
 
     name: Name
     share: Positive = 1.0
@@ -138,28 +148,30 @@
 
 
 class Clients(Part, frozen=True):
-    """What clients ask.
-
-    load: of all connections together, with what their groups share at one server each, as a share of what
-    all push servers can do when warm.
-    life_s: mean time for which a client wants its connection; life_sigma: its spread (lognormal).
-    groups: whether clients come in groups; group_size: mean size, drawn evenly by its logarithm;
-    group_zipf: how unequal the sizes are.
-    retries: of a try that was refused, failed or got no answer; 0: none. backoff_ms: wait before the first,
-    doubled each time, up to backoff_most_ms. honour: share of clients that heed the wait in BUSY.
-    rejoin_ms: a client whose connection broke comes again within this; a history draws one mean, evenly by
-    its logarithm, and each client half to one and a half of it. move_ms: likewise, of one that was moved.
-    lingers: share of clients that go on using a connection after MOVE until it ends (on sockets only).
-    marks_returning: whether it says so (`again=1`). zone_skew: how unequally clients spread over zones.
-    standing: whether connections stand when the history starts, as many as the load says.
-    connections: how many come in all, from which the load follows; None: the load decides. To be used with
-    `standing` for a world of a given size.
+    """The demand of the clients.
+
+    `load` is that of all connections together, including the load that each group shares at one server, as a
+    share of the capacity of all warm push servers.
+    `life_s` is the mean time for which a client wants its connection, `life_sigma` its spread (lognormal).
+    `groups` is whether clients come in groups. `group_size` is their mean size, drawn log-uniformly;
+    `group_zipf` is how unequal the sizes are.
+    `retries` is the number of retries of a try that was refused, failed or got no answer. `backoff_ms` is the
+    wait before the first retry; it doubles each time, up to `backoff_most_ms`. `honour` is the share of
+    clients that obey the wait in BUSY.
+    `rejoin_ms` bounds the time after which a client whose connection broke returns: a history draws one mean
+    log-uniformly, and each client waits half to one and a half of it. `move_ms` does the same for a client
+    that was moved. `lingers` is the share of clients that use a connection after MOVE until it ends (on
+    sockets only). `marks_returning` is whether a returning client says so (`again=1`).
+    `zone_skew` is how unequally clients spread over the zones.
+    `standing` is whether connections stand at the start of the history, as many as the load requires.
+    `connections` is the total number of connections, which then determines the load; with None the load
+    determines the number. It is used with `standing` for a world of a given size.
     """
 
     load: Range = (0.3, 0.41)
     life_s: Range = (28.0, 130.0)
     life_sigma: Range = (0.8, 1.2)
-    swing: Range = (0.16, 0.38)  # of the rate of new clients over the history
+    swing: Range = (0.16, 0.38)  # The variation of the rate of new clients over the history.
     shape: Literal["steady", "ramp"] = "steady"
     groups: bool = True
     group_size: Range = (5.0, 60.0)
@@ -179,11 +191,14 @@
 
 
 class ServerList(Part, frozen=True):
-    """How the list reaches each relay. notice_s: until the list knows of a drain or an end; add_s: of a new
-    server; silent_notice_s: of one that vanished without a word. spread_ms: between relays. period_ms: news
-    is gathered for so long. late_s, lost, doubled, out_of_order: shares of the changes sent to a relay that
-    come later by late_s, never, twice, or after the change behind them. Whatever there is to tell counts as
-    told told_within_s later."""
+    """How the server list reaches each relay.
+
+    The list contains a drain or an end of a server after `notice_s`, a new server after `add_s`, and a server
+    that vanished without a signal after `silent_notice_s`. `spread_ms` is the spread between relays. Changes
+    are collected for `period_ms`. `late`, `lost`, `doubled` and `out_of_order` are the shares of the changes
+    sent to a relay that arrive later by `late_s`, never, twice, or after the next change. Each change counts
+    as sent to the relay after `told_within_s` at the latest.
+    """
 
     notice_s: Range = (1.1, 4.2)
     add_s: Range = (0.46, 2.0)
@@ -199,7 +214,7 @@
 
 
 class Rules(Part, frozen=True):
-    """The figures of the four rules, as the platform's settings tell them."""
+    """The limits of the rules, as in the platform's settings."""
 
     drain_grace_ms: Positive = 2000.0
     answer_slack_ms: NotNegative = 50.0
@@ -214,26 +229,30 @@
 
 
 FaultKind = Literal[
-    "neighbour",  # takes `size` of the cores of `part` of the servers, on and off
+    "neighbour",  # takes `size` of the cores of `part` of the servers, intermittently
     "shrink",  # the fleet shrinks to 1 / `size`: servers drain, over `over_s`, and end
     "drain",  # `part` (or `count`) of the servers drain and end; with `replace`, others start
     "restart_servers",  # `part` of the servers end at once and start again cold
     "start_servers",  # `count` new servers start cold
     "server_crash",  # processes die: connections are reset, new ones refused
-    "server_vanish",  # machines fall silent: nothing is signalled
-    "server_jam",  # set-ups and messages hang: work piles up for `len_s`
+    "server_vanish",  # machines stop answering; nothing signals their end
+    "server_jam",  # set-ups and messages hang; work queues up for `len_s`
     "zone_loss",  # all servers (and relays, with `relays`) of `zone` are cut off for `len_s`
     "relay_crash",  # `part` of the relays die and start again with their last list
     "relay_restart",  # planned: SIGTERM, one by one over `over_s`
-    "relay_stall",  # processes stop for `len_s`, then go on
-    "reconnect",  # `size` of the clients drop and come again within `over_s`
-    "list_silent",  # the list says nothing for `len_s`
-    "flap",  # `part` of the servers drain and return again and again, every `every_s`
+    "relay_stall",  # processes are stopped for `len_s`, then continue
+    "reconnect",  # `size` of the clients disconnect and return within `over_s`
+    "list_silent",  # the list sends nothing for `len_s`
+    "flap",  # `part` of the servers drain and return repeatedly, every `every_s`
 ]
 
 
 class Fault(Part, frozen=True):
-    """Something that happens. at_s from the start of the history; who it strikes is drawn by the seed."""
+    """A fault or a planned event.
+
+    `at_s` is its time since the start of the history. The seed determines which machines or clients it
+    affects.
+    """
 
     kind: FaultKind
     at_s: Range
@@ -249,7 +268,7 @@
 
 
 class Scenario(Part, frozen=True):
-    """One kind of day. Each seed draws one history of it; the first warm_up_s do not count."""
+    """A scenario. Each seed draws one history of it; the first `warm_up_s` do not count."""
 
     format: Literal[1]
     name: Name
--- a/glenfold_lab/streams.py
+++ b/glenfold_lab/streams.py
@@ -1,8 +1,8 @@
 """Random numbers: one seed for a history, and one generator for each part and purpose.
 
-A new draw in one part must not shift the days of all others, so no two parts share a generator. What a
-generator gives depends on the seed and on its names alone: not on the order in which generators are made,
-nor on the process that makes them.
+No two parts share a generator, so that a new draw in one part does not change the draws of the others. The
+numbers of a generator depend only on the seed and its names, not on the order in which generators are created
+or on the process that creates them.
 """
 
 import hashlib
@@ -11,19 +11,21 @@
 
 
 class Streams:
-    """The generators of one history."""
+    """The random generators of one history."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self._made: dict[tuple[str, str, int], np.random.Generator] = {}
+        self._generators: dict[tuple[str, str, int], np.random.Generator] = {}
 
     def of(self, part: str, purpose: str, number: int = 0) -> np.random.Generator:
-        """The generator of one part ("servers", "front", ...) for one purpose; `number` tells apart several
-        of a kind, as servers or relays. The same names give the same
-        generator, wherever it stands by then."""
+        """Returns the generator of one part ("servers", "front", ...) for one purpose.
+
+        `number` distinguishes several of one kind, such as servers or relays. The same names return the same
+        generator object, which continues after the numbers already drawn.
+        """
         name = (part, purpose, number)
-        if name not in self._made:
+        if name not in self._generators:
             digest = hashlib.blake2b(f"{part}/{purpose}".encode(), digest_size=8).digest()
             entropy = [self.seed, int.from_bytes(digest), number]
-            self._made[name] = np.random.Generator(np.random.PCG64(np.random.SeedSequence(entropy)))
-        return self._made[name]
+            self._generators[name] = np.random.Generator(np.random.PCG64(np.random.SeedSequence(entropy)))
+        return self._generators[name]
--- a/tests/glenfold_lab/test_lab_page.py
+++ b/tests/glenfold_lab/test_lab_page.py
@@ -1,4 +1,4 @@
-"""The operators' page: its worked example runs as it stands."""
+"""Tests that the example on the operators' page runs unchanged."""
 
 import json
 import re
@@ -9,7 +9,7 @@
 PAGE = Path(__file__).parents[2] / "docs/operators/lab.md"
 
 
-def test_the_worked_example_runs_as_it_stands(tmp_path: Path):
+def test_the_example_runs_unchanged(tmp_path: Path):
     script = "\n".join(re.findall(r"```sh\n(.*?)```", PAGE.read_text(), re.S))
     assert script.count("glenfold lab") == 5
     script = f'set -e\nglenfold() {{ "{sys.executable}" -m glenfold "$@" || test $? -eq 1; }}\n{script}'
--- a/tests/glenfold_lab/test_lab_run.py
+++ b/tests/glenfold_lab/test_lab_run.py
@@ -1,4 +1,4 @@
-"""`glenfold lab run`: exit status, the result as a file, and every observation as lines of JSON."""
+"""Tests of `glenfold lab run`: exit status, result file, and trace of observations as lines of JSON."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from glenfold_lab.commands.run import command
 from glenfold_lab.results import RunResult
 
-FILE = """
+SCENARIO = """
 format = 1
 name = "mine"
 guards_against = "nothing"
@@ -20,7 +20,7 @@
 count = 2
 pass_through = false
 """
-KILLED = """
+RELAY_FAULTS = """
 [[faults]]
 kind = "relay_restart"
 at_s = 1
@@ -39,10 +39,10 @@
     return result.exit_code, result.output
 
 
-def test_a_history_is_shown_kept_and_traced(tmp_path: Path) -> None:
+def test_a_history_is_printed_written_and_traced(tmp_path: Path) -> None:
     files = [str(tmp_path / name) for name in ("result.json", "trace.jsonl")]
-    status, shown = run(tmp_path, FILE, "--seed", "7", "--json", files[0], "--trace", files[1])
-    assert status == 0 and "every rule kept" in shown
+    status, output = run(tmp_path, SCENARIO, "--seed", "7", "--json", files[0], "--trace", files[1])
+    assert status == 0 and "every rule kept" in output
     result = msgspec.json.decode((tmp_path / "result.json").read_bytes(), type=RunResult)
     assert (result.scenario, result.seed, result.cost) == ("mine", 7, {})
     lines = [msgspec.json.decode(line) for line in (tmp_path / "trace.jsonl").read_bytes().splitlines()]
@@ -50,15 +50,15 @@
     assert lines[-1][0] == "finish" and lines == sorted(lines, key=lambda line: line[1][0])
 
 
-def test_a_broken_rule_is_shown_with_its_evidence_and_exit_status_1(tmp_path: Path) -> None:
-    status, shown = run(tmp_path, FILE + KILLED)
-    assert status == 1 and "rule broken: move at " in shown and "without MOVE" in shown
+def test_a_broken_rule_is_printed_with_its_evidence_and_exit_status_1(tmp_path: Path) -> None:
+    status, output = run(tmp_path, SCENARIO + RELAY_FAULTS)
+    assert status == 1 and "rule broken: move at " in output and "without MOVE" in output
 
 
-@pytest.mark.parametrize("text", [FILE.replace("count", "cuont"), FILE.replace("= 2", "= -2")])
-def test_a_faulty_scenario_is_refused_before_anything_is_written(tmp_path: Path, text: str) -> None:
-    status, shown = run(
+@pytest.mark.parametrize("text", [SCENARIO.replace("count", "cuont"), SCENARIO.replace("= 2", "= -2")])
+def test_an_invalid_scenario_is_refused_before_anything_is_written(tmp_path: Path, text: str) -> None:
+    status, output = run(
         tmp_path, text, "--json", str(tmp_path / "result.json"), "--trace", str(tmp_path / "trace.jsonl")
     )
-    assert status == 2 and "relays" in shown
+    assert status == 2 and "relays" in output
     assert [path.name for path in tmp_path.iterdir()] == ["mine.toml"]
--- a/tests/glenfold_lab/test_scenarios_page.py
+++ b/tests/glenfold_lab/test_scenarios_page.py
@@ -1,4 +1,4 @@
-"""The operators' page on scenario and experiment files: its worked example is sound."""
+"""Tests that the example on the operators' page on scenario and experiment files is valid."""
 
 import re
 from pathlib import Path
@@ -10,7 +10,7 @@
 PAGE = (Path(__file__).parents[2] / "docs/operators/lab-scenarios.md").read_text()
 
 
-def test_the_worked_example_is_sound(tmp_path: Path) -> None:
+def test_the_example_is_valid(tmp_path: Path) -> None:
     blocks = re.findall(r"```toml\n# (\S+)\n(.*?)```", PAGE, re.S)
     for name, text in blocks:
         (tmp_path / name).write_text(text)
