--- a/glenfold_lab/observe.py
+++ b/glenfold_lab/observe.py
@@ -25,32 +25,32 @@
 class Final(IntEnum):
     """The final answer of a request, as its client received it."""
 
-    UP = 0  # accepted, with the receipt of a push server
-    BUSY = 1  # refused; the client may safely retry
-    ERROR = 2  # any other reply line
-    CLOSED = 3  # the relay closed the connection without an answer
+    UP = 0  # The request was accepted, with the receipt of a push server.
+    BUSY = 1  # The request was refused; the client may safely retry.
+    ERROR = 2  # The client received any other line.
+    CLOSED = 3  # The relay closed the connection without an answer.
 
 
 class AttemptOutcome(IntEnum):
     """How an attempt ended, as observed at its push server or by the network; UP ends the attempt."""
 
     UP = 0
-    BUSY = 1  # refused without being processed
+    BUSY = 1  # The server refused the attempt without processing it.
     ERROR = 2
-    REFUSED = 3  # no connection: the server process is down or at its connection limit
-    RESET = 4  # connection broken by the server
-    ABANDONED = 5  # the relay closed the connection or its sending half
+    REFUSED = 3  # No connection: the server process is down or at its connection limit.
+    RESET = 4  # The server's side broke the connection.
+    ABANDONED = 5  # The relay closed the connection or its sending half.
 
 
 class End(IntEnum):
     """How a standing connection ended for its client."""
 
-    CLIENT = 0  # the client finished or disconnected
-    MOVED = 1  # the client was sent MOVE first
-    SERVED = 2  # the push server sent BYE
-    BROKEN = 3  # its push server reset it, crashed or stopped answering, and the relay passed that on
-    CUT = 4  # closed by the relay without MOVE while its push server still answered
-    RELAY_DIED = 5  # the relay's process died, or packets now go to another relay
+    CLIENT = 0  # The client finished or disconnected.
+    MOVED = 1  # The client was sent MOVE first.
+    SERVED = 2  # The push server sent BYE.
+    BROKEN = 3  # The push server reset it, crashed or fell silent, and the relay passed that on.
+    CUT = 4  # The relay closed it without MOVE while its push server still answered.
+    RELAY_DIED = 5  # The relay's process died, or packets now go to another relay.
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenfold_lab/spec.py
+++ b/glenfold_lab/spec.py
@@ -77,7 +77,7 @@
 
     count: Count = 12
     kinds: Annotated[tuple[ServerKind, ...], Meta(min_length=1)] = (ServerKind(),)
-    zone_shares: tuple[Positive, ...] | None = None  # None: evenly over the zones
+    zone_shares: tuple[Positive, ...] | None = None  # None spreads the servers evenly over the zones.
     cell_size: Count = 4
     group_cost: Range = 2.0  # The load of a group at a server, in mean loads of a connection.
     error_rate: Range = 0.0  # The share of set-ups that a server answers with ERR.
@@ -229,21 +229,21 @@
 
 
 FaultKind = Literal[
-    "neighbour",  # takes `size` of the cores of `part` of the servers, intermittently
-    "shrink",  # the fleet shrinks to 1 / `size`: servers drain, over `over_s`, and end
-    "drain",  # `part` (or `count`) of the servers drain and end; with `replace`, others start
-    "restart_servers",  # `part` of the servers end at once and start again cold
-    "start_servers",  # `count` new servers start cold
-    "server_crash",  # processes die: connections are reset, new ones refused
-    "server_vanish",  # machines stop answering; nothing signals their end
-    "server_jam",  # set-ups and messages hang; work queues up for `len_s`
-    "zone_loss",  # all servers (and relays, with `relays`) of `zone` are cut off for `len_s`
-    "relay_crash",  # `part` of the relays die and start again with their last list
-    "relay_restart",  # planned: SIGTERM, one by one over `over_s`
-    "relay_stall",  # processes are stopped for `len_s`, then continue
-    "reconnect",  # `size` of the clients disconnect and return within `over_s`
-    "list_silent",  # the list sends nothing for `len_s`
-    "flap",  # `part` of the servers drain and return repeatedly, every `every_s`
+    "neighbour",  # Another load takes `size` of the cores of `part` of the servers, on and off.
+    "shrink",  # The fleet shrinks to 1 / `size`: servers drain, over `over_s`, and end.
+    "drain",  # `part` (or `count`) of the servers drain and end; with `replace`, others start.
+    "restart_servers",  # `part` of the servers end at once and start again cold.
+    "start_servers",  # `count` new servers start cold.
+    "server_crash",  # Server processes die: connections are reset, new ones refused.
+    "server_vanish",  # Server machines stop answering; nothing signals their end.
+    "server_jam",  # Set-ups and messages hang; work queues up for `len_s`.
+    "zone_loss",  # All servers (and relays, with `relays`) of `zone` are cut off for `len_s`.
+    "relay_crash",  # `part` of the relays die and start again with their last list.
+    "relay_restart",  # Relays are restarted as planned: SIGTERM, one by one over `over_s`.
+    "relay_stall",  # Relay processes are stopped for `len_s`, then continue.
+    "reconnect",  # `size` of the clients disconnect and return within `over_s`.
+    "list_silent",  # The list sends nothing for `len_s`.
+    "flap",  # `part` of the servers drain and return repeatedly, every `every_s`.
 ]
 
 
