--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -55,7 +55,7 @@
     async def bind(self) -> Places:
         places = await super().bind()
         for server in self._servers.values():
-            server.holder.seal = None
+            server.process.seal = None
         return places
 
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -30,13 +30,13 @@
 import click
 import trio
 
-from glenfold_lab.stand_ins.agent import Agent, Entry, Holding, whole_list
+from glenfold_lab.stand_ins.agent import Agent, Entry, ListState, full_list_document
 from glenfold_lab.stand_ins.lateness import percentile
 from glenfold_lab.stand_ins.machine_clock import MachineClock
-from glenfold_lab.stand_ins.ping import Ping, ping
+from glenfold_lab.stand_ins.ping import PingResult, ping
 from glenfold_lab.stand_ins.relays import free_address
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import Address, bind, take, written
+from glenfold_lab.stand_ins.sockets import Address, bind, format_address, send_all
 
 SERVERS = 16
 CLIENTS = 100
@@ -61,7 +61,7 @@
         self.at: dict[bytes, float] = {}
         self._listeners = [bind("127.0.0.1") for _ in range(SERVERS)]
         self.entries = [
-            Entry(f"s-{n}", n, written(listener.getsockname()), "here", "m", 1, 1.0)
+            Entry(f"s-{n}", n, format_address(listener.getsockname()), "here", "m", 1, 1.0)
             for n, listener in enumerate(self._listeners)
         ]
 
@@ -80,7 +80,7 @@
             line = await sock.recv(4096)
             self.at.setdefault(line.split(b" ", 2)[1], time.monotonic())
             await trio.sleep(SET_UP_S)
-            await take(sock, b"UP r\r\n")
+            await send_all(sock, b"UP r\r\n")
             await sock.recv(1)
 
 
@@ -99,8 +99,8 @@
         self.listen = free_address("127.0.0.1")
         document = {
             "name": folder.name,
-            "listen": written(self.listen),
-            "discovery": written(discovery),
+            "listen": format_address(self.listen),
+            "discovery": format_address(discovery),
             "seed": "1f",
             "limits": {"cores": cores},
             "known": known,
@@ -132,7 +132,7 @@
             return 0.0
 
     async def until_ready(self) -> None:
-        while await ping(self.listen) is not Ping.ANSWERED:
+        while await ping(self.listen) is not PingResult.ANSWERED:
             if self.process.poll() is not None:
                 raise click.ClickException("a relay has ended")
             await trio.sleep(LOOK_S)
@@ -185,7 +185,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await sock.connect(relay.listen)
         sent[name] = time.monotonic()
-        await take(sock, b"OPEN %s %x c=watch,t=all,d=3000\r\n" % (name, number * 2654435761))
+        await send_all(sock, b"OPEN %s %x c=watch,t=all,d=3000\r\n" % (name, number * 2654435761))
         await sock.recv(4096)
         await trio.sleep_forever()
 
@@ -196,9 +196,9 @@
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
             await arrivals.serve(nursery)
-            agent = Agent(range(count), "127.0.0.1", Holding(1, arrivals.entries), Seen(), MachineClock())
+            agent = Agent(range(count), "127.0.0.1", ListState(1, arrivals.entries), Seen(), MachineClock())
             await nursery.start(agent.serve)
-            known = whole_list(1, arrivals.entries)
+            known = full_list_document(1, arrivals.entries)
             relays = [
                 Started(root, Path(folder, f"n{n}"), agent.address, known, share, core) for n in range(count)
             ]
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -29,7 +29,7 @@
 from glenfold_lab.observe import Capacity, Final, Over, Recorder, Told, replay
 from glenfold_lab.spec import Rules
 from glenfold_lab.stand_ins.relays import ROOT, free_address
-from glenfold_lab.stand_ins.sockets import Address, written
+from glenfold_lab.stand_ins.sockets import Address, format_address
 
 NAME = "cardiff-1"
 SERVER = 1
@@ -213,7 +213,7 @@
 def write(folder: Path, address: Address, server: Address) -> None:
     entry = {
         "host": "push-1",
-        "dial": written(("127.0.0.1", server[1])),
+        "dial": format_address(("127.0.0.1", server[1])),
         "site": "cardiff",
         "class": "m",
         "block": 0,
@@ -226,7 +226,7 @@
         json.dumps(
             {
                 "name": NAME,
-                "listen": written(address),
+                "listen": format_address(address),
                 "discovery": "127.0.0.1:9",
                 "seed": "1f",
                 "known": known,
--- a/glenfold_lab/scale/control_links.py
+++ b/glenfold_lab/scale/control_links.py
@@ -10,7 +10,7 @@
 
 from glenfold.config import Address
 from glenfold_lab.scale.driven_process import DrivenProcess
-from glenfold_lab.stand_ins.sockets import SocketType, bind, end_now, take
+from glenfold_lab.stand_ins.sockets import SocketType, bind, reset_on_close, send_all
 
 HOST = "127.0.0.1"
 BACKLOG = 256
@@ -86,20 +86,20 @@
             try:
                 await far.connect(plan.target)
             except OSError:
-                end_now(near)
+                reset_on_close(near)
                 return
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_pass_on, near, far, gate, nursery.cancel_scope)
                 nursery.start_soon(_pass_on, far, near, gate, nursery.cancel_scope)
-            end_now(near)
-            end_now(far)
+            reset_on_close(near)
+            reset_on_close(far)
 
 
 async def _pass_on(come: SocketType, go: SocketType, gate: _Gate, both: trio.CancelScope) -> None:
     with suppress(OSError):
         while data := await come.recv(MOST_READ):
             await gate.passed()
-            await take(go, data)
+            await send_all(go, data)
     await gate.passed()  # the other end hears of the end no sooner than of all else
     both.cancel()
 
--- a/glenfold_lab/scale/control_processes.py
+++ b/glenfold_lab/scale/control_processes.py
@@ -16,7 +16,7 @@
 
 from glenfold.config import Address
 from glenfold_lab.scale.control_topology import ControlProcess, Topology
-from glenfold_lab.stand_ins.sockets import written
+from glenfold_lab.stand_ins.sockets import format_address
 
 COMMAND = (sys.executable, "-m", "glenfold", "replica")
 READY_S = 30.0
@@ -30,7 +30,7 @@
 
 def replica_file(process: ControlProcess, addresses: Mapping[str, Address], zones: Mapping[str, str]) -> str:
     """Its operators' file. `zones`: of the processes by name, where they have one."""
-    replica: dict[str, Any] = {"name": process.name, "listen": written(process.address)}
+    replica: dict[str, Any] = {"name": process.name, "listen": format_address(process.address)}
     if process.zone:
         replica["zone"] = process.zone
     replica["region"] = process.region
@@ -40,7 +40,7 @@
 
 
 def _parent(name: str, addresses: Mapping[str, Address], zones: Mapping[str, str]) -> dict[str, str]:
-    parent = {"address": written(addresses[name])}
+    parent = {"address": format_address(addresses[name])}
     return parent | ({"zone": zones[name]} if zones.get(name) else {})
 
 
--- a/glenfold_lab/scale/control_relays.py
+++ b/glenfold_lab/scale/control_relays.py
@@ -16,7 +16,7 @@
 from glenfold_lab.scale.placement_probe import NOBODY, PlacementProbe, PushServers
 from glenfold_lab.scale.relay_lists import RELAY_SETTINGS, KeyFinder, Watched
 from glenfold_lab.scale.server_lists import FIRST_SEQ, ZONES, ServerFleet
-from glenfold_lab.stand_ins.agent import whole_list
+from glenfold_lab.stand_ins.agent import full_list_document
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.relays import Limits, RelayProcess, free_address
 from glenfold_lab.stand_ins.seen import Seen
@@ -144,7 +144,7 @@
                 MachineClock(),
             )
             self._relays.append(relay)
-            relay.start(whole_list(FIRST_SEQ, entries), self.seed + number)
+            relay.start(full_list_document(FIRST_SEQ, entries), self.seed + number)
             await relay.ready()
 
     async def _crash(self) -> None:
--- a/glenfold_lab/scale/control_source.py
+++ b/glenfold_lab/scale/control_source.py
@@ -12,7 +12,7 @@
 from glenfold_lab.observe import Told
 from glenfold_lab.scale.driven_process import DrivenProcess
 from glenfold_lab.scale.hollow_list import GONE, digest, stamp
-from glenfold_lab.stand_ins.agent import Agent, Change, Entry, Holding
+from glenfold_lab.stand_ins.agent import Agent, Change, Entry, ListState
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.seen import Seen
 
@@ -63,12 +63,12 @@
     """What a source had when. `history`: all revisions, in their order."""
 
     def __init__(self, revision: int, at_us: int, entries: Sequence[Entry]) -> None:
-        self._stamps = {entry.host: stamp(entry.plain()) for entry in entries}
+        self._stamps = {entry.host: stamp(entry.to_dict()) for entry in entries}
         self._digest = digest(self._stamps.values())
         self.history = [Revision(revision, at_us, {}, {}, self._digest, 0)]
 
     def add(self, revision: int, at_us: int, entries: Sequence[Entry]) -> None:
-        stamps = {entry.host: stamp(entry.plain()) for entry in entries}
+        stamps = {entry.host: stamp(entry.to_dict()) for entry in entries}
         before = {host: self._stamps.get(host, GONE) for host in stamps}
         for host, new in stamps.items():
             self._digest ^= self._stamps.pop(host, GONE) ^ new
@@ -83,7 +83,7 @@
         self._pipe = pipe
         self._clock = MachineClock()
         self._by_number = dict(enumerate(entries))
-        self._holding = Holding(FIRST_REVISION, entries)
+        self._holding = ListState(FIRST_REVISION, entries)
         # No relay is named, so nothing is kept of what was told to whom: the watchers judge that.
         self._agent = Agent((), HOST, self._holding, Seen(), self._clock)
         self._ledger = Ledger(FIRST_REVISION, self._clock.now_us(), entries)
@@ -107,11 +107,11 @@
         if isinstance(command, History):
             return self._ledger.history
         if isinstance(command, Reset):
-            self._agent.cut()
+            self._agent.reset_connections()
         elif command.speaks:
-            self._agent.speak()
+            self._agent.unmute()
         else:
-            self._agent.go_quiet()
+            self._agent.mute()
         return None
 
     def _publish(self, command: Publish) -> int:
@@ -119,7 +119,7 @@
         entries = tuple(self._changed(number, command.state, born_ms) for number in command.servers)
         revision = self._holding.seq + 1
         at_us = self._clock.now_us()
-        self._agent.take(Change(revision, entries))
+        self._agent.apply(Change(revision, entries))
         self._ledger.add(revision, at_us, entries)
         return revision
 
--- a/glenfold_lab/scale/list_agent.py
+++ b/glenfold_lab/scale/list_agent.py
@@ -6,7 +6,7 @@
 import trio
 
 from glenfold_lab.scale.worker import Requests
-from glenfold_lab.stand_ins.agent import Agent, Change, Entry, Holding
+from glenfold_lab.stand_ins.agent import Agent, Change, Entry, ListState
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.seen import Seen
 
@@ -38,7 +38,7 @@
     if (begin := await requests.next()) is None:
         return
     assert isinstance(begin, Begin)
-    agent = Agent((), HOST, Holding(begin.seq, begin.entries), Seen(), MachineClock())
+    agent = Agent((), HOST, ListState(begin.seq, begin.entries), Seen(), MachineClock())
     async with trio.open_nursery() as nursery:
         await nursery.start(agent.serve)
         requests.answer(agent.address)
@@ -52,7 +52,7 @@
         case Take(changes):
             at = time.monotonic()
             for change in changes:
-                agent.take(change)
+                agent.apply(change)
             requests.answer(at)
         case TellSent():
             requests.answer(agent.sent_bytes)
--- a/glenfold_lab/scale/list_costs.py
+++ b/glenfold_lab/scale/list_costs.py
@@ -18,7 +18,7 @@
 from glenfold_lab.observe import Told
 from glenfold_lab.scale.measurements import Point
 from glenfold_lab.scale.server_lists import SETTINGS, ChangeScript, ServerFleet
-from glenfold_lab.stand_ins.agent import Holding
+from glenfold_lab.stand_ins.agent import ListState
 from linnetspread import Balancer
 from linnetspread import interface as i
 
@@ -147,7 +147,7 @@
         self._effort = effort
         self._new_follower = new_follower
         self._fleet = ServerFleet.drawn(servers, seed)
-        self._holding = Holding(1, self._fleet.entries)
+        self._holding = ListState(1, self._fleet.entries)
         self._script = ChangeScript()
         self._draws = random.Random(seed)
 
--- a/glenfold_lab/scale/loop_watch.py
+++ b/glenfold_lab/scale/loop_watch.py
@@ -8,7 +8,7 @@
 import trio
 
 from glenfold_lab.scale.worker import Requests
-from glenfold_lab.stand_ins.sockets import Address, take
+from glenfold_lab.stand_ins.sockets import Address, send_all
 
 PAUSE_S = 0.005  # from one answer to the next PING
 CONNECTION_S = 1.0  # a relay gives a client 2 s for its first request
@@ -65,7 +65,7 @@
             until = time.monotonic() + CONNECTION_S
             while time.monotonic() < until:
                 asked_at = time.monotonic()
-                await take(sock, b"PING\r\n")
+                await send_all(sock, b"PING\r\n")
                 try:
                     answer = await sock.recv(len(PONG))
                 finally:  # one that is cut short by the end of the watch counts as far as it went
--- a/glenfold_lab/scale/measured_relay.py
+++ b/glenfold_lab/scale/measured_relay.py
@@ -9,12 +9,12 @@
 import psutil  # type: ignore[import-untyped]
 import trio
 
-from glenfold_lab.stand_ins.agent import Agent, Entry, Holding, whole_list
+from glenfold_lab.stand_ins.agent import Agent, Entry, ListState, full_list_document
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.places import AGENTS, RELAYS, Net
 from glenfold_lab.stand_ins.relays import Limits, RelayProcess, ended_in_the_end, free_address
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import Address, written
+from glenfold_lab.stand_ins.sockets import Address, format_address
 
 ZONE, KIND, CLASS = "one", "plain", "watch"
 WAIT_US = 3_000_000  # of a client, for its UP; the relay keeps a timer for each request as long, also once up
@@ -54,7 +54,7 @@
     """Ready when it comes, and gone with the block. `sockets`: descriptors that it may have."""
     net, seen, clock = Net(), Seen(), MachineClock()
     entries = [_entry(number, address) for number, address in enumerate(push_servers)]
-    agent = Agent([0], net.host(AGENTS, 0), Holding(1, entries), seen, clock)
+    agent = Agent([0], net.host(AGENTS, 0), ListState(1, entries), seen, clock)
     relay = RelayProcess(
         0,
         "measured",
@@ -68,11 +68,11 @@
     )
     async with trio.open_nursery() as nursery, ended_in_the_end([relay]):
         await nursery.start(agent.serve)
-        relay.start(whole_list(1, entries), seed=1)
+        relay.start(full_list_document(1, entries), seed=1)
         await relay.ready()
         yield MeasuredRelay(relay.listen, psutil.Process(relay.process_id), relay.log)
         nursery.cancel_scope.cancel()
 
 
 def _entry(number: int, address: Address) -> Entry:
-    return Entry(f"s-{number}", number, written(address), ZONE, KIND, number, 1.0)
+    return Entry(f"s-{number}", number, format_address(address), ZONE, KIND, number, 1.0)
--- a/glenfold_lab/scale/placement_probe.py
+++ b/glenfold_lab/scale/placement_probe.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from glenfold_lab.stand_ins.sockets import Address, SocketType, bind, finish, take, written
+from glenfold_lab.stand_ins.sockets import Address, SocketType, bind, format_address, send_all, shutdown_send
 
 HOST = "127.0.0.1"
 BACKLOG = 256
@@ -26,7 +26,7 @@
 
     def dial(self, name: str) -> str:
         """HOST:PORT at which discovery should list this server."""
-        return written(self._listeners.get(name, self._listeners[NOBODY]).getsockname())
+        return format_address(self._listeners.get(name, self._listeners[NOBODY]).getsockname())
 
     async def serve(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -43,10 +43,10 @@
         """Up at once, and over when the client has ended its side."""
         with sock, suppress(OSError):
             if await sock.recv(CHUNK):
-                await take(sock, f"UP {name}\r\n".encode())
+                await send_all(sock, f"UP {name}\r\n".encode())
                 while await sock.recv(CHUNK):
                     pass
-                await take(sock, b"BYE\r\n")
+                await send_all(sock, b"BYE\r\n")
 
 
 class PlacementProbe:
@@ -59,9 +59,9 @@
         with trio.socket.socket() as sock:
             await sock.connect(relay)
             line = f"OPEN {next(self._ids):x} {key:x} c=watch,t=all,d={WAIT_MS}\r\n"
-            await take(sock, line.encode())
+            await send_all(sock, line.encode())
             word, _, name = (await sock.recv(CHUNK)).decode().rstrip().partition(" ")
-            finish(sock)
+            shutdown_send(sock)
             while await sock.recv(CHUNK):
                 pass
         if word != "UP":
--- a/glenfold_lab/scale/relay_lists.py
+++ b/glenfold_lab/scale/relay_lists.py
@@ -26,7 +26,7 @@
 from glenfold_lab.scale.placement_probe import PlacementProbe, PushServers
 from glenfold_lab.scale.server_lists import FIRST_SEQ, SETTINGS, ZONES, ChangeScript, ServerFleet
 from glenfold_lab.scale.worker import Worker
-from glenfold_lab.stand_ins.agent import Change, Entry, whole_list
+from glenfold_lab.stand_ins.agent import Change, Entry, full_list_document
 from glenfold_lab.stand_ins.lateness import percentile
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.relays import Limits, RelayProcess, ended_in_the_end, free_address
@@ -152,7 +152,7 @@
             self._relays = [self._relay(number, address) for number in range(self._terms.relays)]
             async with ended_in_the_end(self._relays), trio.open_nursery() as nursery:
                 nursery.start_soon(self._push_servers.serve)
-                await self._starts("relay.ready", whole_list(FIRST_SEQ, self._fleet.entries))
+                await self._starts("relay.ready", full_list_document(FIRST_SEQ, self._fleet.entries))
                 await self._starts("relay.ready_without_list", {})
                 await trio.sleep(self._terms.settle_s)
                 self._add("relay.list.memory", "MB", max(map(resident_mb, self._processes())))
--- a/glenfold_lab/soak/disturbance.py
+++ b/glenfold_lab/soak/disturbance.py
@@ -13,7 +13,7 @@
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.relays import RelayProcess
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import end_now
+from glenfold_lab.stand_ins.sockets import reset_on_close
 
 LOOK_S = 0.05
 CROWD = SOCKETS + 40  # idle clients
@@ -95,7 +95,7 @@
             await trio.sleep(CROWD_LASTS_S)
         finally:
             for sock in sockets:
-                end_now(sock)
+                reset_on_close(sock)
                 sock.close()
 
 
--- a/glenfold_lab/stand_ins/agent.py
+++ b/glenfold_lab/stand_ins/agent.py
@@ -16,13 +16,13 @@
 from glenfold_lab.observe import Told
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import Address, SocketType, bind, end_now, take
+from glenfold_lab.stand_ins.sockets import Address, SocketType, bind, reset_on_close, send_all
 
 BACKLOG = 64
-CHUNK = 16 * 1024
-STILL_S = 2.0  # an empty line goes out when there was nothing for so long
-REMEMBERED = 4096  # changes; who asks for older ones gets the whole list
-HEALTH = {Told.READY: "in_service", Told.DRAINING: "terminating", Told.GONE: "terminated"}
+READ_BYTES = 16 * 1024
+KEEPALIVE_S = 2.0  # an empty line goes out when there was nothing for so long
+MAX_REPLAYED_CHANGES = 4096  # changes; who asks for older ones gets the whole list
+HEALTH_BY_STATE = {Told.READY: "in_service", Told.DRAINING: "terminating", Told.GONE: "terminated"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,14 +41,14 @@
     born_ms: int = 0
     started_us: int = 0
 
-    def plain(self) -> dict[str, object]:
+    def to_dict(self) -> dict[str, object]:
         return {
             "host": self.host,
             "dial": self.dial,
             "site": self.site,
             "class": self.kind,
             "block": self.block,
-            "health": HEALTH[self.state],
+            "health": HEALTH_BY_STATE[self.state],
             "share": self.share,
             "born_ms": self.born_ms,
         }
@@ -65,17 +65,17 @@
         return _document(self.seq, False, self.entries) + b"\n"
 
 
-def whole_list(seq: int, entries: Sequence[Entry]) -> dict[str, object]:
+def full_list_document(seq: int, entries: Sequence[Entry]) -> dict[str, object]:
     """In discovery's form; a relay's `known` has it too."""
-    return {"seq": seq, "whole": True, "hosts": [entry.plain() for entry in entries]}
+    return {"seq": seq, "whole": True, "hosts": [entry.to_dict() for entry in entries]}
 
 
 def _document(seq: int, whole: bool, entries: Sequence[Entry]) -> bytes:
-    document = {"seq": seq, "whole": whole, "hosts": [entry.plain() for entry in entries]}
+    document = {"seq": seq, "whole": whole, "hosts": [entry.to_dict() for entry in entries]}
     return json.dumps(document, separators=(",", ":")).encode()
 
 
-class Holding:
+class ListState:
     """The list as an agent has been sent it, without I/O. `sent` is what watches carry, in the order in which
     it came, repeats included."""
 
@@ -83,41 +83,47 @@
         self.seq = seq
         self.entries = {entry.host: entry for entry in entries}
         self.sent: list[Change] = []
-        self._since: dict[str, int] = {}
-        self._first = seq
+        self._last_seqs: dict[str, int] = {}
+        self._first_seq = seq
 
-    def take(self, change: Change) -> None:
+    def apply(self, change: Change) -> None:
         """A change that comes late does not undo a newer one of the same server."""
         self.sent.append(change)
         for entry in change.entries:
-            if change.seq < self._since.get(entry.host, 0):
+            if change.seq < self._last_seqs.get(entry.host, 0):
                 continue
-            self._since[entry.host] = change.seq
+            self._last_seqs[entry.host] = change.seq
             if entry.state is Told.GONE:
                 self.entries.pop(entry.host, None)
             else:
                 self.entries[entry.host] = entry
         self.seq = max(self.seq, change.seq)
 
-    def newest(self, change: Change) -> list[Entry]:
+    def current_entries(self, change: Change) -> list[Entry]:
         """Those of its entries that no later change has replaced."""
-        return [entry for entry in change.entries if change.seq >= self._since.get(entry.host, 0)]
+        return [entry for entry in change.entries if change.seq >= self._last_seqs.get(entry.host, 0)]
 
     def whole(self) -> bytes:
         return _document(self.seq, True, tuple(self.entries.values()))
 
-    def after(self, seq: int, upto: int | None) -> bytes:
+    def first_watch_line(self, seq: int, sent_count: int | None) -> bytes:
         """The first line of a watch from that version. `upto`: how much of `sent` its relay has with it; None
         if only the version tells."""
-        if not self._first <= seq <= self.seq or (upto is None and len(self.sent) > REMEMBERED):
+        if not self._first_seq <= seq <= self.seq or (
+            sent_count is None and len(self.sent) > MAX_REPLAYED_CHANGES
+        ):
             return self.whole() + b"\n"
-        news = self.sent[upto:] if upto is not None else [change for change in self.sent if change.seq > seq]
-        newest = {
+        missing = (
+            self.sent[sent_count:]
+            if sent_count is not None
+            else [change for change in self.sent if change.seq > seq]
+        )
+        current_entries = {
             entry.host: entry
-            for change in sorted(news, key=lambda change: change.seq)
+            for change in sorted(missing, key=lambda change: change.seq)
             for entry in change.entries
         }
-        return _document(self.seq, False, tuple(newest.values())) + b"\n"
+        return _document(self.seq, False, tuple(current_entries.values())) + b"\n"
 
 
 class Agent:
@@ -127,24 +133,24 @@
     at once if none is open. Without relays nothing is counted, which takes a look at every watch."""
 
     def __init__(
-        self, relays: Sequence[int], host: str, holding: Holding, seen: Seen, clock: MachineClock
+        self, relays: Sequence[int], host: str, list_state: ListState, seen: Seen, clock: MachineClock
     ) -> None:
         self.relays = tuple(relays)
-        self.holding = holding
+        self.list_state = list_state
         self._host = host
         self._seen = seen
         self._clock = clock
         self._listener = bind(host)
         self.address: Address = self._listener.getsockname()
         self._watches: dict[SocketType, int] = {}  # of each watch, how much of `holding.sent` it has carried
-        self._open: dict[SocketType, None] = {}
-        self._news = trio.Event()
-        self._told = 0  # of `holding.sent`, how much counts as told
-        self._found = True  # at its present address
-        self.quiet = False
+        self._sockets: dict[SocketType, None] = {}
+        self._change_event = trio.Event()
+        self._recorded = 0  # of `holding.sent`, how much counts as told
+        self._is_found = True  # at its present address
+        self.is_muted = False
         self.sent_bytes = 0  # to all relays
         self._nursery: trio.Nursery | None = None
-        self._accepting = trio.CancelScope()
+        self._accept_scope = trio.CancelScope()
 
     async def serve(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         try:
@@ -158,34 +164,34 @@
 
     # ---- what befalls it ----
 
-    def take(self, change: Change) -> None:
+    def apply(self, change: Change) -> None:
         """Discovery has sent it this."""
-        self.holding.take(change)
-        self._wake()
-        self._count_as_told()
+        self.list_state.apply(change)
+        self._notify_watches()
+        self._record_watched()
 
-    def go_quiet(self) -> None:
+    def mute(self) -> None:
         """It is there and says nothing, not even that nothing changed."""
-        self.quiet = True
+        self.is_muted = True
 
-    def speak(self) -> None:
-        self.quiet = False
-        self._wake()
-        self._count_as_told()
+    def unmute(self) -> None:
+        self.is_muted = False
+        self._notify_watches()
+        self._record_watched()
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Its open connections are reset."""
-        for sock in list(self._open):
-            end_now(sock)
+        for sock in list(self._sockets):
+            reset_on_close(sock)
             sock.close()
 
     def move(self, host: str | None = None) -> Address:
         """From now on it is at another address, and its old one refuses; open connections are reset. Nothing
         more counts as told by it until it has been asked there."""
-        self._found = False
-        self._accepting.cancel()
+        self._is_found = False
+        self._accept_scope.cancel()
         self._listener.close()
-        self.cut()
+        self.reset_connections()
         self._listener = bind(host or self._host)
         self.address = self._listener.getsockname()
         self._listen()
@@ -196,40 +202,40 @@
     def _listen(self) -> None:
         assert self._nursery is not None
         self._listener.listen(BACKLOG)
-        self._accepting = trio.CancelScope()
-        self._nursery.start_soon(self._accept, self._accepting, self._listener)
+        self._accept_scope = trio.CancelScope()
+        self._nursery.start_soon(self._accept, self._accept_scope, self._listener)
 
     async def _accept(self, scope: trio.CancelScope, listener: SocketType) -> None:
         assert self._nursery is not None
         with scope:
             while True:
                 sock, _ = await listener.accept()
-                self._nursery.start_soon(self._talk, sock)
+                self._nursery.start_soon(self._serve_connection, sock)
 
-    async def _talk(self, sock: SocketType) -> None:
-        self._open[sock] = None
+    async def _serve_connection(self, sock: SocketType) -> None:
+        self._sockets[sock] = None
         connection = h11.Connection(h11.SERVER)
         try:
             with suppress(OSError, trio.ClosedResourceError, h11.RemoteProtocolError):
-                upto: int | None = None
-                while (request := await self._request(connection, sock)) is not None:
-                    upto = await self._answer(connection, sock, request.target.decode(), upto)
+                sent_count: int | None = None
+                while (request := await self._read_request(connection, sock)) is not None:
+                    sent_count = await self._answer(connection, sock, request.target.decode(), sent_count)
                     if connection.our_state is not h11.DONE:
                         return
                     connection.start_next_cycle()
         finally:
-            self._open.pop(sock, None)
+            self._sockets.pop(sock, None)
             self._watches.pop(sock, None)
             sock.close()
-            self._count_as_told()  # it may have been the last that had not carried some change
+            self._record_watched()  # it may have been the last that had not carried some change
 
-    async def _request(self, connection: h11.Connection, sock: SocketType) -> h11.Request | None:
+    async def _read_request(self, connection: h11.Connection, sock: SocketType) -> h11.Request | None:
         """The next one, with its end; None when the relay has closed."""
         request = None
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                connection.receive_data(await sock.recv(CHUNK))
+                connection.receive_data(await sock.recv(READ_BYTES))
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.EndOfMessage):
@@ -238,74 +244,76 @@
                 return None
 
     async def _answer(
-        self, connection: h11.Connection, sock: SocketType, target: str, upto: int | None
+        self, connection: h11.Connection, sock: SocketType, target: str, sent_count: int | None
     ) -> int | None:
         """`upto`: how much of `holding.sent` was in the whole list that this connection had last."""
         path, _, query = target.partition("?")
-        asked = dict(pair.partition("=")[::2] for pair in query.split("&"))
-        while self.quiet:
-            await self._something_new(float("inf"))
+        parameters = dict(pair.partition("=")[::2] for pair in query.split("&"))
+        while self.is_muted:
+            await self._wait_for_change(float("inf"))
         if path != "/v1/servers":
-            missing = h11.Response(status_code=404, headers=[("Content-Length", "0")])
-            await self._send(connection, sock, missing, h11.EndOfMessage())
-        elif asked.get("watch") == "1":
-            await self._watch(connection, sock, int(asked.get("from", "0")), upto)
+            not_found = h11.Response(status_code=404, headers=[("Content-Length", "0")])
+            await self._send(connection, sock, not_found, h11.EndOfMessage())
+        elif parameters.get("watch") == "1":
+            await self._send_watch(connection, sock, int(parameters.get("from", "0")), sent_count)
         else:
-            return await self._whole(connection, sock)
-        return upto
+            return await self._send_full(connection, sock)
+        return sent_count
 
-    async def _whole(self, connection: h11.Connection, sock: SocketType) -> int:
-        body, upto = self.holding.whole(), len(self.holding.sent)
+    async def _send_full(self, connection: h11.Connection, sock: SocketType) -> int:
+        body, sent_count = self.list_state.whole(), len(self.list_state.sent)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         response = h11.Response(status_code=200, headers=headers)
         await self._send(connection, sock, response, h11.Data(data=body), h11.EndOfMessage())
-        self._found = True
-        self._tell_upto(upto)
-        return upto
+        self._is_found = True
+        self._record_up_to(sent_count)
+        return sent_count
 
-    async def _watch(
-        self, connection: h11.Connection, sock: SocketType, since: int, upto: int | None
+    async def _send_watch(
+        self, connection: h11.Connection, sock: SocketType, since: int, sent_count: int | None
     ) -> None:
         headers = [("Content-Type", "application/json"), ("Transfer-Encoding", "chunked")]
-        first, carried = self.holding.after(since, upto), len(self.holding.sent)
+        first, carried_count = self.list_state.first_watch_line(since, sent_count), len(self.list_state.sent)
         response = h11.Response(status_code=200, headers=headers)
         await self._send(connection, sock, response, h11.Data(data=first))
         while True:
-            self._watches[sock] = carried
-            self._count_as_told()
-            still_until = trio.current_time() + STILL_S
-            if self.quiet or carried == len(self.holding.sent):  # more may have come while it was writing
-                await self._something_new(still_until)
-            if self.quiet:
+            self._watches[sock] = carried_count
+            self._record_watched()
+            keepalive_at = trio.current_time() + KEEPALIVE_S
+            if self.is_muted or carried_count == len(
+                self.list_state.sent
+            ):  # more may have come while it was writing
+                await self._wait_for_change(keepalive_at)
+            if self.is_muted:
                 continue
-            lines, carried = self.holding.sent[carried:], len(self.holding.sent)
+            lines, carried_count = self.list_state.sent[carried_count:], len(self.list_state.sent)
             for change in lines:
                 await self._send(connection, sock, h11.Data(data=change.line()))
-            if not lines and trio.current_time() >= still_until:
+            if not lines and trio.current_time() >= keepalive_at:
                 await self._send(connection, sock, h11.Data(data=b"\n"))
 
-    async def _something_new(self, until: float) -> None:
+    async def _wait_for_change(self, until: float) -> None:
         with trio.move_on_at(until):
-            await self._news.wait()
+            await self._change_event.wait()
 
     async def _send(self, connection: h11.Connection, sock: SocketType, *events: h11.Event) -> None:
         data = b"".join(connection.send(event) or b"" for event in events)
-        await take(sock, data)
+        await send_all(sock, data)
         self.sent_bytes += len(data)
 
-    def _wake(self) -> None:
-        news, self._news = self._news, trio.Event()
-        news.set()
+    def _notify_watches(self) -> None:
+        event, self._change_event = self._change_event, trio.Event()
+        event.set()
 
-    def _count_as_told(self) -> None:
+    def _record_watched(self) -> None:
         """What every open watch has carried; all, if none is open."""
-        if self.relays and self._found and not self.quiet:
-            self._tell_upto(min(self._watches.values(), default=len(self.holding.sent)))
+        if self.relays and self._is_found and not self.is_muted:
+            self._record_up_to(min(self._watches.values(), default=len(self.list_state.sent)))
 
-    def _tell_upto(self, count: int) -> None:
+    def _record_up_to(self, count: int) -> None:
         now = self._clock.now_us()
-        for change in self.holding.sent[self._told : count]:
+        for change in self.list_state.sent[self._recorded : count]:
             for relay in self.relays:
-                for entry in self.holding.newest(change):
+                for entry in self.list_state.current_entries(change):
                     self._seen.told(now, relay, entry.number, entry.state, entry.started_us)
-        self._told = max(self._told, count)
+        self._recorded = max(self._recorded, count)
--- a/glenfold_lab/stand_ins/bad_clients.py
+++ b/glenfold_lab/stand_ins/bad_clients.py
@@ -5,53 +5,53 @@
 
 import trio
 
-from glenfold_lab.stand_ins.clients import Crowd
+from glenfold_lab.stand_ins.clients import ClientPool
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
-from glenfold_lab.stand_ins.ping import Ping, ping
-from glenfold_lab.stand_ins.sockets import SocketType, finish, take
+from glenfold_lab.stand_ins.ping import PingResult, ping
+from glenfold_lab.stand_ins.sockets import SocketType, send_all, shutdown_send
 
-WITHIN_US = 3 * SECOND_US
-SLACK_US = 50_000
-CHUNK = 4096
+TIME_LIMIT_US = 3 * SECOND_US
+TIME_TOLERANCE_US = 50_000
+READ_BYTES = 4096
 FLOOD = b"k" * 65536
 ANSWERS = (b"", b"ERR", b"BUSY")  # nothing but the end of the connection is an answer too
 
-Deed = Callable[[SocketType, Crowd, int], Awaitable[None]]
+Behaviour = Callable[[SocketType, ClientPool, int], Awaitable[None]]
 
 
-def _says(data: bytes, ends: bool = False) -> Deed:
-    async def say(sock: SocketType, crowd: Crowd, relay: int) -> None:
-        await take(sock, data)
-        if ends:
-            finish(sock)
+def _sends(data: bytes, half_closes: bool = False) -> Behaviour:
+    async def send(sock: SocketType, pool: ClientPool, relay: int) -> None:
+        await send_all(sock, data)
+        if half_closes:
+            shutdown_send(sock)
 
-    return say
+    return send
 
 
-async def _floods(sock: SocketType, crowd: Crowd, relay: int) -> None:
+async def _floods(sock: SocketType, pool: ClientPool, relay: int) -> None:
     while True:  # until the relay, or the end of its time, cuts it off
-        await take(sock, FLOOD)
+        await send_all(sock, FLOOD)
 
 
-async def _takes_an_id(sock: SocketType, crowd: Crowd, relay: int) -> None:
+async def _reuses_an_id(sock: SocketType, pool: ClientPool, relay: int) -> None:
     """That of a connection which stands at this relay, if one was begun there: one that goes on there comes
     under an id that may not be over where it was."""
     lines = [
         other.first_line
-        for other in crowd.standing
+        for other in pool.standing
         if other.relay == relay and not any(mark in other.first_line for mark in (b"mid=1", b"at="))
     ]
-    await take(sock, lines[0] if lines else b"OPEN\r\n")
+    await send_all(sock, lines[0] if lines else b"OPEN\r\n")
 
 
-KINDS: dict[str, Deed] = {
-    "speaks another protocol": _says(b"GET / HTTP/1.1\r\n\r\n"),
-    "is silent": _says(b""),
-    "names an unknown class": _says(b"OPEN 1 2 c=nobody-s,d=2000\r\n"),
-    "says half a line": _says(b"OPEN 1 2 c="),
-    "says half a line and ends": _says(b"OPEN 1 2 c=", ends=True),
-    "takes another's id": _takes_an_id,
-    "says a line without end": _says(b"x" * 5000),
+BEHAVIOURS: dict[str, Behaviour] = {
+    "speaks another protocol": _sends(b"GET / HTTP/1.1\r\n\r\n"),
+    "is silent": _sends(b""),
+    "names an unknown class": _sends(b"OPEN 1 2 c=nobody-s,d=2000\r\n"),
+    "says half a line": _sends(b"OPEN 1 2 c="),
+    "says half a line and ends": _sends(b"OPEN 1 2 c=", half_closes=True),
+    "takes another's id": _reuses_an_id,
+    "says a line without end": _sends(b"x" * 5000),
     "floods": _floods,
 }
 
@@ -59,55 +59,55 @@
 class BadClients:
     """One after another of each kind, `per_s` of them a second, over the relays in turn."""
 
-    def __init__(self, crowd: Crowd, per_s: float) -> None:
-        self._crowd = crowd
+    def __init__(self, pool: ClientPool, per_s: float) -> None:
+        self._pool = pool
         self._gap_us = round(SECOND_US / per_s)
 
-    async def come(self, until: int) -> None:
-        crowd, turn = self._crowd, 0
+    async def run(self, until: int) -> None:
+        pool, turn = self._pool, 0
         async with trio.open_nursery() as nursery:
-            for name, deed in cycle(KINDS.items()):
-                await crowd.clock.until(crowd.start + turn * self._gap_us)
-                if crowd.clock.now_us() >= until:
+            for name, behaviour in cycle(BEHAVIOURS.items()):
+                await pool.clock.until(pool.start + turn * self._gap_us)
+                if pool.clock.now_us() >= until:
                     return
-                admitted = [relay for relay in crowd.front.admitted if crowd.front.reaches(relay)]
+                admitted = [relay for relay in pool.front.admitted if pool.front.reaches(relay)]
                 if admitted:
-                    nursery.start_soon(self._one, name, deed, admitted[turn % len(admitted)])
+                    nursery.start_soon(self._run_one, name, behaviour, admitted[turn % len(admitted)])
                 turn += 1
 
-    async def _one(self, name: str, deed: Deed, relay: int) -> None:
-        crowd = self._crowd
-        due = crowd.clock.now_us() + WITHIN_US + SLACK_US
-        with trio.CancelScope(deadline=crowd.clock.to_trio(due)), trio.socket.socket() as sock:
+    async def _run_one(self, name: str, behaviour: Behaviour, relay: int) -> None:
+        pool = self._pool
+        due = pool.clock.now_us() + TIME_LIMIT_US + TIME_TOLERANCE_US
+        with trio.CancelScope(deadline=pool.clock.to_trio(due)), trio.socket.socket() as sock:
             try:
-                await sock.connect(crowd.front.address(relay))
+                await sock.connect(pool.front.address(relay))
             except OSError:
                 return
-            said = await self._until_its_end(sock, deed, relay)
-            if said.partition(b"\r\n")[0].partition(b" ")[0] not in ANSWERS:
-                self._fault(relay, f"a client that {name} was told {said[:60]!r}")
+            received = await self._read_to_end(sock, behaviour, relay)
+            if received.partition(b"\r\n")[0].partition(b" ")[0] not in ANSWERS:
+                self._fault(relay, f"a client that {name} was told {received[:60]!r}")
             return
         # A process that was stopped ends nobody.
-        if await ping(crowd.front.address(relay)) is Ping.ANSWERED:
+        if await ping(pool.front.address(relay)) is PingResult.ANSWERED:
             self._fault(relay, f"a client that {name} was not ended within 3 s")
 
-    async def _until_its_end(self, sock: SocketType, deed: Deed, relay: int) -> bytes:
-        said = b""
+    async def _read_to_end(self, sock: SocketType, behaviour: Behaviour, relay: int) -> bytes:
+        received = b""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._do, deed, sock, relay)
+            nursery.start_soon(self._behave, behaviour, sock, relay)
             try:
-                while data := await sock.recv(CHUNK):
-                    said = (said + data)[:CHUNK]
+                while data := await sock.recv(READ_BYTES):
+                    received = (received + data)[:READ_BYTES]
             except OSError:
                 pass
             nursery.cancel_scope.cancel()
-        return said
+        return received
 
-    async def _do(self, deed: Deed, sock: SocketType, relay: int) -> None:
+    async def _behave(self, behaviour: Behaviour, sock: SocketType, relay: int) -> None:
         try:
-            await deed(sock, self._crowd, relay)
+            await behaviour(sock, self._pool, relay)
         except OSError:  # the relay has ended it, which is read where its answer is
             return
 
     def _fault(self, relay: int, words: str) -> None:
-        self._crowd.seen.fault(self._crowd.clock.now_us(), relay, words)
+        self._pool.seen.fault(self._pool.clock.now_us(), relay, words)
--- a/glenfold_lab/stand_ins/daemons.py
+++ b/glenfold_lab/stand_ins/daemons.py
@@ -22,10 +22,10 @@
 from glenfold.daemon.ask import NoAnswer, ask
 from glenfold_lab.spec import Scenario
 from glenfold_lab.stand_ins.machine_clock import MachineClock
-from glenfold_lab.stand_ins.ping import Ping, ping
+from glenfold_lab.stand_ins.ping import PingResult, ping
 from glenfold_lab.stand_ins.relays import ROOT
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import Address, written
+from glenfold_lab.stand_ins.sockets import Address, format_address
 
 NAME = "fleet"
 LOOK_S = 0.02
@@ -64,7 +64,7 @@
         "format": 1,
         "instance": {"name": NAME, "folder": "state"},
         "limits": {"sockets": day.relays.sockets or 4096},
-        "list": {"discovery": written(discovery)},
+        "list": {"discovery": format_address(discovery)},
         "logging": {"form": "json"},
         "settings": {
             "classes": classes,
@@ -80,7 +80,7 @@
                 "fall_s": rules.fall_s,
             },
         },
-        "fleet": {"instances": len(listen), "addresses": [[written(address)] for address in listen]},
+        "fleet": {"instances": len(listen), "addresses": [[format_address(address)] for address in listen]},
     }
     for name, more in tables.items():
         document[name] = {**document.get(name, {}), **more}
@@ -242,7 +242,7 @@
 
     async def _pongs(self, relay: int) -> None:
         with trio.move_on_after(PATIENCE_S):
-            while await ping(self.listen[relay]) is not Ping.ANSWERED:
+            while await ping(self.listen[relay]) is not PingResult.ANSWERED:
                 await trio.sleep(LOOK_S)
             return
         raise NeverCame(f"relay {relay} is not ready")
--- a/glenfold_lab/stand_ins/fleet.py
+++ b/glenfold_lab/stand_ins/fleet.py
@@ -22,7 +22,7 @@
 from glenfold_lab.observe import Record, Watcher
 from glenfold_lab.results import Happened, RunResult
 from glenfold_lab.spec import Scenario
-from glenfold_lab.stand_ins.agent import Agent, Holding
+from glenfold_lab.stand_ins.agent import Agent, ListState
 from glenfold_lab.stand_ins.clients import Client
 from glenfold_lab.stand_ins.daemons import Daemons, ended_in_the_end, operators_file
 from glenfold_lab.stand_ins.judge import Judge
@@ -35,7 +35,7 @@
 from glenfold_lab.stand_ins.remote_part import RemotePart, remote
 from glenfold_lab.stand_ins.script import Script, draw
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.service import Second
+from glenfold_lab.stand_ins.service import SecondCounts
 from glenfold_lab.stand_ins.sockets import SocketType
 from glenfold_lab.streams import Streams
 
@@ -64,18 +64,18 @@
         one_s: float,
         relays: Sequence[int],
         host: str,
-        holding: Holding,
+        list_state: ListState,
         seen: Seen,
         clock: MachineClock,
     ) -> None:
-        super().__init__(relays, host, holding, seen, clock)
+        super().__init__(relays, host, list_state, seen, clock)
         self._one_s = one_s
         self._turn = trio.Lock()
 
-    async def _whole(self, connection: h11.Connection, sock: SocketType) -> int:
+    async def _send_full(self, connection: h11.Connection, sock: SocketType) -> int:
         async with self._turn:
             await trio.sleep(self._one_s)
-            return await super()._whole(connection, sock)
+            return await super()._send_full(connection, sock)
 
 
 @dataclass
@@ -87,13 +87,13 @@
     async def bind(self) -> Places:
         places, relays = await super().bind(), range(self.scenario.relays.count)
         self._servers = {
-            index: PushServer(server.holder, self._clock, [self.net.host(SERVERS, index)])
+            index: PushServer(server.process, self._clock, [self.net.host(SERVERS, index)])
             for index, server in self._servers.items()
         }
         places.servers = {index: server.addresses * len(relays) for index, server in self._servers.items()}
         if self._agents:
             agent = OneAtATime(
-                self.crowds.one_s, relays, self.net.host(AGENTS, 0), Holding(1, []), self.seen, self._clock
+                self.crowds.one_s, relays, self.net.host(AGENTS, 0), ListState(1, []), self.seen, self._clock
             )
             self._agents = {0: agent}
             places.agents = dict.fromkeys(relays, agent.address)
@@ -111,7 +111,7 @@
             coming.append(
                 replace(
                     like,
-                    stood=False,
+                    stood_before=False,
                     number=len(coming) + (n + 1 << 32),
                     at=begin,
                     until=begin + like.until - start,
@@ -332,7 +332,7 @@
         return cost
 
 
-def _nobody(second: Second) -> None:
+def _nobody(second: SecondCounts) -> None:
     """Nobody watches second by second."""
 
 
--- a/glenfold_lab/stand_ins/keeper.py
+++ b/glenfold_lab/stand_ins/keeper.py
@@ -6,7 +6,7 @@
 
 from glenfold_lab.model.draw import value
 from glenfold_lab.results import Happened
-from glenfold_lab.stand_ins.agent import whole_list
+from glenfold_lab.stand_ins.agent import full_list_document
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 from glenfold_lab.stand_ins.places import Places, Wording
 from glenfold_lab.stand_ins.relays import RelayProcess
@@ -54,7 +54,7 @@
                 nursery.start_soon(relay.ready)
 
     def _start(self, relay: RelayProcess, wording: Wording, at: int) -> None:
-        known = whole_list(*wording.known(relay.number, at))
+        known = full_list_document(*wording.known(relay.number, at))
         relay.start(known, int(self._seeds[relay.number].integers(1 << 63)))
 
     async def run(self, start: int) -> None:
--- a/glenfold_lab/stand_ins/lateness.py
+++ b/glenfold_lab/stand_ins/lateness.py
@@ -3,16 +3,16 @@
 import numpy as np
 import trio
 
-STEP_S = 0.01
-MOST_MS = 20.0  # at the 99th percentile: beyond it the stand-ins' own lateness colours what they saw
+CHECK_INTERVAL_S = 0.01
+MAX_P99_MS = 20.0  # at the 99th percentile: beyond it the stand-ins' own lateness colours what they saw
 
 
 class Lateness:
     """Looks every `step_s`; the figures are of the time since `run` began."""
 
-    def __init__(self, step_s: float = STEP_S) -> None:
+    def __init__(self, interval_s: float = CHECK_INTERVAL_S) -> None:
         self.ms: list[float] = []
-        self._step_s = step_s
+        self._step_s = interval_s
 
     async def run(self) -> None:
         due = trio.current_time()
--- a/glenfold_lab/stand_ins/outcome.py
+++ b/glenfold_lab/stand_ins/outcome.py
@@ -12,7 +12,7 @@
 from glenfold_lab.results import Happened, RunResult, Series, Verdict
 from glenfold_lab.spec import Scenario
 from glenfold_lab.stand_ins.judge import SLACK_US
-from glenfold_lab.stand_ins.lateness import MOST_MS, percentile
+from glenfold_lab.stand_ins.lateness import MAX_P99_MS, percentile
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
 from glenfold_lab.stand_ins.part import Report
 from glenfold_lab.stand_ins.script import Script
@@ -109,7 +109,7 @@
                 "rules_broken": float(broken),
                 "late_p99_ms": round(worst, 3),
                 "late_most_ms": round(max(late, default=0.0), 3),
-                "late": float(worst > MOST_MS),
+                "late": float(worst > MAX_P99_MS),
             }
         )
 
--- a/glenfold_lab/stand_ins/part.py
+++ b/glenfold_lab/stand_ins/part.py
@@ -22,19 +22,19 @@
 from glenfold_lab.model.world import LAST_ANSWERS_US
 from glenfold_lab.observe import Capacity, Record
 from glenfold_lab.spec import Scenario
-from glenfold_lab.stand_ins.agent import Agent, Holding
+from glenfold_lab.stand_ins.agent import Agent, ListState
 from glenfold_lab.stand_ins.bad_clients import BadClients
-from glenfold_lab.stand_ins.clients import Client, Crowd, clients_of
+from glenfold_lab.stand_ins.clients import Client, ClientPool, clients_from
 from glenfold_lab.stand_ins.front import SocketFront
-from glenfold_lab.stand_ins.lateness import STEP_S, Lateness
+from glenfold_lab.stand_ins.lateness import CHECK_INTERVAL_S, Lateness
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 from glenfold_lab.stand_ins.places import AGENTS, SERVERS, Net, Places, Wording
 from glenfold_lab.stand_ins.push_server import PushServer
-from glenfold_lab.stand_ins.push_states import ClassWork, Holder
+from glenfold_lab.stand_ins.push_states import ClassWork, ServerProcess
 from glenfold_lab.stand_ins.script import Deed, Script, draw
 from glenfold_lab.stand_ins.seal import Seal
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.service import Floats, Second, Served
+from glenfold_lab.stand_ins.service import Floats, SecondCounts, ServiceSeconds
 from glenfold_lab.streams import Streams
 
 STEP_US = SECOND_US // 4  # of the population, drawn at a time
@@ -89,14 +89,14 @@
     seed: int
     share: Share
     net: Net
-    look_s: float = STEP_S  # between two looks at its own lateness
+    look_s: float = CHECK_INTERVAL_S  # between two looks at its own lateness
     script: Script = field(init=False)
     seen: Seen = field(init=False)
     _clock: MachineClock = field(init=False)
     _servers: dict[int, PushServer] = field(init=False)
     _agents: dict[int, Agent] = field(init=False)
     _lateness: Lateness = field(init=False)
-    _crowd: Crowd | None = None
+    _crowd: ClientPool | None = None
     _clients: int = 0
     _loads: dict[str, list[float]] = field(default_factory=dict)
 
@@ -116,7 +116,7 @@
             for index in self.share.servers
         }
         self._agents = {
-            relay: Agent([relay], self.net.host(AGENTS, relay), Holding(1, []), self.seen, self._clock)
+            relay: Agent([relay], self.net.host(AGENTS, relay), ListState(1, []), self.seen, self._clock)
             for relay in self.share.agents
         }
         return Places(
@@ -125,7 +125,7 @@
         )
 
     async def play(
-        self, places: Places, begin: Callable[[], Awaitable[Times]], tell: Callable[[Second], None]
+        self, places: Places, begin: Callable[[], Awaitable[Times]], tell: Callable[[SecondCounts], None]
     ) -> None:
         """`begin` returns once all relays are up; `tell` hears of each second of the history."""
         self._list_first(places)
@@ -147,7 +147,7 @@
             nursery.start_soon(self._tell_seconds, times, tell)
             await self._clock.until(end_of(self.scenario, times))
             if self._crowd is not None:
-                self._crowd.close_books()
+                self._crowd.end_service_periods()
             nursery.cancel_scope.cancel()
 
     def report(self) -> Report:
@@ -169,7 +169,7 @@
     def _list_first(self, places: Places) -> None:
         wording = Wording(self.script, places, 0)  # nobody in the first list started of late
         for relay, agent in self._agents.items():
-            agent.holding = Holding(*wording.known(relay, 0))
+            agent.list_state = ListState(*wording.known(relay, 0))
 
     def _all_that_befalls(self, places: Places, times: Times) -> Iterator[Coroutine[Any, Any, None]]:
         yield self._do_deeds(times.start)
@@ -189,7 +189,7 @@
         for news in self.script.news:
             if news.relay in self._agents:
                 await self._clock.until(start + news.at)
-                self._agents[news.relay].take(wording.change(news))
+                self._agents[news.relay].apply(wording.change(news))
 
     async def _count_as_told(self, wording: Wording, start: int) -> None:
         for news in self.script.due:
@@ -201,20 +201,20 @@
 
     async def _be_quiet(self, agent: Agent, begin: int, end: int) -> None:
         await self._clock.until(begin)
-        agent.go_quiet()
+        agent.mute()
         await self._clock.until(end)
-        agent.speak()
+        agent.unmute()
 
     # ---- clients ----
 
-    def _make_crowd(self, places: Places, times: Times) -> Crowd:
+    def _make_crowd(self, places: Places, times: Times) -> ClientPool:
         assert self.share.clients is not None
         scenario, streams, which = self.scenario, Streams(self.seed), self.share.clients[0]
         zones = [self.script.network.zone_of(relay) for relay in range(scenario.relays.count)]
         front = SocketFront(
             zones, places.relays, scenario.front.notice_s, streams.of("stands", "front", which), self._clock
         )
-        return Crowd(
+        return ClientPool(
             scenario,
             Habits.of(scenario, streams),
             front,
@@ -226,7 +226,7 @@
             which,
             times.start,
             times.start + self.script.length,
-            Served(len(scenario.classes), times.start, self.script.length),
+            ServiceSeconds(len(scenario.classes), times.start, self.script.length),
         )
 
     def _draw_clients(self, start: int) -> tuple[list[Client], list[Client]]:
@@ -234,12 +234,12 @@
         assert self.share.clients is not None
         which, of = self.share.clients
         people = Population(self.scenario, self.script.fleet.terms, Streams(self.seed), start)
-        standing = list(clients_of(people.standing(), 0, True))
+        standing = list(clients_from(people.standing(), 0, True))
         if not self.scenario.relays.pass_through:  # else packets must go where the relays would send them
             self._choose_hosts(standing)
         coming: list[Client] = []
         for drawn in people.coming(STEP_US):
-            coming += clients_of(drawn, len(standing) + len(coming), False)
+            coming += clients_from(drawn, len(standing) + len(coming), False)
         return standing[which::of], coming[which::of]
 
     def _choose_hosts(self, standing: list[Client]) -> None:
@@ -249,15 +249,15 @@
         for client, place in zip(standing, places.tolist(), strict=True):
             client.host = self.script.first[place].host
 
-    async def _live(self, crowd: Crowd, times: Times) -> None:
+    async def _live(self, crowd: ClientPool, times: Times) -> None:
         standing, coming = self._draw_clients(times.start)
         self._clients = len(standing) + len(coming)
         admitted = trio.Event()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(crowd.front.watch, admitted)
             await admitted.wait()
-            nursery.start_soon(crowd.fill, standing, max(times.fill, self._clock.now_us()))
-            nursery.start_soon(crowd.come, coming)
+            nursery.start_soon(crowd.open_standing, standing, max(times.fill, self._clock.now_us()))
+            nursery.start_soon(crowd.run_arrivals, coming)
             for span in self.script.cut_off:
                 for relay in span.relays:
                     nursery.start_soon(
@@ -269,21 +269,21 @@
             nursery.start_soon(self._drop, crowd, times.start)
             if self.share.bad_per_s:
                 nursery.start_soon(
-                    BadClients(crowd, self.share.bad_per_s).come, times.start + self.script.length
+                    BadClients(crowd, self.share.bad_per_s).run, times.start + self.script.length
                 )
 
-    async def _cut_off(self, crowd: Crowd, relay: int, begin: int, end: int) -> None:
+    async def _cut_off(self, crowd: ClientPool, relay: int, begin: int, end: int) -> None:
         await self._clock.until(begin)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(crowd.front.cut_off, relay, end)
             await trio.lowlevel.checkpoint()
             crowd.cut_off(relay)
 
-    async def _retire(self, crowd: Crowd, relay: int, at: int) -> None:
+    async def _retire(self, crowd: ClientPool, relay: int, at: int) -> None:
         await self._clock.until(at)
         await crowd.front.retire(relay)
 
-    async def _drop(self, crowd: Crowd, start: int) -> None:
+    async def _drop(self, crowd: ClientPool, start: int) -> None:
         assert self.share.clients is not None
         random = Streams(self.seed).of("stands", "drops", self.share.clients[0])
         for drop in self.script.drops:
@@ -292,14 +292,14 @@
 
     # ---- second by second ----
 
-    async def _tell_seconds(self, times: Times, tell: Callable[[Second], None]) -> None:
+    async def _tell_seconds(self, times: Times, tell: Callable[[SecondCounts], None]) -> None:
         for second in range(math.ceil(self.script.length / SECOND_US)):
             await self._clock.until(times.start + (second + 1) * SECOND_US)
             for server in self._servers.values():
-                self._loads.setdefault(server.holder.host, []).append(server.load())
+                self._loads.setdefault(server.process.host, []).append(server.load())
             if self._crowd is None:
                 continue
-            now, self._crowd.now = self._crowd.now, Second(second + 1)
+            now, self._crowd.current_second = self._crowd.current_second, SecondCounts(second + 1)
             now.second, now.standing = second, len(self._crowd.standing)
             tell(now)
 
@@ -320,11 +320,11 @@
         case "send_away":
             server.send_away(int(deed.value))
         case "cut":
-            server.cut(deed.relays, ended=bool(deed.value))
+            server.cut_off(deed.relays, ended=bool(deed.value))
         case "take_away":
             server.take_away(deed.value)
         case "jam":
-            server.jam(bool(deed.value))
+            server.set_overloaded(bool(deed.value))
         case "end" | "drain" | "undrain" | "come_back":
             getattr(server, deed.what)()
 
@@ -352,14 +352,14 @@
             for n, kind in enumerate(scenario.classes)
         }
 
-    def holder(self, machine: Machine) -> Holder:
+    def holder(self, machine: Machine) -> ServerProcess:
         fleet, network = self._script.fleet, self._script.network
         messages = Messages(network, [])
         messages.add_server(machine)
         fluid = Server(machine, fleet.terms.mean_load, fleet.table_tax, self._group_load)
         zones = [network.zone_of(relay) for relay in range(self._script.scenario.relays.count)]
         ways = tuple(2 * network.delay_us(zone, machine.zone) for zone in zones)
-        return Holder(
+        return ServerProcess(
             fluid,
             Capacity(fleet.warm_per_s(machine), *self._cold),
             messages,
--- a/glenfold_lab/stand_ins/ping.py
+++ b/glenfold_lab/stand_ins/ping.py
@@ -4,24 +4,24 @@
 
 import trio
 
-from glenfold_lab.stand_ins.sockets import Address, take
+from glenfold_lab.stand_ins.sockets import Address, send_all
 
-WAIT_S = 1.0
+ANSWER_TIMEOUT_S = 1.0
 
 
-class Ping(Enum):
+class PingResult(Enum):
     ANSWERED = auto()
     REFUSED = auto()  # nobody listens, or whoever did is going away
-    NOTHING = auto()  # no answer within a second
+    TIMED_OUT = auto()  # no answer within a second
 
 
-async def ping(address: Address) -> Ping:
-    with trio.move_on_at(trio.current_time() + WAIT_S):
+async def ping(address: Address) -> PingResult:
+    with trio.move_on_at(trio.current_time() + ANSWER_TIMEOUT_S):
         try:
             with trio.socket.socket() as sock:
                 await sock.connect(address)
-                await take(sock, b"PING\r\n")
-                return Ping.ANSWERED if await sock.recv(64) == b"PONG\r\n" else Ping.REFUSED
+                await send_all(sock, b"PING\r\n")
+                return PingResult.ANSWERED if await sock.recv(64) == b"PONG\r\n" else PingResult.REFUSED
         except OSError:
-            return Ping.REFUSED
-    return Ping.NOTHING
+            return PingResult.REFUSED
+    return PingResult.TIMED_OUT
--- a/glenfold_lab/stand_ins/places.py
+++ b/glenfold_lab/stand_ins/places.py
@@ -8,7 +8,7 @@
 from glenfold_lab.model.listing import versions
 from glenfold_lab.stand_ins.agent import Change, Entry
 from glenfold_lab.stand_ins.script import News, Script
-from glenfold_lab.stand_ins.sockets import Address, written
+from glenfold_lab.stand_ins.sockets import Address, format_address
 
 SERVERS, AGENTS, RELAYS = range(3)
 BLOCKS = 60  # of three nets each, for the runs on one machine
@@ -58,7 +58,7 @@
         return Entry(
             machine.host,
             machine.number,
-            written(self._places.servers[machine.index][relay]),
+            format_address(self._places.servers[machine.index][relay]),
             zones[machine.zone],
             machine.kind.name,
             machine.cell,
--- a/glenfold_lab/stand_ins/push_states.py
+++ b/glenfold_lab/stand_ins/push_states.py
@@ -19,16 +19,18 @@
 from glenfold_lab.model.wire import Call
 from glenfold_lab.observe import Capacity, End, Over
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
-from glenfold_lab.stand_ins.seal import NotSent, Seal
+from glenfold_lab.stand_ins.seal import InvalidFirstLine, Seal
 from glenfold_lab.stand_ins.seen import Seen
 
-END = b"\r\n"
-MAX_LINE = 4096
-HELD_BACK_US = SECOND_US  # a line that took longer from one side to the other
-AT_ONCE_US = 3_000  # an answer due sooner is given at once: a timer costs more than it tells
-FIRST = re.compile(rb"OPEN ([0-9a-f]{1,16}) ([0-9a-f]{1,16}) ([a-z]+=[!-+\--~]*(?:,[a-z]+=[!-+\--~]*)*)")
+LINE_END = b"\r\n"
+MAX_LINE_BYTES = 4096
+MAX_LINE_DELAY_US = SECOND_US  # a line that took longer from one side to the other
+MIN_REPLY_DELAY_US = 3_000  # an answer due sooner is given at once: a timer costs more than it tells
+FIRST_LINE_PATTERN = re.compile(
+    rb"OPEN ([0-9a-f]{1,16}) ([0-9a-f]{1,16}) ([a-z]+=[!-+\--~]*(?:,[a-z]+=[!-+\--~]*)*)"
+)
 
-LEAST_US = 1_000  # until a set-up that is not done yet is looked at again
+MIN_SET_UP_RECHECK_US = 1_000  # until a set-up that is not done yet is looked at again
 
 
 class Fault(Enum):
@@ -62,26 +64,26 @@
     request: int
     key: int
     wait_ms: int
-    figures: dict[str, str]
+    fields: dict[str, str]
 
     @classmethod
     def read(cls, line: bytes) -> "FirstLine":
         """`NotSent` if it has not the form that clients give it."""
-        match = FIRST.fullmatch(line)
+        match = FIRST_LINE_PATTERN.fullmatch(line)
         if match is None:
-            raise NotSent("its form")
+            raise InvalidFirstLine("its form")
         pairs = [pair.partition("=") for pair in match[3].decode().split(",")]
-        figures = {name: value for name, _, value in pairs}
-        if len(figures) < len(pairs):
-            raise NotSent("a figure comes twice")
-        wait = figures.get("d", "")
+        fields = {name: value for name, _, value in pairs}
+        if len(fields) < len(pairs):
+            raise InvalidFirstLine("a figure comes twice")
+        wait = fields.get("d", "")
         if not wait.isdigit() or int(wait) < 1:
-            raise NotSent("it tells no wait")
+            raise InvalidFirstLine("it tells no wait")
         try:
-            float(figures.get("w", "0")), int(figures.get("g", "0"), 16)
+            float(fields.get("w", "0")), int(fields.get("g", "0"), 16)
         except ValueError as error:
-            raise NotSent(f"a figure is no number: {error}") from error
-        return cls(int(match[1], 16), int(match[2], 16), int(wait), figures)
+            raise InvalidFirstLine(f"a figure is no number: {error}") from error
+        return cls(int(match[1], 16), int(match[2], 16), int(wait), fields)
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +98,7 @@
     change_us: float = 10.0 * SECOND_US
 
 
-class _Nobody:
+class _NullMessages:
     """Conversations hear of their calls without the model's messages."""
 
     def replied(self, call: Call, over: Over) -> None: ...
@@ -106,11 +108,11 @@
     def fell_silent(self, call: Call) -> None: ...
 
 
-NOBODY = _Nobody()
+NULL_MESSAGES = _NullMessages()
 
 
 @dataclass(slots=True)
-class Holder:
+class ServerProcess:
     """One push server's process: what all its connections share.
 
     fluid: its machine. capacity: as the checker is told it. ways_us: by relay, of a message there and back.
@@ -123,17 +125,19 @@
     messages: Messages
     seen: Seen
     random: np.random.Generator
-    works: dict[str, ClassWork]
-    ways_us: tuple[int, ...]
+    class_works: dict[str, ClassWork]
+    round_trips_us: tuple[int, ...]
     seal: Seal | None = None
     error_rate: float = 0.0
     park_us: int = 0
     store: Store | None = None
     fault: Fault | None = None
     fault_share: float = 0.0
-    by_key: dict[int, "Conversation"] = field(default_factory=dict)  # those that stand, by the client's key
+    by_key: dict[int, "ServerConnection"] = field(
+        default_factory=dict
+    )  # those that stand, by the client's key
     parked_until: dict[int, int] = field(default_factory=dict)
-    syntax: int = 0  # first lines that no client sent
+    syntax_errors: int = 0  # first lines that no client sent
 
     @property
     def host(self) -> str:
@@ -143,10 +147,10 @@
     def number(self) -> int:
         return self.fluid.machine.number
 
-    def accept(self, relay: int) -> "Conversation":
+    def accept(self, relay: int) -> "ServerConnection":
         """A relay's connection has been accepted."""
-        struck = self.fault is not None and self.random.random() < self.fault_share
-        return Conversation(self, relay, self.fault if struck else None)
+        is_affected = self.fault is not None and self.random.random() < self.fault_share
+        return ServerConnection(self, relay, self.fault if is_affected else None)
 
     def holds(self, key: int) -> bool:
         """Whether a connection of this client can go on here."""
@@ -162,7 +166,7 @@
         fluid.refresh(now)
         self.seen.server_started(now, self.number, self.capacity, cold)
 
-    def look(self, now: int) -> list["Conversation"]:
+    def check(self, now: int) -> list["ServerConnection"]:
         """Brings the machine up to now; gives those that it drops, as too much is piled up."""
         fluid = self.fluid
         fluid.refresh(now)
@@ -179,51 +183,51 @@
         fluid.drop(fluid.piled - full)
         return self._heaviest(capacity)
 
-    def _heaviest(self, capacity: float) -> list["Conversation"]:
+    def _heaviest(self, capacity: float) -> list["ServerConnection"]:
         """One at least, until the rest fits."""
         left = self.fluid.demand
-        struck: list[Conversation] = []
-        for one in sorted(self.by_key.values(), key=lambda held: (-held.load, held.request)):
-            if struck and (left <= ROOM * capacity or capacity <= 0):
+        is_affected: list[ServerConnection] = []
+        for connection in sorted(self.by_key.values(), key=lambda held: (-held.load, held.request)):
+            if is_affected and (left <= ROOM * capacity or capacity <= 0):
                 break
-            left -= one.load
-            struck.append(one)
-        return struck
+            left -= connection.load
+            is_affected.append(connection)
+        return is_affected
 
     def delay_us(self, now: int) -> int:
         """Of a line, from its arrival to its answer; for ever while nothing is done."""
         self.fluid.advance(now)
-        own = self.messages.own_us(0) + self.fluid.pile_us()
-        return int(min(own + self.random.exponential(1.0) * self.fluid.wait_us, 1e12))
+        own_us = self.messages.own_us(0) + self.fluid.pile_us()
+        return int(min(own_us + self.random.exponential(1.0) * self.fluid.wait_us, 1e12))
 
     def forget(self, key: int) -> None:
         del self.parked_until[key]
         self.fluid.unpark(self.fluid.parked[key])
 
 
-class Conversation:
+class ServerConnection:
     """One connection from a relay. `out` is to be written, then `ending` carried out; `due` is the moment at
     which `tick` wants to be called if nothing comes before."""
 
-    def __init__(self, holder: Holder, relay: int, fault: Fault | None) -> None:
-        self.holder = holder
+    def __init__(self, process: ServerProcess, relay: int, fault: Fault | None) -> None:
+        self.process = process
         self.relay = relay
         self.fault = fault
         self.phase = Phase.FIRST_LINE
-        self.out = b""
+        self.output = b""
         self.ending: Ending | None = Ending.RESET if fault is Fault.RESET else None
         self.due: int | None = None
-        self._first: FirstLine | None = None
+        self._first_line: FirstLine | None = None
         self._call: Call | None = None
         self._work: ClassWork | None = None
-        self._usual = 0.0
-        self._first_at = 0
-        self._data = b""
-        self._set_up_ends = 0.0
-        self._asked_store = False
-        self._echoes: list[tuple[int, bytes]] = []
-        self._change_at: int | None = None
-        self._hung = False  # nothing will come any more
+        self._usual_load = 0.0
+        self._first_byte_at = 0
+        self._buffer = b""
+        self._set_up_end = 0.0
+        self._has_asked_store = False
+        self._pending_replies: list[tuple[int, bytes]] = []
+        self._load_change_at: int | None = None
+        self._is_hung = False  # nothing will come any more
 
     @property
     def load(self) -> float:
@@ -238,41 +242,41 @@
     def received(self, data: bytes, now: int) -> None:
         """Bytes from the relay; none: it has ended its sending."""
         if not data:
-            return self.gone(now)
-        self._first_at = self._first_at or now
-        *lines, self._data = (self._data + data).split(END)
+            return self.disconnected(now)
+        self._first_byte_at = self._first_byte_at or now
+        *lines, self._buffer = (self._buffer + data).split(LINE_END)
         for line in lines:
             if self.phase is Phase.FIRST_LINE:
-                self._begin(line, now)
+                self._read_first_line(line, now)
             elif self.phase is Phase.STANDING:
-                self._line(line, now)
+                self._handle_line(line, now)
             elif self.phase is Phase.SETTING_UP:
-                self._not_sent("its client does not wait for the answer", now)
-        if len(self._data) > MAX_LINE:
-            self._not_sent("a line is too long", now)
+                self._reject("its client does not wait for the answer", now)
+        if len(self._buffer) > MAX_LINE_BYTES:
+            self._reject("a line is too long", now)
 
-    def gone(self, now: int) -> None:
+    def disconnected(self, now: int) -> None:
         """The relay has closed this connection, or reset it."""
         if self.phase is Phase.SETTING_UP:
-            self._attempt_over(now, Over.ABANDONED)
+            self._report_attempt(now, Over.ABANDONED)
         elif self.phase is Phase.STANDING:
-            self._leave(now, park=self.holder.park_us > 0)
+            self._remove(now, park=self.process.park_us > 0)
         self.phase = Phase.OVER
         self.ending = self.ending or Ending.CLOSE
 
     def tick(self, now: int) -> None:
         """`due` has come."""
         if self.phase is Phase.SETTING_UP:
-            self._look_at_set_up(now)
+            self._check_set_up(now)
         elif self.phase is Phase.STANDING:
-            self._give_echoes(now)
-            if self._change_at is not None and self._change_at <= now:
-                self._change(now)
-            self._next_due()
+            self._send_replies(now)
+            if self._load_change_at is not None and self._load_change_at <= now:
+                self._change_load(now)
+            self._set_due()
 
     # ---- what the server does of itself ----
 
-    def strike(self, fault: Fault, now: int) -> None:
+    def apply_fault(self, fault: Fault, now: int) -> None:
         """This fault befalls a connection that is open already."""
         if self.phase is Phase.OVER:
             return
@@ -286,249 +290,249 @@
 
     def hang(self, now: int) -> None:
         """From now on it stays open and silent."""
-        if self.phase is Phase.STANDING and not self._hung:
-            self._broke(now, silent=True)
+        if self.phase is Phase.STANDING and not self._is_hung:
+            self._report_broken(now, silent=True)
         elif self.phase is Phase.SETTING_UP:
-            self._give_up_turn(now)
-        self._hung = True
+            self._leave_queue(now)
+        self._is_hung = True
         self.due = None
 
     def end(self, now: int, ending: Ending, over: Over, word: bytes = b"") -> None:
         """With `word`, a polite end; without, the connection breaks."""
         if self.phase is Phase.SETTING_UP:
-            self._attempt_over(now, over)
+            self._report_attempt(now, over)
         elif self.phase is Phase.STANDING:
-            if not word and not self._hung:
-                self._broke(now, silent=False)
-            self._leave(now, park=False)
-        self.out += word
+            if not word and not self._is_hung:
+                self._report_broken(now, silent=False)
+            self._remove(now, park=False)
+        self.output += word
         self.phase = Phase.OVER
         self.ending = ending
         self.due = None
 
     def move(self, now: int) -> None:
         """A draining server sends its client away."""
-        if self.phase is Phase.STANDING and not self._hung:
+        if self.phase is Phase.STANDING and not self._is_hung:
             self.end(now, Ending.CLOSE, Over.UP, b"MOVE\r\n")
 
     def supersede(self, now: int) -> None:
         """The same connection has come another way; this end of it means nothing any more."""
-        self._leave(now, park=False)
+        self._remove(now, park=False)
         self.phase = Phase.OVER
         self.ending = Ending.CLOSE
 
     # ---- the first line ----
 
-    def _begin(self, line: bytes, now: int) -> None:
-        holder = self.holder
+    def _read_first_line(self, line: bytes, now: int) -> None:
+        process = self.process
         try:
             first = FirstLine.read(line)
-            if holder.seal is not None:
-                holder.seal.check(line)
-            if (work := holder.works.get(first.figures.get("c", ""))) is None:
-                raise NotSent("its class")
-        except NotSent as error:
-            return self._not_sent(str(error), now)
-        goes_on = first.figures.get("at") == holder.host or (
-            first.figures.get("mid") == "1" and holder.holds(first.key)
+            if process.seal is not None:
+                process.seal.check(line)
+            if (work := process.class_works.get(first.fields.get("c", ""))) is None:
+                raise InvalidFirstLine("its class")
+        except InvalidFirstLine as error:
+            return self._reject(str(error), now)
+        goes_on = first.fields.get("at") == process.host or (
+            first.fields.get("mid") == "1" and process.holds(first.key)
         )
-        holder.seen.sent(now, first.request, self.relay, holder.number, self._first_at, goes_on)
-        self._first, self._work = first, work
-        self._usual = float(first.figures.get("w", work.load))
+        process.seen.sent(now, first.request, self.relay, process.number, self._first_byte_at, goes_on)
+        self._first_line, self._work = first, work
+        self._usual_load = float(first.fields.get("w", work.load))
         self._call = Call(
             first.request,
             self.relay,
-            holder.number,
+            process.number,
             work.number,
             0,
-            int(first.figures.get("g", "0"), 16),
+            int(first.fields.get("g", "0"), 16),
             first.key,
-            self._usual,
+            self._usual_load,
             now + first.wait_ms * 1000,
-            first.figures.get("mid") == "1",
-            NOBODY,
+            first.fields.get("mid") == "1",
+            NULL_MESSAGES,
         )
         self.phase = Phase.SETTING_UP
-        self._struck_or_taken(first, self._call, now)
+        self._answer_or_queue(first, self._call, now)
 
-    def _struck_or_taken(self, first: FirstLine, call: Call, now: int) -> None:
-        holder, fluid = self.holder, self.holder.fluid
+    def _answer_or_queue(self, first: FirstLine, call: Call, now: int) -> None:
+        process, fluid = self.process, self.process.fluid
         fluid.advance(now)
-        if self.fault is Fault.HANG or self._hung:
-            self._hung = True
+        if self.fault is Fault.HANG or self._is_hung:
+            self._is_hung = True
         elif self.fault is Fault.AFTER_LINE:
             self._answer(now, Over.RESET, ending=Ending.RESET)
         elif self.fault is Fault.HALF_CLOSE:
             self._answer(now, Over.RESET, ending=Ending.FINISH)
         elif (
             self.fault is Fault.ERROR
-            or holder.random.random() < holder.error_rate
+            or process.random.random() < process.error_rate
             or call.request in fluid.waiting
             or call.request in fluid.standing
         ):
             self._answer(now, Over.ERROR, b"ERR\r\n")
         elif call.mid_flow:
             self._resume(call, now)
-        elif "at" in first.figures and first.figures["at"] != holder.host:
+        elif "at" in first.fields and first.fields["at"] != process.host:
             self._answer(now, Over.RESET, ending=Ending.RESET)
         elif fluid.stage is Stage.DRAINS or len(fluid.waiting) >= fluid.queue or fluid.held >= fluid.cap:
             self._answer(now, Over.BUSY, b"BUSY\r\n")
-        elif "at" in first.figures or first.figures.get("s") == "0":  # it stood before: that costs nothing
-            self._up(now, call)
+        elif "at" in first.fields or first.fields.get("s") == "0":  # it stood before: that costs nothing
+            self._send_up(now, call)
         else:
-            self._queue_up(call, now)
+            self._queue_set_up(call, now)
 
     def _resume(self, call: Call, now: int) -> None:
         """A connection whose packets come another way now: only the server that holds it can go on."""
-        before = self.holder.by_key.get(call.connection)
+        before = self.process.by_key.get(call.connection)
         if before is not None:
             before.supersede(now)
-        elif call.connection in self.holder.parked_until:
-            self.holder.forget(call.connection)
+        elif call.connection in self.process.parked_until:
+            self.process.forget(call.connection)
         else:
             return self._answer(now, Over.RESET, ending=Ending.RESET)
-        self._up(now, call)
+        self._send_up(now, call)
 
-    def _queue_up(self, call: Call, now: int) -> None:
-        holder, fluid = self.holder, self.holder.fluid
+    def _queue_set_up(self, call: Call, now: int) -> None:
+        process, fluid = self.process, self.process.fluid
         assert self._work is not None
-        middle = math.log(self._work.set_up_us) - SET_UP_SIGMA * SET_UP_SIGMA / 2
-        work = float(holder.random.lognormal(middle, SET_UP_SIGMA))
+        log_mean = math.log(self._work.set_up_us) - SET_UP_SIGMA * SET_UP_SIGMA / 2
+        work = float(process.random.lognormal(log_mean, SET_UP_SIGMA))
         wait = min(fluid.pile_us(), TICK_US) if fluid.capacity() <= 0 else fluid.pile_us()
-        own = work / fluid.machine.speed
-        spread = float(holder.random.exponential(1.0)) * (OWN_SPREAD * own + fluid.wait_us)
+        own_us = work / fluid.machine.speed
+        spread_us = float(process.random.exponential(1.0)) * (OWN_SPREAD * own_us + fluid.wait_us)
         fluid.queue_up(call, work)
-        self._set_up_ends = fluid.waiting[call.request].end
-        self._asked_store = False
-        self.due = now + int(wait + own + spread) + holder.ways_us[self.relay]
+        self._set_up_end = fluid.waiting[call.request].end
+        self._has_asked_store = False
+        self.due = now + int(wait + own_us + spread_us) + process.round_trips_us[self.relay]
 
-    def _look_at_set_up(self, now: int) -> None:
-        fluid, call = self.holder.fluid, self._call
+    def _check_set_up(self, now: int) -> None:
+        fluid, call = self.process.fluid, self._call
         assert call is not None
         fluid.advance(now)
         fluid.take_done()  # those that were left out ahead of it stand in its way no longer
-        if fluid.reached < self._set_up_ends - 1:  # its capacity has fallen since
+        if fluid.reached < self._set_up_end - 1:  # its capacity has fallen since
             capacity = fluid.capacity()
-            left = (self._set_up_ends - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
-            self.due = now + max(LEAST_US, min(TICK_US, int(left)))
+            left = (self._set_up_end - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
+            self.due = now + max(MIN_SET_UP_RECHECK_US, min(TICK_US, int(left)))
             return
-        if self.holder.store is not None and not self._asked_store:
-            self._asked_store = True
-            self.due = now + self.holder.store.ask(now)
+        if self.process.store is not None and not self._has_asked_store:
+            self._has_asked_store = True
+            self.due = now + self.process.store.ask(now)
             return
         del fluid.waiting[call.request]
         self.due = None
         if now > call.deadline:
             self._answer(now, Over.BUSY, b"BUSY\r\n")
         else:
-            self._up(now, call)
-
-    def _up(self, now: int, call: Call) -> None:
-        holder = self.holder
-        receipt = f"{holder.host}.{call.request:x}"
-        if holder.seal is not None:
-            receipt = holder.seal.receipt(holder.host, call.request)
-        self.out += f"UP {receipt}\r\n".encode()
-        self._attempt_over(now, Over.UP)
+            self._send_up(now, call)
+
+    def _send_up(self, now: int, call: Call) -> None:
+        process = self.process
+        receipt = f"{process.host}.{call.request:x}"
+        if process.seal is not None:
+            receipt = process.seal.receipt(process.host, call.request)
+        self.output += f"UP {receipt}\r\n".encode()
+        self._report_attempt(now, Over.UP)
         self.phase = Phase.STANDING
-        holder.by_key[call.connection] = self
-        holder.fluid.put(call)
-        self._plan_change(now)
-        self._next_due()
+        process.by_key[call.connection] = self
+        process.fluid.put(call)
+        self._schedule_load_change(now)
+        self._set_due()
 
     def _answer(self, now: int, over: Over, word: bytes = b"", ending: Ending = Ending.CLOSE) -> None:
-        self._attempt_over(now, over)
-        self.out += word
+        self._report_attempt(now, over)
+        self.output += word
         self.phase = Phase.OVER
         self.ending = ending
 
-    def _give_up_turn(self, now: int) -> None:
-        call, fluid = self._call, self.holder.fluid
+    def _leave_queue(self, now: int) -> None:
+        call, fluid = self._call, self.process.fluid
         if call is not None and self.due is not None:
             fluid.advance(now)
             fluid.give_up(call)
             self.due = None
 
-    def _attempt_over(self, now: int, over: Over) -> None:
-        self._give_up_turn(now)
+    def _report_attempt(self, now: int, over: Over) -> None:
+        self._leave_queue(now)
         if self._call is not None:
-            self.holder.seen.attempt_over(now, self._call.request, self.holder.number, over)
+            self.process.seen.attempt_over(now, self._call.request, self.process.number, over)
 
-    def _not_sent(self, fault: str, now: int) -> None:
+    def _reject(self, fault: str, now: int) -> None:
         if self.phase is Phase.OVER:
             return
-        self.holder.syntax += 1
-        words = f"it sent server {self.holder.number} what no client sends: {fault}"
-        self.holder.seen.fault(now, self.relay, words)
+        self.process.syntax_errors += 1
+        words = f"it sent server {self.process.number} what no client sends: {fault}"
+        self.process.seen.fault(now, self.relay, words)
         self.end(now, Ending.CLOSE, Over.ERROR, b"SYNTAX\r\n")
 
     # ---- standing ----
 
-    def _line(self, line: bytes, now: int) -> None:
-        if self._hung:
+    def _handle_line(self, line: bytes, now: int) -> None:
+        if self._is_hung:
             return
         if self.fault is Fault.AFTER_LINE:
             return self.end(now, Ending.RESET, Over.RESET)
         if line == b"QUIT":
             return self.end(now, Ending.CLOSE, Over.UP, b"BYE\r\n")
-        self._note_held_back(line, now)
-        delay = self.holder.delay_us(now) + self.holder.ways_us[self.relay]
+        self._report_late_line(line, now)
+        delay = self.process.delay_us(now) + self.process.round_trips_us[self.relay]
         # An answer tells when it was given; lines that are not of this form come back as they are.
-        answer = b"E %d %b\r\n" % (now + delay, line[2:]) if line[:2] == b"M " else line + END
-        if delay < AT_ONCE_US and not self._echoes:
-            self.out += answer
+        answer = b"E %d %b\r\n" % (now + delay, line[2:]) if line[:2] == b"M " else line + LINE_END
+        if delay < MIN_REPLY_DELAY_US and not self._pending_replies:
+            self.output += answer
         else:
-            last = self._echoes[-1][0] if self._echoes else 0
-            self._echoes.append((max(now + delay, last), answer))
-            self._next_due()
+            last = self._pending_replies[-1][0] if self._pending_replies else 0
+            self._pending_replies.append((max(now + delay, last), answer))
+            self._set_due()
 
-    def _note_held_back(self, line: bytes, now: int) -> None:
+    def _report_late_line(self, line: bytes, now: int) -> None:
         """A line tells when it was sent."""
         word, _, sent = line.partition(b" ")
-        if word == b"M" and sent.isdigit() and now - int(sent) > HELD_BACK_US:
-            self.holder.seen.held_back(now, self.request, now - int(sent))
+        if word == b"M" and sent.isdigit() and now - int(sent) > MAX_LINE_DELAY_US:
+            self.process.seen.held_back(now, self.request, now - int(sent))
 
-    def _give_echoes(self, now: int) -> None:
-        if self.holder.fluid.capacity() <= 0:  # it does nothing at all
-            self._echoes = [(max(at, now + TICK_US), answer) for at, answer in self._echoes]
-        while self._echoes and self._echoes[0][0] <= now:
-            self.out += self._echoes.pop(0)[1]
+    def _send_replies(self, now: int) -> None:
+        if self.process.fluid.capacity() <= 0:  # it does nothing at all
+            self._pending_replies = [(max(at, now + TICK_US), answer) for at, answer in self._pending_replies]
+        while self._pending_replies and self._pending_replies[0][0] <= now:
+            self.output += self._pending_replies.pop(0)[1]
 
-    def _plan_change(self, now: int) -> None:
+    def _schedule_load_change(self, now: int) -> None:
         work = self._work
         if work is not None and work.swing_sigma:
-            self._change_at = now + int(work.change_us * self.holder.random.uniform(0.5, 1.5))
+            self._load_change_at = now + int(work.change_us * self.process.random.uniform(0.5, 1.5))
 
-    def _change(self, now: int) -> None:
+    def _change_load(self, now: int) -> None:
         """Its load is drawn anew round its usual one."""
-        call, work, fluid = self._call, self._work, self.holder.fluid
+        call, work, fluid = self._call, self._work, self.process.fluid
         assert call is not None and work is not None
         sigma = work.swing_sigma
-        load = self._usual * float(self.holder.random.lognormal(-sigma * sigma / 2, sigma))
+        load = self._usual_load * float(self.process.random.lognormal(-sigma * sigma / 2, sigma))
         fluid.advance(now)
         fluid.demand += load - call.load
         call.load = load
-        self.out += b"LOAD %.1f\r\n" % load
-        self._plan_change(now)
+        self.output += b"LOAD %.1f\r\n" % load
+        self._schedule_load_change(now)
 
-    def _next_due(self) -> None:
-        moments = [self._echoes[0][0]] if self._echoes else []
-        if self._change_at is not None:
-            moments.append(self._change_at)
-        self.due = min(moments, default=None)
+    def _set_due(self) -> None:
+        times = [self._pending_replies[0][0]] if self._pending_replies else []
+        if self._load_change_at is not None:
+            times.append(self._load_change_at)
+        self.due = min(times, default=None)
 
-    def _broke(self, now: int, silent: bool) -> None:
-        self.holder.seen.broke(now, self.request, self.holder.number, silent)
+    def _report_broken(self, now: int, silent: bool) -> None:
+        self.process.seen.broke(now, self.request, self.process.number, silent)
 
-    def _leave(self, now: int, park: bool) -> None:
+    def _remove(self, now: int, park: bool) -> None:
         """It stands no more."""
-        holder, call = self.holder, self._call
+        process, call = self.process, self._call
         assert call is not None
-        holder.fluid.advance(now)
-        if holder.by_key.get(call.connection) is self:
-            del holder.by_key[call.connection]
-        if park and call.connection not in holder.parked_until:
-            holder.fluid.park(call)
-            holder.parked_until[call.connection] = now + holder.park_us
+        process.fluid.advance(now)
+        if process.by_key.get(call.connection) is self:
+            del process.by_key[call.connection]
+        if park and call.connection not in process.parked_until:
+            process.fluid.park(call)
+            process.parked_until[call.connection] = now + process.park_us
         else:
-            holder.fluid.take_off(call)
+            process.fluid.take_off(call)
--- a/glenfold_lab/stand_ins/relays.py
+++ b/glenfold_lab/stand_ins/relays.py
@@ -23,9 +23,9 @@
 
 import glenfold
 from glenfold_lab.stand_ins.machine_clock import MachineClock
-from glenfold_lab.stand_ins.ping import Ping, ping
+from glenfold_lab.stand_ins.ping import PingResult, ping
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import Address, bind, written
+from glenfold_lab.stand_ins.sockets import Address, bind, format_address
 
 READY_S = 30.0  # for a relay to answer its first PING
 LOOK_S = 0.02  # between two tries to reach one that starts
@@ -146,17 +146,17 @@
         return {
             **kept,
             "LB_NAME": self.name,
-            "LB_LISTEN": written(self.listen),
+            "LB_LISTEN": format_address(self.listen),
             "TMPDIR": str(temporary),
-            "LB_DISCOVERY": written(self.discovery),
+            "LB_DISCOVERY": format_address(self.discovery),
             "LB_CONFIG": str(self._folder / "config.json"),
         }
 
     def _write(self, seed: int) -> None:
         document = {
             "name": self.name,
-            "listen": written(self.listen),
-            "discovery": written(self.discovery),
+            "listen": format_address(self.listen),
+            "discovery": format_address(self.discovery),
             "seed": f"{seed:x}",
             "limits": self.limits.plain(),
             "known": self._known,
@@ -176,7 +176,7 @@
         """Returns once it has answered PING; `NotReady` when it ended or took too long."""
         with trio.move_on_at(trio.current_time() + READY_S):
             while self.running:
-                if await ping(self.listen) is Ping.ANSWERED:
+                if await ping(self.listen) is PingResult.ANSWERED:
                     self._seen.relay_up(self._clock.now_us(), self.number)
                     return
                 await trio.sleep(LOOK_S)
--- a/glenfold_lab/stand_ins/remote_part.py
+++ b/glenfold_lab/stand_ins/remote_part.py
@@ -12,7 +12,7 @@
 from glenfold_lab.load.worker_pool import descriptors
 from glenfold_lab.stand_ins.part import Part, Report, Times
 from glenfold_lab.stand_ins.places import Places
-from glenfold_lab.stand_ins.service import Second
+from glenfold_lab.stand_ins.service import SecondCounts
 
 
 class PartFailed(Exception):
@@ -37,12 +37,12 @@
         return places
 
     async def play(
-        self, places: Places, begin: Callable[[], Awaitable[Times]], tell: Callable[[Second], None]
+        self, places: Places, begin: Callable[[], Awaitable[Times]], tell: Callable[[SecondCounts], None]
     ) -> None:
         self._pipe.send(places)
         self._pipe.send(await begin())
         while not isinstance(heard := await self._hear(), Report):
-            assert isinstance(heard, Second)
+            assert isinstance(heard, SecondCounts)
             tell(heard)
         self._report = heard
 
--- a/glenfold_lab/stand_ins/run.py
+++ b/glenfold_lab/stand_ins/run.py
@@ -35,7 +35,7 @@
 from glenfold_lab.stand_ins.remote_part import PartFailed, RemotePart, remote
 from glenfold_lab.stand_ins.script import Script, draw
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.service import Second
+from glenfold_lab.stand_ins.service import SecondCounts
 from glenfold_lab.streams import Streams
 
 BEGIN_US = SECOND_US // 2  # from the relays' being ready to the first client: for the fronts to admit them
@@ -214,7 +214,7 @@
     _times: Times = Times(0, 0)
     _end: int = 0
     _happened: list[Happened] = field(default_factory=list)
-    _seconds: dict[int, list[Second]] = field(default_factory=dict)
+    _seconds: dict[int, list[SecondCounts]] = field(default_factory=dict)
     _tellers: int = 1
     _took_s: float = 0.0
 
@@ -303,7 +303,7 @@
 
     # ---- while it goes ----
 
-    def _hear(self, second: Second) -> None:
+    def _hear(self, second: SecondCounts) -> None:
         """Once all processes of clients have told of a second it is complete."""
         told = self._seconds.setdefault(second.second, [])
         told.append(second)
@@ -313,7 +313,7 @@
         if self.on_second is not None:
             self.on_second(self._snapshot(second.second, told))
 
-    def _snapshot(self, number: int, told: list[Second]) -> Snapshot:
+    def _snapshot(self, number: int, told: list[SecondCounts]) -> Snapshot:
         set_ups = [us / 1000 for second in told for us in second.set_ups_us]
         answers: dict[str, int] = {}
         for second in told:
--- a/glenfold_lab/stand_ins/service.py
+++ b/glenfold_lab/stand_ins/service.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Second:
+class SecondCounts:
     """What one process of stand-ins saw in one second: `answers` by kind, `set_ups_us` of those that came up,
     `standing` at its end."""
 
@@ -26,7 +26,7 @@
     set_ups_us: list[int] = field(default_factory=list)
 
 
-class Served:
+class ServiceSeconds:
     """Seconds of clients, by class and second of the history: `wanted`, and `served`, that is with a
     connection whose lines came back within the aim. Times are microseconds of one clock."""
 
@@ -47,28 +47,30 @@
             begin = stop
 
 
-class Stretch:
+class ServicePeriod:
     """Whether one standing connection serves its client, by its lines: those that come back late, or never,
     take away the time from their own moment to that of the next one in time. until: its client wants it."""
 
-    def __init__(self, served: Served, request_class: int, aim_us: float, up_at: int, until: int) -> None:
+    def __init__(
+        self, served: ServiceSeconds, request_class: int, aim_us: float, up_at: int, until: int
+    ) -> None:
         self._served, self._class, self._aim, self._until = served, request_class, aim_us, until
         self._good_since: int | None = up_at
-        self._said: list[int] = []
+        self._sent_at: list[int] = []
 
-    def said(self, at: int) -> None:
-        self._said.append(at)
+    def line_sent(self, at: int) -> None:
+        self._sent_at.append(at)
 
-    def back(self, now: int) -> None:
-        at = self._said.pop(0)
+    def line_returned(self, now: int) -> None:
+        at = self._sent_at.pop(0)
         if now - at > self._aim:
             self._close(at)
         elif self._good_since is None:
             self._good_since = at
 
-    def over(self, now: int) -> None:
-        late = self._said and now - self._said[0] > self._aim
-        self._close(self._said[0] if late else now)
+    def end(self, now: int) -> None:
+        late = self._sent_at and now - self._sent_at[0] > self._aim
+        self._close(self._sent_at[0] if late else now)
 
     def _close(self, at: int) -> None:
         if self._good_since is not None:
@@ -83,7 +85,7 @@
     one for each class. The first `warm_up` seconds do not count; 1 where nothing was wanted."""
     wanted, served = wanted[:, warm_up:], served[:, warm_up:]
     by_class = [
-        _share(float(had.sum()), float(asked.sum())) for had, asked in zip(served, wanted, strict=True)
+        _ratio(float(had.sum()), float(asked.sum())) for had, asked in zip(served, wanted, strict=True)
     ]
     length = min(window, wanted.shape[1])
     had, asked = (
@@ -91,12 +93,12 @@
         for table in (served, wanted)
     )
     found = {
-        "service": _share(float(served.sum()), float(wanted.sum())),
-        "worst_window": min(_share(float(h), float(a)) for h, a in zip(had, asked, strict=True)),
+        "service": _ratio(float(served.sum()), float(wanted.sum())),
+        "worst_window": min(_ratio(float(h), float(a)) for h, a in zip(had, asked, strict=True)),
         "worst_class": min(by_class),
     }
     return found | {f"service {name}": share for name, share in zip(classes, by_class, strict=True)}
 
 
-def _share(had: float, asked: float) -> float:
+def _ratio(had: float, asked: float) -> float:
     return min(1.0, had / asked) if asked > 0 else 1.0
--- a/glenfold_lab/stand_ins/sockets.py
+++ b/glenfold_lab/stand_ins/sockets.py
@@ -16,40 +16,40 @@
     """Bound and not listening: the address is kept, and whoever connects to it is refused."""
     if not host.startswith("127."):
         raise ValueError(f"{host} is not a loopback address")
-    plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    plain.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    plain.bind((host, port))
-    plain.setblocking(False)
-    return trio.socket.from_stdlib_socket(plain)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind((host, port))
+    sock.setblocking(False)
+    return trio.socket.from_stdlib_socket(sock)
 
 
-def written(address: Address) -> str:
+def format_address(address: Address) -> str:
     """HOST:PORT."""
     return f"{address[0]}:{address[1]}"
 
 
-def begin_connect(address: Address) -> SocketType:
+def start_connect(address: Address) -> SocketType:
     """A connection that need not come up."""
-    plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    plain.setblocking(False)
-    plain.connect_ex(address)
-    return trio.socket.from_stdlib_socket(plain)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setblocking(False)
+    sock.connect_ex(address)
+    return trio.socket.from_stdlib_socket(sock)
 
 
-async def take(sock: SocketType, data: bytes) -> None:
+async def send_all(sock: SocketType, data: bytes) -> None:
     """Writes it all."""
-    left = memoryview(data)
-    while left:
-        left = left[await sock.send(left) :]
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[await sock.send(remaining) :]
 
 
-def finish(sock: SocketType) -> None:
+def shutdown_send(sock: SocketType) -> None:
     """Ends our side; what was written still arrives."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
 
 
-def end_now(sock: SocketType) -> None:
+def reset_on_close(sock: SocketType) -> None:
     """The close to come resets the connection."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
--- a/tests/glenfold_lab/scale/test_lists.py
+++ b/tests/glenfold_lab/scale/test_lists.py
@@ -19,7 +19,7 @@
 from glenfold_lab.scale.measurements import Results
 from glenfold_lab.scale.relay_lists import Play, Terms
 from glenfold_lab.scale.server_lists import ChangeScript, ServerFleet
-from glenfold_lab.stand_ins.agent import Holding
+from glenfold_lab.stand_ins.agent import ListState
 from linnetspread import Balancer
 from linnetspread import interface as i
 
@@ -104,7 +104,7 @@
     def __init__(self, servers: int, new_follower: NewFollower) -> None:
         self._new_follower = new_follower
         self._entries = ServerFleet.drawn(servers, SEED).entries
-        self.whole = Holding(1, self._entries).whole()
+        self.whole = ListState(1, self._entries).whole()
         self.follower = new_follower()
         self.follower.take(self.whole)
         self._script = ChangeScript()
@@ -147,7 +147,7 @@
 
 
 def kb_a_server(servers: int, new_follower: NewFollower) -> float:
-    whole, follower = Holding(1, ServerFleet.drawn(servers, SEED).entries).whole(), new_follower()
+    whole, follower = ListState(1, ServerFleet.drawn(servers, SEED).entries).whole(), new_follower()
     return allocated_mb(lambda: follower.take(whole)) * 1e3 / servers
 
 
--- a/tests/glenfold_lab/scale/test_scale_control.py
+++ b/tests/glenfold_lab/scale/test_scale_control.py
@@ -35,8 +35,8 @@
 from glenfold_lab.scale.hollow_list import Lists
 from glenfold_lab.scale.hollow_watcher import Deliveries, Fault, HollowWatcher, Phase
 from glenfold_lab.scale.measurements import Point, Results
-from glenfold_lab.stand_ins.agent import Change, Holding
-from glenfold_lab.stand_ins.sockets import written
+from glenfold_lab.stand_ins.agent import Change, ListState
+from glenfold_lab.stand_ins.sockets import format_address
 
 SERVERS = 28
 PARENTS = (("127.0.0.1", 1001), ("127.0.0.1", 1002))
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self.entries = [listed_server(n, SERVERS) for n in range(SERVERS)]
-        self.holding = Holding(1, self.entries)
+        self.holding = ListState(1, self.entries)
         self.ledger = Ledger(1, 0, self.entries)
         self.deliveries = Deliveries()
         self.watcher = HollowWatcher(
@@ -69,7 +69,7 @@
             request = self.watcher.received(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(whole), whole), self.now
             )
-        line = first or self.holding.after(self.watcher.revision, None)
+        line = first or self.holding.first_watch_line(self.watcher.revision, None)
         self.watcher.received(WATCH_HEAD + chunk(line), self.now)
         return request
 
@@ -78,7 +78,7 @@
         self.now += 1.0
         entry = replace(self.entries[number], state=state)
         change = Change(self.holding.seq + 1, (entry,))
-        self.holding.take(change)
+        self.holding.apply(change)
         self.ledger.add(change.seq, round(self.now * 1e6), change.entries)
         return change.line()
 
@@ -159,7 +159,7 @@
     world.connect()
     world.hear(world.change(0, Told.DRAINING))
     world.change(1, Told.DRAINING)
-    merged = world.holding.after(1, None)  # the watcher knows revision 2
+    merged = world.holding.first_watch_line(1, None)  # the watcher knows revision 2
     world.hear(merged)
     assert (world.judged().lost, world.judged().doubled) == (0, 1)
 
@@ -384,12 +384,12 @@
     document = tomlkit.parse(replica_file(process, addresses, {})).unwrap()
     assert document["replica"] == {
         "name": "zone-3",
-        "listen": written(process.address),
+        "listen": format_address(process.address),
         "zone": "zone-3",
         "region": "region-1",
     }
     expected = [addresses["region-1"], addresses["region-0@region-1"]]
-    assert document["parents"] == [{"address": written(address)} for address in expected]
+    assert document["parents"] == [{"address": format_address(address)} for address in expected]
 
 
 @pytest.mark.parametrize(
--- a/tests/glenfold_lab/standing.py
+++ b/tests/glenfold_lab/standing.py
@@ -23,13 +23,13 @@
 from glenfold_lab.model.servers.server import Server
 from glenfold_lab.observe import Capacity, Over
 from glenfold_lab.spec import Zones
-from glenfold_lab.stand_ins.agent import Agent, Change, Entry, Holding
+from glenfold_lab.stand_ins.agent import Agent, Change, Entry, ListState
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.push_server import PushServer
-from glenfold_lab.stand_ins.push_states import ClassWork, Holder
+from glenfold_lab.stand_ins.push_states import ClassWork, ServerProcess
 from glenfold_lab.stand_ins.seal import Seal
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import written
+from glenfold_lab.stand_ins.sockets import format_address
 from glenfold_lab.streams import Streams
 
 SEAL = Seal(b"a run's secret")
@@ -60,7 +60,7 @@
         return [
             values[3]
             for name, values in self.seen.records
-            if name == "attempt_over" and values[2] == server.holder.number
+            if name == "attempt_over" and values[2] == server.process.number
         ]
 
     def seen_of(self, kind: str) -> list[tuple[Any, ...]]:
@@ -71,10 +71,10 @@
             await trio.sleep(0.01)
 
     def change(self, seq: int, *entries: Entry) -> None:
-        self.agent.take(Change(seq, entries))
+        self.agent.apply(Change(seq, entries))
 
 
-def holder(n: int, seen: Seen, cap: float = 3.0, group_load: float = 0.0, **more: Any) -> Holder:
+def holder(n: int, seen: Seen, cap: float = 3.0, group_load: float = 0.0, **more: Any) -> ServerProcess:
     host = f"s-{n}"
     kind = KindTerms(
         "m",
@@ -94,7 +94,7 @@
     machine = Machine(0, server_number(host), host, kind, 0, 0, 0, speed=1.0, capacity=3e6)
     messages = Messages(Network(Zones(), Streams(0)), [250_000.0])
     messages.add_server(machine)
-    return Holder(
+    return ServerProcess(
         Server(machine, 30_000.0, 0.0, group_load),
         Capacity(2.0, 0.2, 10_000_000),
         messages,
@@ -116,8 +116,8 @@
     clock, seen, conf = MachineClock(), Seen(), relaying.config(folder)
     async with trio.open_nursery() as nursery:
         stands = [PushServer(holder(n, seen, **more), clock, [f"127.9.1.{n + 1}"]) for n in range(servers)]
-        entries = [entry(n, written(stand.addresses[0])) for n, stand in enumerate(stands)]
-        agent = Agent([0], "127.9.2.1", Holding(1, entries), seen, clock)
+        entries = [entry(n, format_address(stand.addresses[0])) for n, stand in enumerate(stands)]
+        agent = Agent([0], "127.9.2.1", ListState(1, entries), seen, clock)
         relay_clock, destinations = Clock(), DestinationSet(conf.names)
         decisions = Decisions(conf.settings, conf.seed, relay_clock)
         shared = Relay(conf, relay_clock, decisions, destinations, Counters())
--- a/tests/glenfold_lab/test_soak.py
+++ b/tests/glenfold_lab/test_soak.py
@@ -162,7 +162,7 @@
 def test_a_client_that_lingers_after_move_tells_what_the_relay_did(
     relay: str, fault: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "LINGER_S", 0.2)
+    monkeypatch.setattr(clients, "MAX_LINGER_S", 0.2)
     seen = Seen()
     trio.run(_linger, relay, seen)
     assert [words for _, _, words in seen.faults] == ([] if fault is None else [fault])
@@ -174,7 +174,7 @@
     connection = clients.Connection.__new__(clients.Connection)
     connection.relay = 0
     front = SimpleNamespace(reaches=lambda relay: True)
-    connection._crowd = SimpleNamespace(seen=seen, clock=MachineClock(), front=front)  # type: ignore[assignment]
+    connection._pool = SimpleNamespace(seen=seen, clock=MachineClock(), front=front)  # type: ignore[assignment]
     with near, far:
         if relay == "talks":
             await far.send(b"one more line\r\n")
--- a/tests/glenfold_lab/test_stand_in_agent.py
+++ b/tests/glenfold_lab/test_stand_in_agent.py
@@ -9,8 +9,8 @@
 from standing import World, play
 
 from glenfold_lab.observe import Told
-from glenfold_lab.stand_ins.agent import Change, Holding
-from glenfold_lab.stand_ins.sockets import end_now
+from glenfold_lab.stand_ins.agent import Change, ListState
+from glenfold_lab.stand_ins.sockets import reset_on_close
 
 
 def gone(world: World, n: int) -> tuple[int, int]:
@@ -36,15 +36,15 @@
 def test_a_quiet_agent_tells_nothing_and_a_cut_watch_begins_anew(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         number, _ = gone(world, 0)
-        world.agent.go_quiet()
+        world.agent.mute()
         world.change(2, replace(world.entries[0], state=Told.GONE))
         lists = world.shared.counters.lists
         await world.clock.until(world.clock.now_us() + 10_000_000)
         assert (world.shared.counters.lists, gone(world, 0)[1]) == (lists, 0)
         assert world.shared.destinations.address(number) is not None
-        world.agent.speak()
+        world.agent.unmute()
         await world.heard(lambda known: known.address(number) is None)
-        world.agent.cut()
+        world.agent.reset_connections()
         world.change(3, world.entries[0])
         await world.heard(lambda known: known.address(number) is not None)
 
@@ -71,7 +71,7 @@
             await stream.send_all(b"GET /v1/servers?watch=1&from=1 HTTP/1.1\r\nHost: a\r\n\r\n")
             assert b'"seq":1' in await stream.receive_some()
         for stream in gone_away:
-            end_now(stream.socket)
+            reset_on_close(stream.socket)
             await stream.aclose()
         world.change(2, replace(world.entries[0], state=Told.GONE))
         await world.heard(lambda known: known.version == 2)
@@ -82,14 +82,14 @@
 
 
 def test_a_watch_begins_with_what_its_relay_lacks() -> None:
-    held = Holding(4, [])
+    held = ListState(4, [])
     one, two = (standing.entry(n, "127.0.0.1:1") for n in range(2))
     for seq, entry in ((5, one), (7, replace(two, state=Told.GONE)), (6, two)):
-        held.take(Change(seq, (entry,)))
+        held.apply(Change(seq, (entry,)))
     assert list(held.entries) == ["s-0"]  # the late change undoes no newer one
-    assert b'"seq":7' in held.after(5, None) and b'"s-0"' not in held.after(5, None)
-    assert b'"s-1"' in held.after(7, 2)  # all of version 7, and what came late
-    assert b'"whole":true' in held.after(3, None)
+    assert b'"seq":7' in held.first_watch_line(5, None) and b'"s-0"' not in held.first_watch_line(5, None)
+    assert b'"s-1"' in held.first_watch_line(7, 2)  # all of version 7, and what came late
+    assert b'"whole":true' in held.first_watch_line(3, None)
 
 
 def test_what_comes_while_a_watch_is_being_written_to_follows_at_once(tmp_path: Path) -> None:
--- a/tests/glenfold_lab/test_stand_in_mutants.py
+++ b/tests/glenfold_lab/test_stand_in_mutants.py
@@ -15,7 +15,7 @@
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.part import Part, Share, Times, end_of
 from glenfold_lab.stand_ins.places import Net, Places
-from glenfold_lab.stand_ins.service import Second
+from glenfold_lab.stand_ins.service import SecondCounts
 
 DAY = Scenario(
     format=1,
@@ -154,7 +154,7 @@
             async def begun() -> Times:
                 return times
 
-            def nobody(second: Second) -> None: ...
+            def nobody(second: SecondCounts) -> None: ...
 
             await part.play(Places(places.servers, places.agents, [address]), begun, nobody)
             nursery.cancel_scope.cancel()
--- a/tests/glenfold_lab/test_stand_in_servers.py
+++ b/tests/glenfold_lab/test_stand_in_servers.py
@@ -15,7 +15,7 @@
 from glenfold_lab.stand_ins.push_server import PushServer
 from glenfold_lab.stand_ins.push_states import Fault
 from glenfold_lab.stand_ins.seen import Seen
-from glenfold_lab.stand_ins.sockets import SocketType, take
+from glenfold_lab.stand_ins.sockets import SocketType, send_all
 
 
 @pytest.mark.parametrize(
@@ -39,11 +39,11 @@
         faulty, sound = world.servers
         for key in range(8):
             if isinstance(fault, Fault):
-                faulty.from_now(fault)
+                faulty.set_fault(fault)
             elif not key:
                 getattr(faulty, fault)()
             assert (await world.answer(key)).startswith(b"UP s-1.")
-        assert world.overs(faulty)[:1] == ([over] if over else []) and not sound.holder.syntax
+        assert world.overs(faulty)[:1] == ([over] if over else []) and not sound.process.syntax_errors
 
     play(tmp_path, script)
 
@@ -61,7 +61,7 @@
         await stream.send_all(b"hello\r\n")
         assert await read_line(stream) == b"hello\r\n"
         for server in world.servers:
-            server.strike(fault)
+            server.apply_fault(fault)
         try:
             if fault in (Fault.HANG, Fault.AFTER_LINE):
                 await stream.send_all(b"hello\r\n")
@@ -75,7 +75,7 @@
 
 def test_a_slow_reader_delays_the_answer_and_no_byte_is_lost(tmp_path: Path) -> None:
     async def script(world: World) -> None:
-        world.servers[0].from_now(Fault.SLOW)
+        world.servers[0].set_fault(Fault.SLOW)
         assert (await world.answer()).startswith(b"UP s-0.")
         first, last = world.seen_of("sent")[0][4], world.seen_of("sent")[0][0]
         assert last - first >= 300_000  # from its first byte to its last
@@ -104,14 +104,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def script(world: World) -> None:
-        stream, state = await world.open(), world.servers[0].holder.by_key
+        stream, state = await world.open(), world.servers[0].process.by_key
         assert (await read_line(stream)).startswith(b"UP ")
 
-        async def take_and_move(sock: SocketType, data: bytes) -> None:
-            await take(sock, data)
+        async def send_all_and_move(sock: SocketType, data: bytes) -> None:
+            await send_all(sock, data)
             state[7].move(world.clock.now_us()) if 7 in state else None
 
-        monkeypatch.setattr(push_server, "take", take_and_move)
+        monkeypatch.setattr(push_server, "send_all", send_all_and_move)
         await stream.send_all(b"hello\r\n")
         assert [await read_line(stream) for _ in range(2)] == [b"hello\r\n", b"MOVE\r\n"]
 
@@ -134,12 +134,12 @@
     async def script(world: World) -> None:
         stream, server = await world.open(), world.servers[0]
         assert (await read_line(stream)).startswith(b"UP ")
-        server.jam(True)
+        server.set_overloaded(True)
         waits = await world.open(key=8)
         await stream.send_all(b"hello\r\n")
         await world.clock.until(world.clock.now_us() + 700_000)
-        assert server.standing == 1 and len(server.holder.fluid.waiting) == 1
-        server.jam(False)
+        assert server.standing == 1 and len(server.process.fluid.waiting) == 1
+        server.set_overloaded(False)
         assert await read_line(stream) == b"hello\r\n"
         assert (await read_line(waits)).startswith(b"UP ")
 
@@ -164,7 +164,7 @@
                 assert (await read_line(stream)).startswith(b"UP ")
                 await stream.send_all(b"hello\r\n")
                 assert await read_line(stream) == b"hello\r\n"
-            server.cut([1], ended=False)
+            server.cut_off([1], ended=False)
             await streams[1].send_all(b"hello\r\n")
             assert (await read_line(await ask(server, 0, 2))).startswith(b"UP ")
             for never in (ask(server, 1, 3), read_line(streams[1])):
@@ -193,7 +193,7 @@
         await trio.sleep(5.0)
         assert not (await read_line(await world.open(more=("mid=1",)))).startswith(b"UP")
         assert sum((world.overs(server) for server in world.servers), [])[-1] is Over.RESET
-        assert not any(server.holder.fluid.demand or server.holder.fluid.held for server in world.servers)
+        assert not any(server.process.fluid.demand or server.process.fluid.held for server in world.servers)
 
     play(tmp_path, script, park_us=4_000_000, group_load=60_000.0)
 
