--- a/glenfold_lab/stand_ins/agent.py
+++ b/glenfold_lab/stand_ins/agent.py
@@ -1,8 +1,8 @@
-"""Discovery's agent on loopback sockets: the whole list, and a chunked watch on it, over HTTP/1.1.
+"""A stand-in for the discovery agent: serves the whole list and a chunked watch over HTTP/1.1 on loopback.
 
-`Holding` is what an agent has been sent, without I/O; `Agent` answers with it. Faults of the list itself
-(late, lost, doubled, out of order) are in what is sent to the agent and when; the agent's own are switched
-here.
+`ListState` holds, without I/O, what the agent has received; `Agent` serves it. Faults of the list itself
+(late, lost, duplicated or reordered changes) lie in what is given to the agent and when; faults of the agent
+(silence, resets, a new address) are injected through the methods of `Agent`.
 """
 
 import json
@@ -20,15 +20,21 @@
 
 BACKLOG = 64
 READ_BYTES = 16 * 1024
-KEEPALIVE_S = 2.0  # an empty line goes out when there was nothing for so long
-MAX_REPLAYED_CHANGES = 4096  # changes; who asks for older ones gets the whole list
+# A watch that has nothing to send for this long carries an empty line.
+KEEPALIVE_S = 2.0
+# With more changes than this, a watch from an older version begins with the whole list.
+MAX_REPLAYED_CHANGES = 4096
 HEALTH_BY_STATE = {Told.READY: "in_service", Told.DRAINING: "terminating", Told.GONE: "terminated"}
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One push server as discovery lists it. dial: HOST:PORT at which this agent's relay finds it. born_ms:
-    Unix milliseconds of its last start; started_us: the same moment as the lab observes it; 0: long ago."""
+    """One push server as discovery lists it.
+
+    `dial` is the HOST:PORT under which this agent's relay reaches the server. `born_ms` is the time of the
+    server's last start in Unix milliseconds, and `started_us` the same time on the lab's clock; both are 0
+    if the start was long ago.
+    """
 
     host: str
     number: int
@@ -42,6 +48,7 @@
     started_us: int = 0
 
     def to_dict(self) -> dict[str, object]:
+        """Returns the entry in discovery's JSON form."""
         return {
             "host": self.host,
             "dial": self.dial,
@@ -56,17 +63,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What changed since the version before `seq`."""
+    """The entries that changed from the preceding version of the list to version `seq`."""
 
     seq: int
     entries: tuple[Entry, ...]
 
     def line(self) -> bytes:
+        """Returns the change as one line of a watch."""
         return _document(self.seq, False, self.entries) + b"\n"
 
 
 def full_list_document(seq: int, entries: Sequence[Entry]) -> dict[str, object]:
-    """In discovery's form; a relay's `known` has it too."""
+    """Returns a whole list in discovery's JSON form, which the file of a relay's `known` setting has too."""
     return {"seq": seq, "whole": True, "hosts": [entry.to_dict() for entry in entries]}
 
 
@@ -76,8 +84,10 @@
 
 
 class ListState:
-    """The list as an agent has been sent it, without I/O. `sent` is what watches carry, in the order in which
-    it came, repeats included."""
+    """The list as an agent has received it, without I/O.
+
+    `sent` holds the changes that watches carry, in order of arrival, duplicates included.
+    """
 
     def __init__(self, seq: int, entries: Sequence[Entry]) -> None:
         self.seq = seq
@@ -87,7 +97,7 @@
         self._first_seq = seq
 
     def apply(self, change: Change) -> None:
-        """A change that comes late does not undo a newer one of the same server."""
+        """Adds a change; a late change does not overwrite a newer entry of the same server."""
         self.sent.append(change)
         for entry in change.entries:
             if change.seq < self._last_seqs.get(entry.host, 0):
@@ -100,15 +110,18 @@
         self.seq = max(self.seq, change.seq)
 
     def current_entries(self, change: Change) -> list[Entry]:
-        """Those of its entries that no later change has replaced."""
+        """Returns the entries of the change that no later change has replaced."""
         return [entry for entry in change.entries if change.seq >= self._last_seqs.get(entry.host, 0)]
 
     def whole(self) -> bytes:
+        """Returns the whole list as a document in discovery's form."""
         return _document(self.seq, True, tuple(self.entries.values()))
 
     def first_watch_line(self, seq: int, sent_count: int | None) -> bytes:
-        """The first line of a watch from that version. `upto`: how much of `sent` its relay has with it; None
-        if only the version tells."""
+        """Returns the first line of a watch from version `seq`.
+
+        `sent_count` is how many changes of `sent` the relay already has; None if only the version is known.
+        """
         if not self._first_seq <= seq <= self.seq or (
             sent_count is None and len(self.sent) > MAX_REPLAYED_CHANGES
         ):
@@ -129,8 +142,10 @@
 class Agent:
     """One agent at one address, for one relay or shared by several; `serve` runs until it is cancelled.
 
-    Whatever it holds counts as told to its relays, once it can be asked: when it was written to a watch, or
-    at once if none is open. Without relays nothing is counted, which takes a look at every watch."""
+    While the agent can be reached, a change is recorded as told to its relays as soon as every open watch has
+    carried it, or at once if no watch is open. Without relays nothing is recorded, which saves going through
+    all watches for each change.
+    """
 
     def __init__(
         self, relays: Sequence[int], host: str, list_state: ListState, seen: Seen, clock: MachineClock
@@ -142,17 +157,18 @@
         self._clock = clock
         self._listener = bind(host)
         self.address: Address = self._listener.getsockname()
-        self._watches: dict[SocketType, int] = {}  # of each watch, how much of `holding.sent` it has carried
+        self._watches: dict[SocketType, int] = {}  # How many changes of `list_state.sent` each has carried.
         self._sockets: dict[SocketType, None] = {}
         self._change_event = trio.Event()
-        self._recorded = 0  # of `holding.sent`, how much counts as told
-        self._is_found = True  # at its present address
+        self._recorded = 0  # How many changes of `list_state.sent` are recorded as told.
+        self._is_found = True  # Whether a relay has asked at the present address.
         self.is_muted = False
-        self.sent_bytes = 0  # to all relays
+        self.sent_bytes = 0  # To all relays together.
         self._nursery: trio.Nursery | None = None
         self._accept_scope = trio.CancelScope()
 
     async def serve(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Answers requests until it is cancelled; the task has started once the agent listens."""
         try:
             async with trio.open_nursery() as self._nursery:
                 self._listen()
@@ -162,32 +178,35 @@
             self._nursery = None
             self._listener.close()
 
-    # ---- what befalls it ----
+    # ---- changes and faults ----
 
     def apply(self, change: Change) -> None:
-        """Discovery has sent it this."""
+        """Takes in a change from discovery."""
         self.list_state.apply(change)
         self._notify_watches()
         self._record_watched()
 
     def mute(self) -> None:
-        """It is there and says nothing, not even that nothing changed."""
+        """Stops all output, keep-alive lines included; connections stay open."""
         self.is_muted = True
 
     def unmute(self) -> None:
+        """Resumes output after `mute`."""
         self.is_muted = False
         self._notify_watches()
         self._record_watched()
 
     def reset_connections(self) -> None:
-        """Its open connections are reset."""
+        """Resets all open connections."""
         for sock in list(self._sockets):
             reset_on_close(sock)
             sock.close()
 
     def move(self, host: str | None = None) -> Address:
-        """From now on it is at another address, and its old one refuses; open connections are reset. Nothing
-        more counts as told by it until it has been asked there."""
+        """Moves the agent to another address; the old one refuses connections, and open ones are reset.
+
+        No change is recorded as told until a relay has asked at the new address.
+        """
         self._is_found = False
         self._accept_scope.cancel()
         self._listener.close()
@@ -197,7 +216,7 @@
         self._listen()
         return self.address
 
-    # ---- its tasks ----
+    # ---- tasks ----
 
     def _listen(self) -> None:
         assert self._nursery is not None
@@ -227,10 +246,10 @@
             self._sockets.pop(sock, None)
             self._watches.pop(sock, None)
             sock.close()
-            self._record_watched()  # it may have been the last that had not carried some change
+            self._record_watched()  # This may have been the last watch without some change.
 
     async def _read_request(self, connection: h11.Connection, sock: SocketType) -> h11.Request | None:
-        """The next one, with its end; None when the relay has closed."""
+        """Reads the next complete request; returns None when the relay has closed the connection."""
         request = None
         while True:
             event = connection.next_event()
@@ -246,7 +265,11 @@
     async def _answer(
         self, connection: h11.Connection, sock: SocketType, target: str, sent_count: int | None
     ) -> int | None:
-        """`upto`: how much of `holding.sent` was in the whole list that this connection had last."""
+        """Answers one request.
+
+        `sent_count` is how many changes of `list_state.sent` the last whole list on this connection had; None
+        before the first list. Returns the value for the next request.
+        """
         path, _, query = target.partition("?")
         parameters = dict(pair.partition("=")[::2] for pair in query.split("&"))
         while self.is_muted:
@@ -282,7 +305,7 @@
             keepalive_at = trio.current_time() + KEEPALIVE_S
             if self.is_muted or carried_count == len(
                 self.list_state.sent
-            ):  # more may have come while it was writing
+            ):  # Changes may have come during the write.
                 await self._wait_for_change(keepalive_at)
             if self.is_muted:
                 continue
@@ -306,7 +329,7 @@
         event.set()
 
     def _record_watched(self) -> None:
-        """What every open watch has carried; all, if none is open."""
+        """Records as told what every open watch has carried, or all changes if no watch is open."""
         if self.relays and self._is_found and not self.is_muted:
             self._record_up_to(min(self._watches.values(), default=len(self.list_state.sent)))
 
--- a/glenfold_lab/stand_ins/bad_clients.py
+++ b/glenfold_lab/stand_ins/bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that no relay should suffer from: each must be told so, or ended, within three seconds."""
+"""Misbehaving clients: a relay has to answer each with an error or close it within three seconds."""
 
 from collections.abc import Awaitable, Callable
 from itertools import cycle
@@ -14,7 +14,8 @@
 TIME_TOLERANCE_US = 50_000
 READ_BYTES = 4096
 FLOOD = b"k" * 65536
-ANSWERS = (b"", b"ERR", b"BUSY")  # nothing but the end of the connection is an answer too
+# The end of the connection without any line is a valid answer too.
+ANSWERS = (b"", b"ERR", b"BUSY")
 
 Behaviour = Callable[[SocketType, ClientPool, int], Awaitable[None]]
 
@@ -29,13 +30,15 @@
 
 
 async def _floods(sock: SocketType, pool: ClientPool, relay: int) -> None:
-    while True:  # until the relay, or the end of its time, cuts it off
+    while True:  # The relay or the time limit ends the loop.
         await send_all(sock, FLOOD)
 
 
 async def _reuses_an_id(sock: SocketType, pool: ClientPool, relay: int) -> None:
-    """That of a connection which stands at this relay, if one was begun there: one that goes on there comes
-    under an id that may not be over where it was."""
+    """Sends the first line of a standing connection that was opened at this relay, if there is one.
+
+    Continued connections are left out, since their id may still be in use at the previous relay.
+    """
     lines = [
         other.first_line
         for other in pool.standing
@@ -57,13 +60,14 @@
 
 
 class BadClients:
-    """One after another of each kind, `per_s` of them a second, over the relays in turn."""
+    """Starts one client of each kind after another, `per_s` a second, spread over the relays in turn."""
 
     def __init__(self, pool: ClientPool, per_s: float) -> None:
         self._pool = pool
         self._gap_us = round(SECOND_US / per_s)
 
     async def run(self, until: int) -> None:
+        """Starts clients until the time `until`, and waits for their ends."""
         pool, turn = self._pool, 0
         async with trio.open_nursery() as nursery:
             for name, behaviour in cycle(BEHAVIOURS.items()):
@@ -87,7 +91,7 @@
             if received.partition(b"\r\n")[0].partition(b" ")[0] not in ANSWERS:
                 self._fault(relay, f"a client that {name} was told {received[:60]!r}")
             return
-        # A process that was stopped ends nobody.
+        # A stopped process cannot end a connection, so only a relay that answers PING is at fault.
         if await ping(pool.front.address(relay)) is PingResult.ANSWERED:
             self._fault(relay, f"a client that {name} was not ended within 3 s")
 
@@ -106,7 +110,7 @@
     async def _behave(self, behaviour: Behaviour, sock: SocketType, relay: int) -> None:
         try:
             await behaviour(sock, self._pool, relay)
-        except OSError:  # the relay has ended it, which is read where its answer is
+        except OSError:  # The relay ended the connection; `_read_to_end` sees that too.
             return
 
     def _fault(self, relay: int, words: str) -> None:
--- a/glenfold_lab/stand_ins/clients.py
+++ b/glenfold_lab/stand_ins/clients.py
@@ -1,7 +1,7 @@
-"""Clients on sockets: whom the model draws, with the habits that it draws, each living through its tries.
+"""Stand-ins for clients on sockets, with the arrivals and habits that the model draws.
 
-What one connection does is `glenfold_lab.load.client`'s states; what a client does between two connections is
-here. Times are microseconds of the machine's clock.
+The state machine of one connection is `glenfold_lab.load.client`; this module has what a client does between
+two connections. Times are microseconds of the machine's clock.
 """
 
 import math
@@ -54,7 +54,8 @@
 from linnetspread.choice import SEEDS, mix
 
 READ_BYTES = 4096
-MAX_LINGER_S = 2.0  # a relay ends both sides of a connection within a second
+# A relay closes both sides of a connection within a second after MOVE.
+MAX_LINGER_S = 2.0
 LINGER_GAP_S = 0.1
 MAX_LINE_DELAY_US = SECOND_US
 
@@ -69,21 +70,25 @@
 
 
 class Outcome(Enum):
-    """How one connection, or the try to get it, ended for its client."""
+    """How one connection, or the attempt to get one, ended for its client."""
 
-    DONE = auto()  # it has had what it wanted
-    REFUSED = auto()  # or failed; another try follows
-    UNREACHED = auto()  # nothing came up: TCP asks again by itself
-    MOVED = auto()  # it stood, and its client was told to come again
-    BROKEN = auto()  # it stood, and broke
-    REROUTED = auto()  # it stands, and its packets come to another relay
-    DROPPED = auto()  # its client lost it, with all others at that moment
+    DONE = auto()  # The client needs the connection no longer.
+    REFUSED = auto()  # The relay refused or failed; another attempt follows.
+    UNREACHED = auto()  # The connect got no answer; TCP sends the SYN again.
+    MOVED = auto()  # The connection stood, and the client was told to reconnect.
+    BROKEN = auto()  # The connection stood and broke.
+    REROUTED = auto()  # The connection stands, but its packets arrive at another relay.
+    DROPPED = auto()  # The client lost the connection in a drop of many.
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One client, as it was drawn; then what has become of it. stood: its connection stood before the
-    history, at `host` if a push server was chosen for it."""
+    """One client: first its drawn properties, then its present state.
+
+    `stood_before` says that the connection stood before the history, on `host` if a push server was chosen
+    for it. `first_ask` is the time of the first request for the connection that the client wants now.
+    `advised_us` is the wait that the last BUSY asked for, and `away_us` the time away after a drop.
+    """
 
     stood_before: bool
     number: int
@@ -99,18 +104,18 @@
     rejoin: float
     honours: bool
     host: str | None = None
-    first_ask: int = 0  # for the connection that it wants now
+    first_ask: int = 0
     tries: int = 0
     turn: int = 0
     relay: int = -1
     mid_flow: bool = False
     returning: bool = False
-    advised_us: int = 0  # by BUSY
-    away_us: int = 0  # after a drop
+    advised_us: int = 0
+    away_us: int = 0
 
 
 def clients_from(drawn: Drawn, first: int, stood_before: bool) -> Iterator[Client]:
-    """`first`: the number of the first of them."""
+    """Yields the drawn clients; `first` is the number of the first one."""
     columns = (
         drawn.at,
         drawn.until,
@@ -130,8 +135,12 @@
 
 @dataclass(slots=True, eq=False)
 class ClientPool:
-    """All clients of one process. part: which process, so that no two give the same id. start: of the
-    history; end: when nobody asks any more."""
+    """All clients of one process.
+
+    `part` is the number of the process, which keeps request ids unique across processes. `start` is the start
+    of the history, and after `end` no client sends another request. `server_numbers` holds the numbers of
+    push servers by host.
+    """
 
     scenario: Scenario
     habits: Habits
@@ -139,7 +148,7 @@
     seal: Seal
     seen: Seen
     clock: MachineClock
-    server_numbers: dict[str, int]  # of push servers, by host
+    server_numbers: dict[str, int]
     reshuffle: float
     part: int
     start: int
@@ -153,18 +162,20 @@
     def __post_init__(self) -> None:
         self.front.on_change.append(self._relay_set_changed)
 
-    # ---- who lives ----
+    # ---- tasks of clients ----
 
     async def open_standing(self, clients: list[Client], begin: int) -> None:
-        """Those that stood before the history open their connections, evenly from `begin` to the start, and
-        live on."""
+        """Opens the connections that stood before the history, spread evenly from `begin` to the start.
+
+        Returns once all these clients have ended.
+        """
         async with trio.open_nursery() as nursery:
             for index, client in enumerate(clients):
                 await self.clock.until(begin + (self.start - begin) * index // len(clients))
                 nursery.start_soon(self._run_client, client)
 
     async def run_arrivals(self, clients: Iterable[Client]) -> None:
-        """Each at its moment, until all have ended."""
+        """Starts each client at its time; returns once all have ended."""
         async with trio.open_nursery() as nursery:
             for client in clients:
                 await self.clock.until(client.at)
@@ -181,12 +192,16 @@
                     return
                 pause = await self._pause_us(client, outcome)
                 next_ask = self.clock.now_us() + pause
-                if outcome not in (Outcome.REFUSED, Outcome.UNREACHED):  # it had one, and wants it again
+                # A client that had a connection wants it back.
+                if outcome not in (Outcome.REFUSED, Outcome.UNREACHED):
                     client.first_ask = next_ask
                 await self.clock.until(next_ask)
 
     async def _attempt(self, client: Client, asking: trio.CancelScope) -> Outcome:
-        """One try, to its end; whoever has a connection ends it itself, in good manners."""
+        """Makes one attempt and waits for its end.
+
+        The deadline of `asking` is lifted, as an open connection ends with QUIT by itself.
+        """
         relay = self.front.relay_for(
             client.zone, client.key, client.turn, client.relay if client.mid_flow else -1
         )
@@ -200,7 +215,7 @@
         asking.deadline = math.inf
         return await Connection(self, client, relay, request).run()
 
-    # ---- between two tries ----
+    # ---- between two attempts ----
 
     async def _pause_us(self, client: Client, outcome: Outcome) -> int:
         if outcome is Outcome.REROUTED:
@@ -224,13 +239,14 @@
         return int(max(pause, client.advised_us if client.honours else 0))
 
     def line(self, client: Client, request: int, wait_us: int) -> bytes:
+        """Returns the first line of a request."""
         options, kind = self.scenario.clients, self.scenario.classes[client.kind]
         fields = [f"c={kind.name}"]
         if self.scenario.schemes:
             fields.append(f"t={self.scenario.schemes[client.scheme].name}")
         if client.group:
             fields.append(f"g={client.group:x}")
-        fields.append(f"w={client.load:.1f}")  # means nothing to relays, and their load to push servers
+        fields.append(f"w={client.load:.1f}")  # Relays ignore `w`; push servers take the load from it.
         if client.stood_before:
             fields.append("s=0" if client.host is None else f"at={client.host}")
         marks = {
@@ -241,22 +257,22 @@
         fields += [f"{name}=1" for name, marked in marks.items() if marked]
         return self.seal.line(request, client.key, fields, wait_us // 1000)
 
-    # ---- what strikes many ----
+    # ---- events that affect many clients ----
 
     def drop(self, part: float, over_us: int, random: np.random.Generator) -> None:
-        """So many of those that stand lose their connections at once, and come again within that time."""
+        """Drops the share `part` of the standing connections; their clients reconnect within `over_us`."""
         for connection in list(self.standing):
             if random.random() < part:
                 connection.client.away_us = int(random.uniform(0, over_us))
                 connection.abandon(Outcome.DROPPED, End.CLIENT)
 
     def cut_off(self, relay: int) -> None:
-        """No packet passes between clients and this relay any more."""
+        """Abandons the standing connections of a relay that clients can no longer reach."""
         for connection in [connection for connection in self.standing if connection.relay == relay]:
             connection.abandon(Outcome.REROUTED, End.RELAY_DIED)
 
     def _relay_set_changed(self, relay: int) -> None:
-        """Part of the connections of the zone's other relays land elsewhere, where packets pass through."""
+        """Reroutes part of the connections of the zone's other relays, if relays pass packets through."""
         self._relay_set_changes += 1
         if not self.scenario.relays.pass_through or self.clock.now_us() < self.start:
             return
@@ -270,14 +286,14 @@
                 connection.abandon(Outcome.REROUTED, End.RELAY_DIED)
 
     def end_service_periods(self) -> None:
-        """At the end of the history: what stands has served until now."""
+        """Counts standing connections as serving until now, at the end of the history."""
         for connection in self.standing:
             if connection.service_period is not None:
                 connection.service_period.end(self.clock.now_us())
 
 
 class Connection:
-    """One try of a client, and the connection that comes of it."""
+    """One attempt of a client, and the connection that results from it."""
 
     def __init__(self, pool: ClientPool, client: Client, relay: int, request: int) -> None:
         self.client = client
@@ -287,7 +303,7 @@
         self._pool = pool
         self._started_at = pool.clock.now_us()
         self._outcome = Outcome.REFUSED
-        self._has_broken = False  # it ended without a word while it stood
+        self._has_broken = False  # The standing connection ended without MOVE or BYE.
         self._is_abandoned = False
         self._scope = trio.CancelScope()
         self._wait_us = pool.habits.deadlines[client.kind]
@@ -296,7 +312,7 @@
         self._state = ClientState(wish, self._started_at, self._started_at)
 
     def abandon(self, outcome: Outcome, how: End) -> None:
-        """Its client leaves a standing connection, as its network does it: without a word."""
+        """Ends a standing connection without a line, as a failing network does."""
         if not self._is_abandoned:
             self._is_abandoned = True
             self._end_standing()
@@ -305,6 +321,7 @@
             self._scope.cancel()
 
     async def run(self) -> Outcome:
+        """Runs the attempt, and the connection if there is one, to its end."""
         client, pool = self.client, self._pool
         pool.seen.asked(self._started_at, self.request, client.number, client.kind, client.first_ask)
         with trio.socket.socket() as sock:
@@ -313,7 +330,7 @@
                 if self._outcome is Outcome.MOVED and self._lingers:
                     await self._linger(sock)
             if self._is_abandoned:
-                if not pool.front.reaches(self.relay):  # nothing is signalled to it
+                if not pool.front.reaches(self.relay):  # No close or reset may reach the relay.
                     await pool.front.wait_until_settled(self.relay)
                 reset_on_close(sock)
         if self._has_broken:
@@ -327,7 +344,7 @@
         return mix(self.client.key ^ SEEDS[2]) < share * (1 << 64)
 
     async def _linger(self, sock: SocketType) -> None:
-        """Goes on saying lines after MOVE until the relay ends the connection, as it has to."""
+        """Sends lines after MOVE until the relay ends the connection, as the protocol demands."""
         pool = self._pool
         with trio.move_on_after(MAX_LINGER_S), suppress(OSError):
             async with trio.open_nursery() as nursery:
@@ -347,7 +364,7 @@
                 await trio.sleep(LINGER_GAP_S)
 
     async def _outcome_of_break(self) -> Outcome:
-        """Where packets pass through, a connection outlives its relay."""
+        """Returns the outcome of a break: a connection outlives its relay where packets pass through."""
         pool = self._pool
         if pool.scenario.relays.pass_through and await pool.front.has_relay_exited(self.relay):
             return Outcome.REROUTED
@@ -390,7 +407,7 @@
         match effect:
             case Send(data):
                 before = self._pool.clock.now_us()
-                with suppress(OSError):  # its end is heard where it is read from
+                with suppress(OSError):  # The reading side sees the end of the connection.
                     await send_all(sock, data)
                 if self._state.phase is Phase.ASKED:
                     self._report_sent(before)
@@ -408,10 +425,10 @@
             case Parted(parting, _):
                 self._handle_end(parting)
 
-    # ---- what it tells ----
+    # ---- records ----
 
     def _report_sent(self, before: int) -> None:
-        """Taken no earlier than `before`, and owed an answer so long after now."""
+        """Records that the relay received the request, no earlier than `before`; the wait counts from now."""
         pool = self._pool
         deadline = pool.clock.now_us() + self._wait_us
         pool.seen.taken(before, self.request, self.relay, deadline, self.client.kind)
@@ -443,10 +460,10 @@
         client.tries = client.advised_us = 0
         client.mid_flow = client.returning = False
         if not pool.front.reaches(self.relay):
-            self.abandon(Outcome.REFUSED, End.CLIENT)  # its relay said so, and it never heard it
+            self.abandon(Outcome.REFUSED, End.CLIENT)  # The relay answered UP, but the answer cannot arrive.
 
     def _handle_reply(self, answer: bytes) -> None:
-        """A push server's answer tells when it was given."""
+        """Handles a push server's reply, which contains the time at which the server gave it."""
         pool, now = self._pool, self._pool.clock.now_us()
         pool.current_second.lines += 1
         if self.service_period is not None:
--- a/glenfold_lab/stand_ins/front.py
+++ b/glenfold_lab/stand_ins/front.py
@@ -1,7 +1,7 @@
-"""The front on sockets: knows relays by PING, and spreads clients over those that it admits.
+"""A stand-in for the front on sockets: checks relays by PING and spreads clients over the admitted ones.
 
-Every process of clients has one. It learns of a death only some time after it happened, of a planned restart
-at once, and of a relay that is back by its PONG.
+Every process of clients has a front. The front learns of a relay's death only after some time, of a planned
+restart soon, and of a relay that is back by its PONG.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,15 +17,19 @@
 from glenfold_lab.stand_ins.ping import PingResult, ping
 from glenfold_lab.stand_ins.sockets import Address
 
-ABSENT_POLL_INTERVAL_S = 0.05  # between two looks for a relay that is not admitted
-ADMITTED_POLL_INTERVAL_S = 0.5  # and at one that is
+# The intervals between two checks of a relay that is not admitted, and of one that is.
+ABSENT_POLL_INTERVAL_S = 0.05
+ADMITTED_POLL_INTERVAL_S = 0.5
 
 ChangeCallback = Callable[[int], None]
 
 
 class SocketFront:
-    """zones: of each relay. notice_s: from a relay's death until the front knows. `on_change` is called with
-    a relay whenever it comes in or goes out."""
+    """Chooses relays for clients by the model's `Front`, and follows real relays.
+
+    `zones` holds each relay's zone. `notice_s` is the time from a relay's death until the front notices.
+    The callbacks in `on_change` are called with a relay whenever it is admitted or removed.
+    """
 
     def __init__(
         self,
@@ -48,21 +52,23 @@
 
     @property
     def admitted(self) -> list[int]:
+        """The relays that receive new connections."""
         return [relay for relay in range(len(self._addresses)) if self._model.admits(relay)]
 
     def address(self, relay: int) -> Address:
+        """Returns the address at which clients reach the relay."""
         return self._addresses[relay]
 
     def reaches(self, relay: int) -> bool:
-        """Whether packets pass between it and its clients."""
+        """Returns whether packets pass between the relay and its clients."""
         return relay not in self._cut_off
 
     def relay_for(self, zone: int, key: int, turn: int, other_than: int) -> int | None:
-        """Where a connection goes; None while no relay is admitted. As `Front.relay_for`."""
+        """Returns the relay for a connection, as `Front.relay_for`; None while no relay is admitted."""
         return self._model.relay_for(zone, key, turn, other_than)
 
     async def watch(self, admitted: trio.Event) -> None:
-        """Until it is cancelled; `admitted` is set once it has admitted every relay."""
+        """Follows the relays until it is cancelled; sets `admitted` once every relay is admitted."""
         async with trio.open_nursery() as nursery:
             for relay in range(len(self._addresses)):
                 nursery.start_soon(self._watch_relay, relay)
@@ -70,16 +76,19 @@
                 await trio.sleep(ABSENT_POLL_INTERVAL_S)
             admitted.set()
 
-    # ---- what befalls relays ----
+    # ---- restarts and cuts of relays ----
 
     async def retire(self, relay: int) -> None:
-        """It has been told to stop: the front hears of it soon, and admits it again once it was gone."""
+        """Removes a relay that was told to stop, after the short delay with which the front learns of it.
+
+        The front admits the relay again only after its old process has exited.
+        """
         self._leaving.add(relay)
         await self._wait(value(FRONT_TOLD_S, self._random))
         self._remove(relay)
 
     async def cut_off(self, relay: int, until: int) -> None:
-        """No packet passes between it and clients until that moment; the front knows later."""
+        """Blocks packets between the relay and clients until the time `until`; the front notices later."""
         self._cut_off.add(relay)
         noticed = self._clock.now_us() + int(self._draw_notice_s() * SECOND_US)
         await self._clock.until(min(noticed, until))
@@ -89,7 +98,10 @@
         self._cut_off.discard(relay)
 
     async def has_relay_exited(self, relay: int) -> bool:
-        """Whether its process is gone, as who asks for a connection there finds out."""
+        """Returns whether the relay's process has exited, as a refused connection shows.
+
+        The result is cached for `ABSENT_POLL_INTERVAL_S`.
+        """
         checked_at, has_exited = self._process_checks.get(relay, (0, False))
         if self._clock.now_us() - checked_at > ABSENT_POLL_INTERVAL_S * SECOND_US:
             has_exited = await ping(self._addresses[relay]) is PingResult.REFUSED
@@ -97,13 +109,15 @@
         return has_exited
 
     async def wait_until_settled(self, relay: int) -> None:
-        """Returns once packets for this relay, which died or can't be reached, go somewhere again: it is
-        taken out, or back."""
+        """Waits until packets for a relay that died or is unreachable arrive somewhere again.
+
+        That is the case once the relay is removed or back.
+        """
         while self._model.admits(relay) and (not self.reaches(relay) or await self.has_relay_exited(relay)):
             with trio.move_on_at(trio.current_time() + ABSENT_POLL_INTERVAL_S):
                 await self._change_events[relay].wait()
 
-    # ---- its knowledge ----
+    # ---- health checks ----
 
     async def _watch_relay(self, relay: int) -> None:
         while True:
@@ -127,7 +141,7 @@
             await self._wait(ABSENT_POLL_INTERVAL_S)
 
     async def _is_alive(self, relay: int) -> bool:
-        """A process that is stopped, or behind a cut, refuses nobody."""
+        """Returns whether the relay may be alive; a stopped or cut-off process refuses no connection."""
         return not self.reaches(relay) or await ping(self._addresses[relay]) is not PingResult.REFUSED
 
     def _draw_notice_s(self) -> float:
--- a/glenfold_lab/stand_ins/lateness.py
+++ b/glenfold_lab/stand_ins/lateness.py
@@ -1,26 +1,29 @@
-"""By how much an event loop runs late: what it had planned for a moment came so much after it."""
+"""Measures the lateness of an event loop: how long after its deadline a timer fires."""
 
 import numpy as np
 import trio
 
 CHECK_INTERVAL_S = 0.01
-MAX_P99_MS = 20.0  # at the 99th percentile: beyond it the stand-ins' own lateness colours what they saw
+# Beyond this 99th percentile the stand-ins' own lateness distorts what they record.
+MAX_P99_MS = 20.0
 
 
 class Lateness:
-    """Looks every `step_s`; the figures are of the time since `run` began."""
+    """Samples the lateness every `interval_s` seconds; `ms` holds the samples since `run` started."""
 
     def __init__(self, interval_s: float = CHECK_INTERVAL_S) -> None:
         self.ms: list[float] = []
         self._step_s = interval_s
 
     async def run(self) -> None:
+        """Samples until it is cancelled."""
         due = trio.current_time()
         while True:
-            due += self._step_s  # also one that is past by now: each that was missed counts
+            due += self._step_s  # A deadline that has passed already counts as a sample too.
             await trio.sleep_until(due)
             self.ms.append((trio.current_time() - due) * 1000)
 
 
 def percentile(ms: list[float], part: float) -> float:
+    """Returns the percentile `part` (0 to 100) of the samples; 0 without samples."""
     return float(np.percentile(ms, part)) if ms else 0.0
--- a/glenfold_lab/stand_ins/ping.py
+++ b/glenfold_lab/stand_ins/ping.py
@@ -1,4 +1,4 @@
-"""Whether a relay is there, as the front finds out: a connection, PING, and PONG."""
+"""The front's health check of a relay: connects, sends PING and expects PONG."""
 
 from enum import Enum, auto
 
@@ -10,12 +10,15 @@
 
 
 class PingResult(Enum):
+    """The result of one health check."""
+
     ANSWERED = auto()
-    REFUSED = auto()  # nobody listens, or whoever did is going away
-    TIMED_OUT = auto()  # no answer within a second
+    REFUSED = auto()  # No process listens, or the relay is shutting down.
+    TIMED_OUT = auto()  # No answer within `ANSWER_TIMEOUT_S`.
 
 
 async def ping(address: Address) -> PingResult:
+    """Checks the relay at `address` once."""
     with trio.move_on_at(trio.current_time() + ANSWER_TIMEOUT_S):
         try:
             with trio.socket.socket() as sock:
--- a/glenfold_lab/stand_ins/push_server.py
+++ b/glenfold_lab/stand_ins/push_server.py
@@ -1,5 +1,8 @@
-"""Push servers on loopback sockets, many in one process: one address for each relay, so that each attempt
-tells which relay made it. What they say and hold is in `push_states`."""
+"""Stand-ins for push servers on loopback sockets, many in one process.
+
+Each server has one address for each relay, so that every attempt shows which relay made it. The protocol and
+the state of a server are in `push_states`.
+"""
 
 import socket
 from collections.abc import Iterable, Sequence
@@ -25,29 +28,34 @@
 
 BACKLOG = 1024
 READ_BYTES = 16 * 1024
-SLOW_READ_BYTES = 16  # that a slow reader takes at a time
-SLOW_READ_INTERVAL_US = 100_000  # between two such times
-SLOW_RECEIVE_BUFFER_BYTES = 2048  # of its kernel's, in bytes
-CLOSING_TIMEOUT_US = SECOND_US  # for the relay to close after a last word
+# A connection with `Fault.SLOW` reads this many bytes in each interval, with a small kernel buffer.
+SLOW_READ_BYTES = 16
+SLOW_READ_INTERVAL_US = 100_000
+SLOW_RECEIVE_BUFFER_BYTES = 2048
+# The time that the relay has to close a connection after the server's last line.
+CLOSING_TIMEOUT_US = SECOND_US
 
 
 @dataclass(slots=True, eq=False)
 class OpenConnection:
-    """One open connection, and how to wake the task that serves it."""
+    """One open connection, and the cancel scope that wakes the task serving it."""
 
     sock: SocketType
     state: ServerConnection
     wait_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def wake(self) -> None:
-        """Its state has changed from outside."""
+        """Wakes the serving task after another task has changed the connection's state."""
         self.wait_scope.cancel()
 
 
 @dataclass(slots=True, eq=False)
 class RelayEndpoint:
-    """Where one relay finds this server. `bound` keeps the address while nobody listens there; `filler` fills
-    the queue of a listener from whose relay the server is cut off."""
+    """The address at which one relay reaches this server.
+
+    `reserved` keeps the address while the server does not listen. `queue_filler` is a connection that fills
+    the accept queue while the server is cut off from this relay.
+    """
 
     relay: int
     address: Address
@@ -57,6 +65,7 @@
     accepting: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def close(self) -> None:
+        """Stops accepting and closes the sockets."""
         self.accepting.cancel()
         for sock in (self.reserved, self.listener, self.queue_filler):
             if sock is not None:
@@ -65,9 +74,10 @@
 
 
 class PushServer:
-    """`serve` runs until it is cancelled; everything else may be called while it runs.
+    """One push server; `serve` runs until it is cancelled, and the other methods may be called meanwhile.
 
-    hosts: a loopback address for each relay, by its number."""
+    `hosts` holds a loopback address for each relay, by the relay's number.
+    """
 
     def __init__(self, process: ServerProcess, clock: MachineClock, hosts: Sequence[str]) -> None:
         self.process = process
@@ -78,30 +88,32 @@
             self._endpoints.append(RelayEndpoint(relay, reserved.getsockname(), reserved))
         self._connections: dict[OpenConnection, None] = {}
         self._nursery: trio.Nursery | None = None
-        self._cut_off_relays: set[int] = set()  # relays
-        self._is_reported_ended = False  # has been told to have ended, though its process runs
+        self._cut_off_relays: set[int] = set()  # Numbers of relays.
+        self._is_reported_ended = False  # The end was recorded, though the process still runs.
 
     @property
     def addresses(self) -> list[Address]:
-        """Of this server, by relay."""
+        """The server's addresses, by relay."""
         return [endpoint.address for endpoint in self._endpoints]
 
     @property
     def up(self) -> bool:
+        """Whether the server's process runs."""
         return self.process.fluid.running
 
     @property
     def standing(self) -> int:
+        """The number of standing connections."""
         return len(self.process.by_key)
 
     def load(self) -> float:
-        """Over what it can do at this moment; 0 while it is down."""
+        """Returns demand divided by present capacity; 0 without capacity or while the server is down."""
         fluid = self.process.fluid
         fluid.advance(self._clock.now_us())
         return fluid.demand / fluid.capacity() if fluid.running and fluid.capacity() > 0 else 0.0
 
     async def serve(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Not up until `start` is called: until then connections are refused."""
+        """Serves until it is cancelled; connections are refused until `start` is called."""
         try:
             async with trio.open_nursery() as self._nursery:
                 self._nursery.start_soon(self._check_periodically)
@@ -112,28 +124,28 @@
             for endpoint in self._endpoints:
                 endpoint.close()
 
-    # ---- its life ----
+    # ---- start and end ----
 
     def start(self, cold: bool) -> None:
-        """Its process comes up."""
+        """Starts the server's process; a cold server has reduced capacity at first."""
         self._is_reported_ended = False
         self._cut_off_relays.clear()
         self.process.start(self._clock.now_us(), cold)
         self.listen()
 
     def listen(self) -> None:
-        """Connections are accepted again after `refuse`."""
+        """Accepts connections again after `refuse`."""
         for endpoint in self._endpoints:
             if endpoint.listener is None:
                 self._open(endpoint)
 
     def refuse(self) -> None:
-        """Its listeners are closed; what stands goes on."""
+        """Closes the listeners; open connections continue."""
         for endpoint in self._endpoints:
             endpoint.close()
 
     def end(self) -> None:
-        """Its process is gone: connections are reset, new ones refused."""
+        """Ends the server's process: open connections are reset and new ones refused."""
         if not self.up:
             return
         now = self._clock.now_us()
@@ -153,18 +165,18 @@
     # ---- drains ----
 
     def drain(self) -> None:
-        """It finishes its work and takes nothing new."""
+        """Begins a drain: set-ups under way are finished, and new requests are answered BUSY."""
         if self.process.fluid.stage is Stage.RUNS:
             self.process.fluid.stage = Stage.DRAINS
             self.process.seen.server_draining(self._clock.now_us(), self.process.number)
 
     def send_away(self, over_us: int) -> None:
-        """While it drains it tells its clients to move, one by one over this time."""
+        """Sends MOVE to the clients one by one over `over_us`, as long as the server drains."""
         if self._nursery is not None:
             self._nursery.start_soon(self._pace_moves, self._clock.now_us(), over_us)
 
     def undrain(self) -> None:
-        """The drain is called off."""
+        """Cancels the drain."""
         if self.process.fluid.stage is Stage.DRAINS:
             self.process.fluid.stage = Stage.RUNS
             self.process.seen.server_started(
@@ -180,15 +192,18 @@
             connection.state.move(self._clock.now_us())
             connection.wake()
 
-    # ---- silence ----
+    # ---- network cuts ----
 
     def vanish(self) -> None:
-        """Its machine is cut off from all relays."""
+        """Cuts the server off from all relays."""
         self.cut_off(range(len(self._endpoints)))
 
     def cut_off(self, relays: Iterable[int], ended: bool = True) -> None:
-        """Nothing passes between it and these relays: what is open stays open and silent, nothing new comes
-        up. ended: whether the machine counts as gone from then on."""
+        """Cuts the server off from these relays.
+
+        Open connections stay open and silent, and no new connection is established. `ended` says whether the
+        server is recorded as ended from now on.
+        """
         now = self._clock.now_us()
         if not self.up:
             return
@@ -205,13 +220,13 @@
                 and endpoint.listener is not None
                 and endpoint.queue_filler is None
             ):
-                # With its queue full the kernel takes no further connection: those who ask get no answer.
+                # With the accept queue full the kernel drops further connection attempts without an answer.
                 endpoint.accepting.cancel()
                 endpoint.listener.listen(0)
                 endpoint.queue_filler = start_connect(endpoint.address)
 
     def come_back(self) -> None:
-        """What was cut off is reset, and it goes on with the rest as it was."""
+        """Ends a cut: resets the connections that were cut off and leaves the others as they are."""
         if not self.up:
             return
         now, cut_off, self._cut_off_relays = self._clock.now_us(), self._cut_off_relays, set()
@@ -227,14 +242,14 @@
             self._is_reported_ended = False
             self.process.seen.server_started(now, self.process.number, self.process.capacity, False)
 
-    # ---- what else befalls it ----
+    # ---- other faults ----
 
     def set_fault(self, fault: Fault | None, share: float = 1.0) -> None:
-        """What befalls this share of the connections accepted from now on; None: nothing."""
+        """Applies the fault to this share of the connections accepted from now on; None means no fault."""
         self.process.fault, self.process.fault_share = fault, share
 
     def apply_fault(self, fault: Fault, share: float = 1.0) -> None:
-        """What befalls this share of those that are open."""
+        """Applies the fault to this share of the open connections."""
         now = self._clock.now_us()
         for connection in self._connections:
             if self.process.random.random() < share:
@@ -242,16 +257,16 @@
                 connection.wake()
 
     def take_away(self, share: float) -> None:
-        """A neighbour takes this share of its cores; 0: none."""
+        """Lets another workload on the machine use this share of the cores; 0 means none."""
         self.process.fluid.neighbour = share
         self.process.fluid.refresh(self._clock.now_us())
 
     def set_overloaded(self, overloaded: bool) -> None:
-        """While it is jammed nothing is done, and what comes piles up."""
+        """Stops all work while `overloaded` is set; work that arrives meanwhile piles up."""
         self.process.fluid.jammed = overloaded
         self.process.fluid.refresh(self._clock.now_us())
 
-    # ---- its tasks ----
+    # ---- tasks ----
 
     def _open(self, endpoint: RelayEndpoint) -> None:
         assert self._nursery is not None
@@ -269,7 +284,7 @@
             while True:
                 try:
                     sock, _ = await listener.accept()
-                except OSError:  # the connection went before it was accepted
+                except OSError:  # The relay closed the connection before it was accepted.
                     continue
                 connection = OpenConnection(sock, self.process.accept(relay))
                 self._connections[connection] = None
@@ -292,7 +307,7 @@
             if slow:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_RECEIVE_BUFFER_BYTES)
                 await self._clock.until(self._clock.now_us() + SLOW_READ_INTERVAL_US)
-            if state.output or state.ending:  # said from outside while this task wrote or waited
+            if state.output or state.ending:  # Another task added output during the write or the wait.
                 continue
             data = None
             with trio.CancelScope() as connection.wait_scope:
@@ -306,9 +321,9 @@
                 state.tick(now)
 
     async def _write(self, connection: OpenConnection) -> bool:
-        """What the state has to say; False once the connection is over."""
+        """Writes the pending output; returns False once the connection has ended."""
         state, sock = connection.state, connection.sock
-        while state.output:  # while this writes, more may be said from outside
+        while state.output:  # Other tasks may add output during the write.
             data, state.output = state.output, b""
             await send_all(sock, data)
         if state.ending is Ending.RESET:
@@ -317,7 +332,7 @@
         if state.ending is None:
             return True
         shutdown_send(sock)
-        # Closing on unread bytes would reset the connection, and might take the last word with it.
+        # A close with unread bytes would reset the connection, and the last line might be lost.
         with trio.CancelScope() as closing:
             if state.ending is Ending.CLOSE:
                 closing.deadline = self._clock.to_trio(self._clock.now_us() + CLOSING_TIMEOUT_US)
--- a/glenfold_lab/stand_ins/push_states.py
+++ b/glenfold_lab/stand_ins/push_states.py
@@ -1,8 +1,8 @@
-"""One push server's side of the line protocol, without I/O: bytes and moments in, bytes and endings out.
+"""One push server's side of the line protocol, without I/O: bytes and times in, bytes and endings out.
 
-What its machine can do is the model's fluid (`glenfold_lab.model.servers.server`). It is stricter than the
-relays under test: a first line that no client sent is answered SYNTAX and told of. Times are microseconds
-of the machine's clock.
+The capacity of its machine is the model's fluid queue (`glenfold_lab.model.servers.server`). The server is
+stricter than the relays under test: it answers SYNTAX to a first line that no client sent, and records it as
+a fault of the relay. Times are microseconds of the machine's clock.
 """
 
 import math
@@ -24,27 +24,34 @@
 
 LINE_END = b"\r\n"
 MAX_LINE_BYTES = 4096
-MAX_LINE_DELAY_US = SECOND_US  # a line that took longer from one side to the other
-MIN_REPLY_DELAY_US = 3_000  # an answer due sooner is given at once: a timer costs more than it tells
+# A line that takes longer from one end to the other is recorded as held back.
+MAX_LINE_DELAY_US = SECOND_US
+# A reply due sooner is sent at once, as a timer would cost more than the delay matters.
+MIN_REPLY_DELAY_US = 3_000
 FIRST_LINE_PATTERN = re.compile(
     rb"OPEN ([0-9a-f]{1,16}) ([0-9a-f]{1,16}) ([a-z]+=[!-+\--~]*(?:,[a-z]+=[!-+\--~]*)*)"
 )
 
-MIN_SET_UP_RECHECK_US = 1_000  # until a set-up that is not done yet is looked at again
+# The least time until an unfinished set-up is checked again.
+MIN_SET_UP_RECHECK_US = 1_000
 
 
 class Fault(Enum):
-    """What befalls a connection."""
+    """An injected fault of a connection."""
 
-    RESET = auto()  # reset at once
-    AFTER_LINE = auto()  # reset once the last byte of its first line was read; standing: of its next line
-    HANG = auto()  # it stays open and nothing comes
-    SLOW = auto()  # a few bytes are read at a time
-    HALF_CLOSE = auto()  # the server ends its own side where it would have answered, and reads on
-    ERROR = auto()  # ERR; standing: as HALF_CLOSE
+    RESET = auto()  # The connection is reset at once.
+    # The connection is reset after its first line is read, or a standing one after its next line.
+    AFTER_LINE = auto()
+    HANG = auto()  # The connection stays open without any output.
+    SLOW = auto()  # Only a few bytes are read at a time.
+    # The server shuts down its sending side instead of answering, and continues to read.
+    HALF_CLOSE = auto()
+    ERROR = auto()  # The answer is ERR; a standing connection gets HALF_CLOSE.
 
 
 class Phase(Enum):
+    """The phase of a connection."""
+
     FIRST_LINE = auto()
     SETTING_UP = auto()
     STANDING = auto()
@@ -52,15 +59,17 @@
 
 
 class Ending(Enum):
-    """What has to be done about the socket once `out` is written."""
+    """What has to be done with the socket once `output` is written."""
 
-    FINISH = auto()  # end our side, read on
+    FINISH = auto()  # Shut down the sending side and continue to read.
     CLOSE = auto()
     RESET = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class FirstLine:
+    """A parsed first line; `fields` holds its name=value pairs."""
+
     request: int
     key: int
     wait_ms: int
@@ -68,7 +77,7 @@
 
     @classmethod
     def read(cls, line: bytes) -> "FirstLine":
-        """`NotSent` if it has not the form that clients give it."""
+        """Parses a first line; raises InvalidFirstLine if it does not have the form that clients use."""
         match = FIRST_LINE_PATTERN.fullmatch(line)
         if match is None:
             raise InvalidFirstLine("its form")
@@ -88,8 +97,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassWork:
-    """Of one class's connections. number: its place. set_up_us: mean work of a set-up on a standard core.
-    load: of one whose line names no `w`. swing_sigma, change_us: how its load changes."""
+    """The work that connections of one class cause.
+
+    `number` is the position of the class, `set_up_us` the mean work of a set-up on a standard core, and
+    `load` the load of a connection whose line has no `w`. `swing_sigma` and `change_us` describe how far and
+    how often the load changes.
+    """
 
     number: int
     set_up_us: float
@@ -99,7 +112,7 @@
 
 
 class _NullMessages:
-    """Conversations hear of their calls without the model's messages."""
+    """Ignores the model's notifications, as connections here observe their calls directly."""
 
     def replied(self, call: Call, over: Over) -> None: ...
 
@@ -113,11 +126,13 @@
 
 @dataclass(slots=True)
 class ServerProcess:
-    """One push server's process: what all its connections share.
+    """One push server's process: the state that all its connections share.
 
-    fluid: its machine. capacity: as the checker is told it. ways_us: by relay, of a message there and back.
-    error_rate: share of set-ups that it answers ERR. park_us: how long a connection is kept whose relay has
-    gone; 0: not at all. store: what every set-up asks when its work is done.
+    `fluid` models the machine, and `capacity` is what the checker is told about it. `round_trips_us` holds
+    the network round trip to each relay. `error_rate` is the share of set-ups answered ERR. `park_us` is how
+    long a connection is kept after its relay has disconnected; 0 means that it is dropped at once. `store` is
+    the shared store that every set-up asks when its work is done. `by_key` holds the standing connections by
+    client key, and `syntax_errors` counts first lines that no client sent.
     """
 
     fluid: Server
@@ -133,11 +148,9 @@
     store: Store | None = None
     fault: Fault | None = None
     fault_share: float = 0.0
-    by_key: dict[int, "ServerConnection"] = field(
-        default_factory=dict
-    )  # those that stand, by the client's key
+    by_key: dict[int, "ServerConnection"] = field(default_factory=dict)
     parked_until: dict[int, int] = field(default_factory=dict)
-    syntax_errors: int = 0  # first lines that no client sent
+    syntax_errors: int = 0
 
     @property
     def host(self) -> str:
@@ -148,16 +161,16 @@
         return self.fluid.machine.number
 
     def accept(self, relay: int) -> "ServerConnection":
-        """A relay's connection has been accepted."""
+        """Returns the state for a newly accepted connection from a relay."""
         is_affected = self.fault is not None and self.random.random() < self.fault_share
         return ServerConnection(self, relay, self.fault if is_affected else None)
 
     def holds(self, key: int) -> bool:
-        """Whether a connection of this client can go on here."""
+        """Returns whether a connection of this client can continue on this server."""
         return key in self.by_key or key in self.parked_until
 
     def start(self, now: int, cold: bool) -> None:
-        """The process begins afresh."""
+        """Resets the state for a new start of the process."""
         self.by_key.clear()
         self.parked_until.clear()
         fluid = self.fluid
@@ -167,7 +180,7 @@
         self.seen.server_started(now, self.number, self.capacity, cold)
 
     def check(self, now: int) -> list["ServerConnection"]:
-        """Brings the machine up to now; gives those that it drops, as too much is piled up."""
+        """Advances the machine to `now`; returns the connections to drop because of excess work."""
         fluid = self.fluid
         fluid.refresh(now)
         for key in [key for key, until in self.parked_until.items() if until <= now]:
@@ -177,37 +190,41 @@
         capacity = fluid.capacity()
         used = (fluid.demand + fluid.set_up_load) / capacity if capacity > 0 else 1.0
         fluid.wait_us = float(self.messages.waits(np.array([used]))[0])
-        full = fluid.machine.kind.buffer_s * fluid.machine.capacity
-        if fluid.piled <= full:
+        limit = fluid.machine.kind.buffer_s * fluid.machine.capacity
+        if fluid.piled <= limit:
             return []
-        fluid.drop(fluid.piled - full)
+        fluid.drop(fluid.piled - limit)
         return self._heaviest(capacity)
 
     def _heaviest(self, capacity: float) -> list["ServerConnection"]:
-        """One at least, until the rest fits."""
-        left = self.fluid.demand
+        """Returns the heaviest connections, at least one, so that the remaining load fits the capacity."""
+        remaining = self.fluid.demand
         is_affected: list[ServerConnection] = []
         for connection in sorted(self.by_key.values(), key=lambda held: (-held.load, held.request)):
-            if is_affected and (left <= ROOM * capacity or capacity <= 0):
+            if is_affected and (remaining <= ROOM * capacity or capacity <= 0):
                 break
-            left -= connection.load
+            remaining -= connection.load
             is_affected.append(connection)
         return is_affected
 
     def delay_us(self, now: int) -> int:
-        """Of a line, from its arrival to its answer; for ever while nothing is done."""
+        """Returns the delay from a line's arrival to its reply; huge while no work is done."""
         self.fluid.advance(now)
         own_us = self.messages.own_us(0) + self.fluid.pile_us()
         return int(min(own_us + self.random.exponential(1.0) * self.fluid.wait_us, 1e12))
 
     def forget(self, key: int) -> None:
+        """Drops the parked connection of this client."""
         del self.parked_until[key]
         self.fluid.unpark(self.fluid.parked[key])
 
 
 class ServerConnection:
-    """One connection from a relay. `out` is to be written, then `ending` carried out; `due` is the moment at
-    which `tick` wants to be called if nothing comes before."""
+    """One connection from a relay.
+
+    The caller writes `output` and then carries out `ending`. `due` is the time at which the caller has to
+    call `tick` unless input comes first; None means never.
+    """
 
     def __init__(self, process: ServerProcess, relay: int, fault: Fault | None) -> None:
         self.process = process
@@ -227,7 +244,7 @@
         self._has_asked_store = False
         self._pending_replies: list[tuple[int, bytes]] = []
         self._load_change_at: int | None = None
-        self._is_hung = False  # nothing will come any more
+        self._is_hung = False  # No further output follows.
 
     @property
     def load(self) -> float:
@@ -237,10 +254,10 @@
     def request(self) -> int:
         return self._call.request if self._call is not None else -1
 
-    # ---- what comes in ----
+    # ---- input ----
 
     def received(self, data: bytes, now: int) -> None:
-        """Bytes from the relay; none: it has ended its sending."""
+        """Handles bytes from the relay; no bytes mean that the relay has shut down its sending side."""
         if not data:
             return self.disconnected(now)
         self._first_byte_at = self._first_byte_at or now
@@ -256,7 +273,7 @@
             self._reject("a line is too long", now)
 
     def disconnected(self, now: int) -> None:
-        """The relay has closed this connection, or reset it."""
+        """Handles the relay's close or reset of the connection."""
         if self.phase is Phase.SETTING_UP:
             self._report_attempt(now, Over.ABANDONED)
         elif self.phase is Phase.STANDING:
@@ -265,7 +282,7 @@
         self.ending = self.ending or Ending.CLOSE
 
     def tick(self, now: int) -> None:
-        """`due` has come."""
+        """Does what was planned for the time `due`."""
         if self.phase is Phase.SETTING_UP:
             self._check_set_up(now)
         elif self.phase is Phase.STANDING:
@@ -274,10 +291,10 @@
                 self._change_load(now)
             self._set_due()
 
-    # ---- what the server does of itself ----
+    # ---- actions of the server ----
 
     def apply_fault(self, fault: Fault, now: int) -> None:
-        """This fault befalls a connection that is open already."""
+        """Applies a fault to a connection that is already open."""
         if self.phase is Phase.OVER:
             return
         self.fault = fault
@@ -289,7 +306,7 @@
             self.hang(now)
 
     def hang(self, now: int) -> None:
-        """From now on it stays open and silent."""
+        """Keeps the connection open and silent from now on."""
         if self.phase is Phase.STANDING and not self._is_hung:
             self._report_broken(now, silent=True)
         elif self.phase is Phase.SETTING_UP:
@@ -298,7 +315,7 @@
         self.due = None
 
     def end(self, now: int, ending: Ending, over: Over, word: bytes = b"") -> None:
-        """With `word`, a polite end; without, the connection breaks."""
+        """Ends the connection: orderly after the line `word`, or as a break without one."""
         if self.phase is Phase.SETTING_UP:
             self._report_attempt(now, over)
         elif self.phase is Phase.STANDING:
@@ -311,17 +328,17 @@
         self.due = None
 
     def move(self, now: int) -> None:
-        """A draining server sends its client away."""
+        """Sends MOVE to the client of a standing connection."""
         if self.phase is Phase.STANDING and not self._is_hung:
             self.end(now, Ending.CLOSE, Over.UP, b"MOVE\r\n")
 
     def supersede(self, now: int) -> None:
-        """The same connection has come another way; this end of it means nothing any more."""
+        """Ends this end of a connection that has arrived again over another path."""
         self._remove(now, park=False)
         self.phase = Phase.OVER
         self.ending = Ending.CLOSE
 
-    # ---- the first line ----
+    # ---- first line and set-up ----
 
     def _read_first_line(self, line: bytes, now: int) -> None:
         process = self.process
@@ -377,13 +394,13 @@
             self._answer(now, Over.RESET, ending=Ending.RESET)
         elif fluid.stage is Stage.DRAINS or len(fluid.waiting) >= fluid.queue or fluid.held >= fluid.cap:
             self._answer(now, Over.BUSY, b"BUSY\r\n")
-        elif "at" in first.fields or first.fields.get("s") == "0":  # it stood before: that costs nothing
+        elif "at" in first.fields or first.fields.get("s") == "0":  # No set-up work: it stood before.
             self._send_up(now, call)
         else:
             self._queue_set_up(call, now)
 
     def _resume(self, call: Call, now: int) -> None:
-        """A connection whose packets come another way now: only the server that holds it can go on."""
+        """Continues a connection whose packets come over another path; only the server that holds it can."""
         before = self.process.by_key.get(call.connection)
         if before is not None:
             before.supersede(now)
@@ -410,11 +427,11 @@
         fluid, call = self.process.fluid, self._call
         assert call is not None
         fluid.advance(now)
-        fluid.take_done()  # those that were left out ahead of it stand in its way no longer
-        if fluid.reached < self._set_up_end - 1:  # its capacity has fallen since
+        fluid.take_done()  # Abandoned set-ups no longer hold up those behind them.
+        if fluid.reached < self._set_up_end - 1:  # The capacity has fallen in the meantime.
             capacity = fluid.capacity()
-            left = (self._set_up_end - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
-            self.due = now + max(MIN_SET_UP_RECHECK_US, min(TICK_US, int(left)))
+            remaining = (self._set_up_end - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
+            self.due = now + max(MIN_SET_UP_RECHECK_US, min(TICK_US, int(remaining)))
             return
         if self.process.store is not None and not self._has_asked_store:
             self._has_asked_store = True
@@ -477,7 +494,7 @@
             return self.end(now, Ending.CLOSE, Over.UP, b"BYE\r\n")
         self._report_late_line(line, now)
         delay = self.process.delay_us(now) + self.process.round_trips_us[self.relay]
-        # An answer tells when it was given; lines that are not of this form come back as they are.
+        # A reply to "M <time>" contains the time of the reply; all other lines are echoed unchanged.
         answer = b"E %d %b\r\n" % (now + delay, line[2:]) if line[:2] == b"M " else line + LINE_END
         if delay < MIN_REPLY_DELAY_US and not self._pending_replies:
             self.output += answer
@@ -487,13 +504,13 @@
             self._set_due()
 
     def _report_late_line(self, line: bytes, now: int) -> None:
-        """A line tells when it was sent."""
+        """Records a line that arrived late, by the sending time that the line contains."""
         word, _, sent = line.partition(b" ")
         if word == b"M" and sent.isdigit() and now - int(sent) > MAX_LINE_DELAY_US:
             self.process.seen.held_back(now, self.request, now - int(sent))
 
     def _send_replies(self, now: int) -> None:
-        if self.process.fluid.capacity() <= 0:  # it does nothing at all
+        if self.process.fluid.capacity() <= 0:  # No work is done at present.
             self._pending_replies = [(max(at, now + TICK_US), answer) for at, answer in self._pending_replies]
         while self._pending_replies and self._pending_replies[0][0] <= now:
             self.output += self._pending_replies.pop(0)[1]
@@ -504,7 +521,7 @@
             self._load_change_at = now + int(work.change_us * self.process.random.uniform(0.5, 1.5))
 
     def _change_load(self, now: int) -> None:
-        """Its load is drawn anew round its usual one."""
+        """Draws a new load around the connection's usual load."""
         call, work, fluid = self._call, self._work, self.process.fluid
         assert call is not None and work is not None
         sigma = work.swing_sigma
@@ -525,7 +542,7 @@
         self.process.seen.broke(now, self.request, self.process.number, silent)
 
     def _remove(self, now: int, park: bool) -> None:
-        """It stands no more."""
+        """Removes the connection from the standing ones; `park` keeps it for `park_us`."""
         process, call = self.process, self._call
         assert call is not None
         process.fluid.advance(now)
--- a/glenfold_lab/stand_ins/seen.py
+++ b/glenfold_lab/stand_ins/seen.py
@@ -1,16 +1,19 @@
-"""What stand-ins saw: the lab's observations, and what only both ends together can name.
+"""Records of what stand-ins saw: observations of the lab, and events that need both ends to classify.
 
-A stand-in records `broke`, `unsaid`, `stopping`, `stalled` and `due` as it sees them; `judge` turns them into
-observations once those of all stand-ins are at hand.
+A stand-in records `broke`, `unsaid`, `stopping`, `stalled` and `due` as they occur; `judge` turns them into
+observations once the records of all stand-ins are collected.
 """
 
 from glenfold_lab.observe import Recorder, Told
 
 
 class Seen(Recorder):
-    """Observations as records, the moment first. faults: what no relay may do, beyond the platform's rules:
-    the moment, the relay, and words. unreached: connects of clients that a relay's machine refused or reset:
-    the moment, the relay and the error's number."""
+    """Keeps observations as records whose first value is the time in microseconds.
+
+    `faults` holds violations of the line protocol by a relay, which the platform's rules do not cover, as
+    (time, relay, description). `unreached` holds client connects that a relay's machine refused or reset, as
+    (time, relay, errno).
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -18,24 +21,25 @@
         self.unreached: list[tuple[int, int, int]] = []
 
     def broke(self, at: int, request: int, server: int, silent: bool) -> None:
-        """The push server ended this standing connection without a word, or is silent on it from now on."""
+        """Records that the push server broke a standing connection, or is silent on it from now on."""
         self.records.append(("broke", (at, request, server, silent)))
 
     def unsaid(self, at: int, request: int) -> None:
-        """A client's standing connection ended without MOVE or BYE."""
+        """Records that a client's standing connection ended without MOVE or BYE."""
         self.records.append(("unsaid", (at, request)))
 
     def stopping(self, at: int, relay: int) -> None:
-        """SIGTERM is sent to the relay: a planned restart begins."""
+        """Records that SIGTERM is sent to the relay, which begins a planned restart."""
         self.records.append(("stopping", (at, relay)))
 
     def stalled(self, at: int, relay: int, until: int) -> None:
-        """The relay's process is stopped until then."""
+        """Records that the relay's process is stopped until the time `until`."""
         self.records.append(("stalled", (at, relay, until)))
 
     def due(self, at: int, relay: int, server: int, state: Told, started_us: int) -> None:
-        """The relay counts as told this by now, whether it was or not."""
+        """Records that the relay has to know this state by now, whether the agent sent it or not."""
         self.records.append(("due", (at, relay, server, state, started_us)))
 
     def fault(self, at: int, relay: int, words: str) -> None:
+        """Records a violation of the line protocol by a relay; `words` describes it."""
         self.faults.append((at, relay, words))
--- a/glenfold_lab/stand_ins/service.py
+++ b/glenfold_lab/stand_ins/service.py
@@ -1,4 +1,4 @@
-"""What clients had of what they wanted, second by second, and what the last second brought."""
+"""How much of the connection time that clients wanted they were served, second by second."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -14,8 +14,11 @@
 
 @dataclass(slots=True)
 class SecondCounts:
-    """What one process of stand-ins saw in one second: `answers` by kind, `set_ups_us` of those that came up,
-    `standing` at its end."""
+    """What one process of stand-ins saw in one second.
+
+    `answers` are counted by kind, `set_ups_us` are the set-up times of the connections answered UP, and
+    `standing` is the number of standing connections at the end of the second.
+    """
 
     second: int
     standing: int = 0
@@ -27,8 +30,11 @@
 
 
 class ServiceSeconds:
-    """Seconds of clients, by class and second of the history: `wanted`, and `served`, that is with a
-    connection whose lines came back within the aim. Times are microseconds of one clock."""
+    """Client seconds by class and by second of the history.
+
+    `wanted` counts the time for which clients wanted a connection, and `served` the time with a connection
+    whose lines came back within the aim. Times are microseconds of one clock.
+    """
 
     def __init__(self, classes: int, start: int, length_us: int) -> None:
         shape = classes, -(-length_us // SECOND_US)
@@ -38,7 +44,7 @@
         self._end = start + length_us
 
     def add(self, table: Floats, request_class: int, begin: int, end: int) -> None:
-        """Adds this stretch to `wanted` or `served`, as far as it lies in the history."""
+        """Adds the period from `begin` to `end` to `table` (`wanted` or `served`), clipped to the history."""
         begin, end = max(begin, self._start) - self._start, min(end, self._end) - self._start
         while begin < end:
             second = begin // SECOND_US
@@ -48,8 +54,11 @@
 
 
 class ServicePeriod:
-    """Whether one standing connection serves its client, by its lines: those that come back late, or never,
-    take away the time from their own moment to that of the next one in time. until: its client wants it."""
+    """The time for which one standing connection serves its client, judged by its lines.
+
+    A line that comes back late or never takes away the time from its sending to that of the next line that
+    comes back in time. `until` is the time until which the client wants the connection.
+    """
 
     def __init__(
         self, served: ServiceSeconds, request_class: int, aim_us: float, up_at: int, until: int
@@ -59,9 +68,11 @@
         self._sent_at: list[int] = []
 
     def line_sent(self, at: int) -> None:
+        """Notes that the client sent a line."""
         self._sent_at.append(at)
 
     def line_returned(self, now: int) -> None:
+        """Notes that the oldest line awaiting its reply has come back."""
         at = self._sent_at.pop(0)
         if now - at > self._aim:
             self._close(at)
@@ -69,6 +80,7 @@
             self._good_since = at
 
     def end(self, now: int) -> None:
+        """Ends the period, at the sending of the oldest unanswered line if that is late by now."""
         late = self._sent_at and now - self._sent_at[0] > self._aim
         self._close(self._sent_at[0] if late else now)
 
@@ -81,8 +93,12 @@
 def figures(
     wanted: Floats, served: Floats, classes: Sequence[str], warm_up: int, window: int = 10
 ) -> dict[str, float]:
-    """service: the share of all that was wanted; worst_window: of the worst so many seconds; worst_class; and
-    one for each class. The first `warm_up` seconds do not count; 1 where nothing was wanted."""
+    """Returns the shares of the wanted time that were served.
+
+    `service` is the share overall, `worst_window` that of the worst `window` seconds, and `worst_class` that
+    of the worst class; one more follows for each class. The first `warm_up` seconds do not count. A share is
+    1 where nothing was wanted.
+    """
     wanted, served = wanted[:, warm_up:], served[:, warm_up:]
     by_class = [
         _ratio(float(had.sum()), float(asked.sum())) for had, asked in zip(served, wanted, strict=True)
@@ -92,12 +108,14 @@
         np.convolve(table.sum(axis=0), np.ones(length), "valid") if length else np.ones(1)
         for table in (served, wanted)
     )
-    found = {
+    shares = {
         "service": _ratio(float(served.sum()), float(wanted.sum())),
-        "worst_window": min(_ratio(float(h), float(a)) for h, a in zip(had, asked, strict=True)),
+        "worst_window": min(
+            _ratio(float(served_s), float(wanted_s)) for served_s, wanted_s in zip(had, asked, strict=True)
+        ),
         "worst_class": min(by_class),
     }
-    return found | {f"service {name}": share for name, share in zip(classes, by_class, strict=True)}
+    return shares | {f"service {name}": share for name, share in zip(classes, by_class, strict=True)}
 
 
 def _ratio(had: float, asked: float) -> float:
--- a/glenfold_lab/stand_ins/sockets.py
+++ b/glenfold_lab/stand_ins/sockets.py
@@ -1,4 +1,7 @@
-"""What stand-ins need of sockets; not the relay's own helpers, whose faults must not hide themselves here."""
+"""Socket helpers of the stand-ins.
+
+The relay's own helpers are not used, since a fault in them would then affect both sides and go unseen.
+"""
 
 import socket
 import struct
@@ -13,7 +16,10 @@
 
 
 def bind(host: str, port: int = 0) -> SocketType:
-    """Bound and not listening: the address is kept, and whoever connects to it is refused."""
+    """Returns a bound socket that does not listen: the address stays reserved and refuses connections.
+
+    Raises ValueError if `host` is not a loopback address.
+    """
     if not host.startswith("127."):
         raise ValueError(f"{host} is not a loopback address")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -24,12 +30,12 @@
 
 
 def format_address(address: Address) -> str:
-    """HOST:PORT."""
+    """Returns the address as HOST:PORT."""
     return f"{address[0]}:{address[1]}"
 
 
 def start_connect(address: Address) -> SocketType:
-    """A connection that need not come up."""
+    """Returns a socket that has begun to connect; the connection may never be established."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.connect_ex(address)
@@ -37,19 +43,19 @@
 
 
 async def send_all(sock: SocketType, data: bytes) -> None:
-    """Writes it all."""
+    """Writes all bytes of `data`."""
     remaining = memoryview(data)
     while remaining:
         remaining = remaining[await sock.send(remaining) :]
 
 
 def shutdown_send(sock: SocketType) -> None:
-    """Ends our side; what was written still arrives."""
+    """Shuts down the sending side; data already written is still delivered."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
 
 
 def reset_on_close(sock: SocketType) -> None:
-    """The close to come resets the connection."""
+    """Makes the next close of the socket reset the connection."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
