--- a/tests/glenfold_lab/test_stand_in_front.py
+++ b/tests/glenfold_lab/test_stand_in_front.py
@@ -1,4 +1,4 @@
-"""When the front on sockets takes relays out, and admits them again."""
+"""When the stand-in front removes relays and admits them again."""
 
 from functools import partial
 
@@ -14,17 +14,17 @@
 
 
 class FakeRelay:
-    """Answers PING while it is up."""
+    """A relay that answers PING while it runs."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.address = free_address(ADDRESS)
         self._nursery = nursery
         self._scope = trio.CancelScope()
 
-    async def come_up(self) -> None:
+    async def start(self) -> None:
         await self._nursery.start(self._serve)
 
-    def go(self) -> None:
+    def stop(self) -> None:
         self._scope.cancel()
 
     async def _serve(self, task_status: trio.TaskStatus[object]) -> None:
@@ -38,15 +38,15 @@
             await stream.send_all(b"PONG\r\n")
 
 
-async def until(front: SocketFront, admitted: list[int]) -> float:
-    """Seconds until the front knows it so."""
-    began = trio.current_time()
+async def wait_for_admitted(front: SocketFront, admitted: list[int]) -> float:
+    """Waits until the front admits just these relays; returns the seconds that it took."""
+    started_at = trio.current_time()
     while front.admitted != admitted:
         await trio.sleep(0.05)
-    return trio.current_time() - began
+    return trio.current_time() - started_at
 
 
-def test_a_death_is_noticed_late_and_a_planned_end_at_once() -> None:
+def test_a_death_is_noticed_late_and_a_planned_restart_at_once() -> None:
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             relays = [FakeRelay(nursery), FakeRelay(nursery)]
@@ -54,20 +54,20 @@
             front = SocketFront([0, 0], addresses, 2.0, np.random.default_rng(1), MachineClock())
             nursery.start_soon(front.watch, trio.Event())
             for relay in relays:
-                await relay.come_up()
-            await until(front, [0, 1])
-            relays[0].go()
-            assert 1.5 < await until(front, [1]) < 2.5
-            await relays[0].come_up()
-            await until(front, [0, 1])
-            nursery.start_soon(front.retire, 0)  # still answers for a while
-            assert await until(front, [1]) < 0.5
+                await relay.start()
+            await wait_for_admitted(front, [0, 1])
+            relays[0].stop()
+            assert 1.5 < await wait_for_admitted(front, [1]) < 2.5
+            await relays[0].start()
+            await wait_for_admitted(front, [0, 1])
+            nursery.start_soon(front.retire, 0)  # The relay still answers for a while.
+            assert await wait_for_admitted(front, [1]) < 0.5
             await trio.sleep(3)
             assert front.admitted == [1]
-            relays[0].go()
+            relays[0].stop()
             await trio.sleep(1)
-            await relays[0].come_up()
-            assert await until(front, [0, 1]) < 0.5
+            await relays[0].start()
+            assert await wait_for_admitted(front, [0, 1]) < 0.5
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.002))
--- a/tests/glenfold_lab/test_stand_in_servers.py
+++ b/tests/glenfold_lab/test_stand_in_servers.py
@@ -1,4 +1,4 @@
-"""Each fault of a push server, as a real relay and its clients meet it."""
+"""The faults of a stand-in push server, with a real relay and its clients."""
 
 from pathlib import Path
 
@@ -30,10 +30,10 @@
         ("vanish", None),
     ],
 )
-def test_a_faulty_server_costs_an_attempt_at_most_and_no_answer(
+def test_a_faulty_server_costs_at_most_one_attempt_and_no_answer(
     tmp_path: Path, fault: Fault | str, over: Over | None
 ) -> None:
-    """None: no line reaches it, so no attempt counts."""
+    """With None as `over` no line reaches the faulty server, so no attempt is recorded."""
 
     async def script(world: World) -> None:
         faulty, sound = world.servers
@@ -52,7 +52,7 @@
     ("fault", "last"),
     [(Fault.RESET, None), (Fault.HALF_CLOSE, b""), (Fault.HANG, b"MOVE\r\n"), (Fault.AFTER_LINE, None)],
 )
-def test_a_standing_connection_meets_its_servers_fault(
+def test_a_standing_connection_shows_the_fault_of_its_server(
     tmp_path: Path, fault: Fault, last: bytes | None
 ) -> None:
     async def script(world: World) -> None:
@@ -78,12 +78,12 @@
         world.servers[0].set_fault(Fault.SLOW)
         assert (await world.answer()).startswith(b"UP s-0.")
         first, last = world.seen_of("sent")[0][4], world.seen_of("sent")[0][0]
-        assert last - first >= 300_000  # from its first byte to its last
+        assert last - first >= 300_000  # The time from the first byte to the last.
 
     play(tmp_path, script, servers=1)
 
 
-def test_a_draining_server_takes_nothing_and_moves_its_clients_one_by_one(tmp_path: Path) -> None:
+def test_a_draining_server_accepts_nothing_and_moves_its_clients_one_by_one(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         streams = [await world.open(key) for key in range(4)]
         for stream in streams:
@@ -91,16 +91,16 @@
         world.servers[0].drain()
         world.servers[0].send_away(over_us=1_000_000)
         assert (await world.answer(key=99)).startswith(b"BUSY ")
-        began, moments = world.clock.now_us(), []
+        started_at, times_ms = world.clock.now_us(), []
         for stream in streams:
             assert await read_line(stream) == b"MOVE\r\n"
-            moments.append((world.clock.now_us() - began) // 1000)
-        assert moments == [200, 400, 600, 800]
+            times_ms.append((world.clock.now_us() - started_at) // 1000)
+        assert times_ms == [200, 400, 600, 800]
 
     play(tmp_path, script, servers=1)
 
 
-def test_what_is_said_while_an_answer_is_written_still_goes_out(
+def test_a_line_added_while_an_answer_is_written_is_still_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def script(world: World) -> None:
@@ -118,7 +118,7 @@
     play(tmp_path, script, servers=1)
 
 
-def test_a_full_server_is_busy_and_a_client_that_quits_is_served_to_its_end(tmp_path: Path) -> None:
+def test_a_full_server_answers_busy_and_a_quit_is_answered_bye(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         stream = await world.open()
         assert (await read_line(stream)).startswith(b"UP ")
@@ -130,18 +130,18 @@
     play(tmp_path, script, servers=1, cap=0.01)
 
 
-def test_a_jammed_server_answers_nothing_until_it_is_free(tmp_path: Path) -> None:
+def test_an_overloaded_server_answers_nothing_until_the_overload_ends(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         stream, server = await world.open(), world.servers[0]
         assert (await read_line(stream)).startswith(b"UP ")
         server.set_overloaded(True)
-        waits = await world.open(key=8)
+        waiting = await world.open(key=8)
         await stream.send_all(b"hello\r\n")
         await world.clock.until(world.clock.now_us() + 700_000)
         assert server.standing == 1 and len(server.process.fluid.waiting) == 1
         server.set_overloaded(False)
         assert await read_line(stream) == b"hello\r\n"
-        assert (await read_line(waits)).startswith(b"UP ")
+        assert (await read_line(waiting)).startswith(b"UP ")
 
     play(tmp_path, script, servers=1)
 
@@ -167,9 +167,9 @@
             server.cut_off([1], ended=False)
             await streams[1].send_all(b"hello\r\n")
             assert (await read_line(await ask(server, 0, 2))).startswith(b"UP ")
-            for never in (ask(server, 1, 3), read_line(streams[1])):
+            for unanswered in (ask(server, 1, 3), read_line(streams[1])):
                 with trio.move_on_at(trio.current_time() + 2):
-                    raise AssertionError(await never)
+                    raise AssertionError(await unanswered)
             server.come_back()
             with pytest.raises(trio.BrokenResourceError):
                 await read_line(streams[1])
@@ -180,11 +180,11 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.01))
 
 
-def test_only_the_server_that_holds_a_connection_goes_on_with_it(tmp_path: Path) -> None:
+def test_only_the_server_that_holds_a_connection_continues_it(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         stream = await world.open(more=("g=5",))
         assert (await read_line(stream)).startswith(b"UP ")
-        await stream.aclose()  # its packets come another way now
+        await stream.aclose()  # The packets come over another path from now on.
         await trio.sleep(1.0)
         again = await world.open(more=("g=5", "mid=1"))
         assert (await read_line(again)).startswith(b"UP ")
@@ -208,7 +208,7 @@
         standing.SEAL.line(1, 2, ["c=watch"], 50).strip().replace(b"01 ", b"03 "),
     ],
 )
-def test_what_no_client_sends_is_answered_syntax(tmp_path: Path, sent: bytes) -> None:
+def test_a_first_line_that_no_client_sends_is_answered_syntax(tmp_path: Path, sent: bytes) -> None:
     async def script(world: World) -> None:
         stream = await trio.open_tcp_stream(*world.servers[0].addresses[0])
         await stream.send_all(sent + b"\r\n")
