--- a/glenfold_lab/stand_ins/push_states.py
+++ b/glenfold_lab/stand_ins/push_states.py
@@ -1,8 +1,8 @@
-"""One push server's side of the line protocol, without I/O: bytes and moments in, bytes and endings out.
+"""One push server's side of the line protocol, without I/O: bytes and times in, bytes and endings out.
 
-What its machine can do is the model's fluid (`glenfold_lab.model.servers.server`). It is stricter than the
-relays under test: a first line that no client sent is answered SYNTAX and told of. Times are microseconds
-of the machine's clock.
+The capacity of its machine is the model's fluid queue (`glenfold_lab.model.servers.server`). The server is
+stricter than the relays under test: it answers SYNTAX to a first line that no client sent, and records it as
+a fault of the relay. Times are microseconds of the machine's clock.
 """
 
 import math
@@ -19,30 +19,39 @@
 from glenfold_lab.model.wire import Call
 from glenfold_lab.observe import AttemptOutcome, Capacity, End
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
-from glenfold_lab.stand_ins.seal import NotSent, Seal
+from glenfold_lab.stand_ins.seal import InvalidFirstLine, Seal
 from glenfold_lab.stand_ins.seen import Seen
 
-END = b"\r\n"
-MAX_LINE = 4096
-HELD_BACK_US = SECOND_US  # a line that took longer from one side to the other
-AT_ONCE_US = 3_000  # an answer due sooner is given at once: a timer costs more than it tells
-FIRST = re.compile(rb"OPEN ([0-9a-f]{1,16}) ([0-9a-f]{1,16}) ([a-z]+=[!-+\--~]*(?:,[a-z]+=[!-+\--~]*)*)")
+LINE_END = b"\r\n"
+MAX_LINE_BYTES = 4096
+# A line that takes longer from one end to the other is recorded as held back.
+MAX_LINE_DELAY_US = SECOND_US
+# A reply due sooner is sent at once, as a timer would cost more than the delay matters.
+MIN_REPLY_DELAY_US = 3_000
+FIRST_LINE_PATTERN = re.compile(
+    rb"OPEN ([0-9a-f]{1,16}) ([0-9a-f]{1,16}) ([a-z]+=[!-+\--~]*(?:,[a-z]+=[!-+\--~]*)*)"
+)
 
-LEAST_US = 1_000  # until a set-up that is not done yet is looked at again
+# The least time until an unfinished set-up is checked again.
+MIN_SET_UP_RECHECK_US = 1_000
 
 
 class Fault(Enum):
-    """What befalls a connection."""
+    """An injected fault of a connection."""
 
-    RESET = auto()  # reset at once
-    AFTER_LINE = auto()  # reset once the last byte of its first line was read; standing: of its next line
-    HANG = auto()  # it stays open and nothing comes
-    SLOW = auto()  # a few bytes are read at a time
-    HALF_CLOSE = auto()  # the server ends its own side where it would have answered, and reads on
-    ERROR = auto()  # ERR; standing: as HALF_CLOSE
+    RESET = auto()  # The connection is reset at once.
+    # The connection is reset after its first line is read, or a standing one after its next line.
+    AFTER_LINE = auto()
+    HANG = auto()  # The connection stays open without any output.
+    SLOW = auto()  # Only a few bytes are read at a time.
+    # The server shuts down its sending side instead of answering, and continues to read.
+    HALF_CLOSE = auto()
+    ERROR = auto()  # The answer is ERR; a standing connection gets HALF_CLOSE.
 
 
 class Phase(Enum):
+    """The phase of a connection."""
+
     FIRST_LINE = auto()
     SETTING_UP = auto()
     STANDING = auto()
@@ -50,44 +59,50 @@
 
 
 class Ending(Enum):
-    """What has to be done about the socket once `out` is written."""
+    """What has to be done with the socket once `output` is written."""
 
-    FINISH = auto()  # end our side, read on
+    FINISH = auto()  # Shut down the sending side and continue to read.
     CLOSE = auto()
     RESET = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class FirstLine:
+    """A parsed first line; `fields` holds its name=value pairs."""
+
     request: int
     key: int
     wait_ms: int
-    figures: dict[str, str]
+    fields: dict[str, str]
 
     @classmethod
     def read(cls, line: bytes) -> "FirstLine":
-        """`NotSent` if it has not the form that clients give it."""
-        match = FIRST.fullmatch(line)
+        """Parses a first line; raises InvalidFirstLine if it does not have the form that clients use."""
+        match = FIRST_LINE_PATTERN.fullmatch(line)
         if match is None:
-            raise NotSent("its form")
+            raise InvalidFirstLine("its form")
         pairs = [pair.partition("=") for pair in match[3].decode().split(",")]
-        figures = {name: value for name, _, value in pairs}
-        if len(figures) < len(pairs):
-            raise NotSent("a figure comes twice")
-        wait = figures.get("d", "")
+        fields = {name: value for name, _, value in pairs}
+        if len(fields) < len(pairs):
+            raise InvalidFirstLine("a figure comes twice")
+        wait = fields.get("d", "")
         if not wait.isdigit() or int(wait) < 1:
-            raise NotSent("it tells no wait")
+            raise InvalidFirstLine("it tells no wait")
         try:
-            float(figures.get("w", "0")), int(figures.get("g", "0"), 16)
+            float(fields.get("w", "0")), int(fields.get("g", "0"), 16)
         except ValueError as error:
-            raise NotSent(f"a figure is no number: {error}") from error
-        return cls(int(match[1], 16), int(match[2], 16), int(wait), figures)
+            raise InvalidFirstLine(f"a figure is no number: {error}") from error
+        return cls(int(match[1], 16), int(match[2], 16), int(wait), fields)
 
 
 @dataclass(frozen=True, slots=True)
 class ClassWork:
-    """Of one class's connections. number: its place. set_up_us: mean work of a set-up on a standard core.
-    load: of one whose line names no `w`. swing_sigma, change_us: how its load changes."""
+    """The work that connections of one class cause.
+
+    `number` is the position of the class, `set_up_us` the mean work of a set-up on a standard core, and
+    `load` the load of a connection whose line has no `w`. `swing_sigma` and `change_us` describe how far and
+    how often the load changes.
+    """
 
     number: int
     set_up_us: float
@@ -96,8 +111,8 @@
     change_us: float = 10.0 * SECOND_US
 
 
-class _Nobody:
-    """Conversations hear of their calls without the model's messages."""
+class _NullMessages:
+    """Ignores the model's notifications, as connections here observe their calls directly."""
 
     def replied(self, call: Call, over: AttemptOutcome) -> None: ...
 
@@ -106,16 +121,18 @@
     def fell_silent(self, call: Call) -> None: ...
 
 
-NOBODY = _Nobody()
+NULL_MESSAGES = _NullMessages()
 
 
 @dataclass(slots=True)
-class Holder:
-    """One push server's process: what all its connections share.
-
-    fluid: its machine. capacity: as the checker is told it. ways_us: by relay, of a message there and back.
-    error_rate: share of set-ups that it answers ERR. park_us: how long a connection is kept whose relay has
-    gone; 0: not at all. store: what every set-up asks when its work is done.
+class ServerProcess:
+    """One push server's process: the state that all its connections share.
+
+    `fluid` models the machine, and `capacity` is what the checker is told about it. `round_trips_us` holds
+    the network round trip to each relay. `error_rate` is the share of set-ups answered ERR. `park_us` is how
+    long a connection is kept after its relay has disconnected; 0 means that it is dropped at once. `store` is
+    the shared store that every set-up asks when its work is done. `by_key` holds the standing connections by
+    client key, and `syntax_errors` counts first lines that no client sent.
     """
 
     fluid: Server
@@ -123,17 +140,17 @@
     messages: Messages
     seen: Seen
     random: np.random.Generator
-    works: dict[str, ClassWork]
-    ways_us: tuple[int, ...]
+    class_works: dict[str, ClassWork]
+    round_trips_us: tuple[int, ...]
     seal: Seal | None = None
     error_rate: float = 0.0
     park_us: int = 0
     store: Store | None = None
     fault: Fault | None = None
     fault_share: float = 0.0
-    by_key: dict[int, "Conversation"] = field(default_factory=dict)  # those that stand, by the client's key
+    by_key: dict[int, "ServerConnection"] = field(default_factory=dict)
     parked_until: dict[int, int] = field(default_factory=dict)
-    syntax: int = 0  # first lines that no client sent
+    syntax_errors: int = 0
 
     @property
     def host(self) -> str:
@@ -143,17 +160,17 @@
     def number(self) -> int:
         return self.fluid.machine.number
 
-    def accept(self, relay: int) -> "Conversation":
-        """A relay's connection has been accepted."""
-        struck = self.fault is not None and self.random.random() < self.fault_share
-        return Conversation(self, relay, self.fault if struck else None)
+    def accept(self, relay: int) -> "ServerConnection":
+        """Returns the state for a newly accepted connection from a relay."""
+        is_affected = self.fault is not None and self.random.random() < self.fault_share
+        return ServerConnection(self, relay, self.fault if is_affected else None)
 
     def holds(self, key: int) -> bool:
-        """Whether a connection of this client can go on here."""
+        """Returns whether a connection of this client can continue on this server."""
         return key in self.by_key or key in self.parked_until
 
     def start(self, now: int, cold: bool) -> None:
-        """The process begins afresh."""
+        """Resets the state for a new start of the process."""
         self.by_key.clear()
         self.parked_until.clear()
         fluid = self.fluid
@@ -162,8 +179,8 @@
         fluid.refresh(now)
         self.seen.server_started(now, self.number, self.capacity, cold)
 
-    def look(self, now: int) -> list["Conversation"]:
-        """Brings the machine up to now; gives those that it drops, as too much is piled up."""
+    def check(self, now: int) -> list["ServerConnection"]:
+        """Advances the machine to `now`; returns the connections to drop because of excess work."""
         fluid = self.fluid
         fluid.refresh(now)
         for key in [key for key, until in self.parked_until.items() if until <= now]:
@@ -173,57 +190,61 @@
         capacity = fluid.capacity()
         used = (fluid.demand + fluid.set_up_load) / capacity if capacity > 0 else 1.0
         fluid.wait_us = float(self.messages.waits(np.array([used]))[0])
-        full = fluid.machine.kind.buffer_s * fluid.machine.capacity
-        if fluid.piled <= full:
+        limit = fluid.machine.kind.buffer_s * fluid.machine.capacity
+        if fluid.piled <= limit:
             return []
-        fluid.drop(fluid.piled - full)
+        fluid.drop(fluid.piled - limit)
         return self._heaviest(capacity)
 
-    def _heaviest(self, capacity: float) -> list["Conversation"]:
-        """One at least, until the rest fits."""
-        left = self.fluid.demand
-        struck: list[Conversation] = []
-        for one in sorted(self.by_key.values(), key=lambda held: (-held.load, held.request)):
-            if struck and (left <= ROOM * capacity or capacity <= 0):
+    def _heaviest(self, capacity: float) -> list["ServerConnection"]:
+        """Returns the heaviest connections, at least one, so that the remaining load fits the capacity."""
+        remaining = self.fluid.demand
+        is_affected: list[ServerConnection] = []
+        for connection in sorted(self.by_key.values(), key=lambda held: (-held.load, held.request)):
+            if is_affected and (remaining <= ROOM * capacity or capacity <= 0):
                 break
-            left -= one.load
-            struck.append(one)
-        return struck
+            remaining -= connection.load
+            is_affected.append(connection)
+        return is_affected
 
     def delay_us(self, now: int) -> int:
-        """Of a line, from its arrival to its answer; for ever while nothing is done."""
+        """Returns the delay from a line's arrival to its reply; huge while no work is done."""
         self.fluid.advance(now)
-        own = self.messages.own_us(0) + self.fluid.pile_us()
-        return int(min(own + self.random.exponential(1.0) * self.fluid.wait_us, 1e12))
+        own_us = self.messages.own_us(0) + self.fluid.pile_us()
+        return int(min(own_us + self.random.exponential(1.0) * self.fluid.wait_us, 1e12))
 
     def forget(self, key: int) -> None:
+        """Drops the parked connection of this client."""
         del self.parked_until[key]
         self.fluid.unpark(self.fluid.parked[key])
 
 
-class Conversation:
-    """One connection from a relay. `out` is to be written, then `ending` carried out; `due` is the moment at
-    which `tick` wants to be called if nothing comes before."""
+class ServerConnection:
+    """One connection from a relay.
+
+    The caller writes `output` and then carries out `ending`. `due` is the time at which the caller has to
+    call `tick` unless input comes first; None means never.
+    """
 
-    def __init__(self, holder: Holder, relay: int, fault: Fault | None) -> None:
-        self.holder = holder
+    def __init__(self, process: ServerProcess, relay: int, fault: Fault | None) -> None:
+        self.process = process
         self.relay = relay
         self.fault = fault
         self.phase = Phase.FIRST_LINE
-        self.out = b""
+        self.output = b""
         self.ending: Ending | None = Ending.RESET if fault is Fault.RESET else None
         self.due: int | None = None
-        self._first: FirstLine | None = None
+        self._first_line: FirstLine | None = None
         self._call: Call | None = None
         self._work: ClassWork | None = None
-        self._usual = 0.0
-        self._first_at = 0
-        self._data = b""
-        self._set_up_ends = 0.0
-        self._asked_store = False
-        self._echoes: list[tuple[int, bytes]] = []
-        self._change_at: int | None = None
-        self._hung = False  # nothing will come any more
+        self._usual_load = 0.0
+        self._first_byte_at = 0
+        self._buffer = b""
+        self._set_up_end = 0.0
+        self._has_asked_store = False
+        self._pending_replies: list[tuple[int, bytes]] = []
+        self._load_change_at: int | None = None
+        self._is_hung = False  # No further output follows.
 
     @property
     def load(self) -> float:
@@ -233,47 +254,47 @@
     def request(self) -> int:
         return self._call.request if self._call is not None else -1
 
-    # ---- what comes in ----
+    # ---- input ----
 
     def received(self, data: bytes, now: int) -> None:
-        """Bytes from the relay; none: it has ended its sending."""
+        """Handles bytes from the relay; no bytes mean that the relay has shut down its sending side."""
         if not data:
-            return self.gone(now)
-        self._first_at = self._first_at or now
-        *lines, self._data = (self._data + data).split(END)
+            return self.disconnected(now)
+        self._first_byte_at = self._first_byte_at or now
+        *lines, self._buffer = (self._buffer + data).split(LINE_END)
         for line in lines:
             if self.phase is Phase.FIRST_LINE:
-                self._begin(line, now)
+                self._read_first_line(line, now)
             elif self.phase is Phase.STANDING:
-                self._line(line, now)
+                self._handle_line(line, now)
             elif self.phase is Phase.SETTING_UP:
-                self._not_sent("its client does not wait for the answer", now)
-        if len(self._data) > MAX_LINE:
-            self._not_sent("a line is too long", now)
+                self._reject("its client does not wait for the answer", now)
+        if len(self._buffer) > MAX_LINE_BYTES:
+            self._reject("a line is too long", now)
 
-    def gone(self, now: int) -> None:
-        """The relay has closed this connection, or reset it."""
+    def disconnected(self, now: int) -> None:
+        """Handles the relay's close or reset of the connection."""
         if self.phase is Phase.SETTING_UP:
-            self._attempt_over(now, AttemptOutcome.ABANDONED)
+            self._report_attempt(now, AttemptOutcome.ABANDONED)
         elif self.phase is Phase.STANDING:
-            self._leave(now, park=self.holder.park_us > 0)
+            self._remove(now, park=self.process.park_us > 0)
         self.phase = Phase.OVER
         self.ending = self.ending or Ending.CLOSE
 
     def tick(self, now: int) -> None:
-        """`due` has come."""
+        """Does what was planned for the time `due`."""
         if self.phase is Phase.SETTING_UP:
-            self._look_at_set_up(now)
+            self._check_set_up(now)
         elif self.phase is Phase.STANDING:
-            self._give_echoes(now)
-            if self._change_at is not None and self._change_at <= now:
-                self._change(now)
-            self._next_due()
+            self._send_replies(now)
+            if self._load_change_at is not None and self._load_change_at <= now:
+                self._change_load(now)
+            self._set_due()
 
-    # ---- what the server does of itself ----
+    # ---- actions of the server ----
 
-    def strike(self, fault: Fault, now: int) -> None:
-        """This fault befalls a connection that is open already."""
+    def apply_fault(self, fault: Fault, now: int) -> None:
+        """Applies a fault to a connection that is already open."""
         if self.phase is Phase.OVER:
             return
         self.fault = fault
@@ -285,252 +306,252 @@
             self.hang(now)
 
     def hang(self, now: int) -> None:
-        """From now on it stays open and silent."""
-        if self.phase is Phase.STANDING and not self._hung:
-            self._broke(now, silent=True)
+        """Keeps the connection open and silent from now on."""
+        if self.phase is Phase.STANDING and not self._is_hung:
+            self._report_broken(now, silent=True)
         elif self.phase is Phase.SETTING_UP:
-            self._give_up_turn(now)
-        self._hung = True
+            self._leave_queue(now)
+        self._is_hung = True
         self.due = None
 
     def end(self, now: int, ending: Ending, over: AttemptOutcome, word: bytes = b"") -> None:
-        """With `word`, a polite end; without, the connection breaks."""
+        """Ends the connection: orderly after the line `word`, or as a break without one."""
         if self.phase is Phase.SETTING_UP:
-            self._attempt_over(now, over)
+            self._report_attempt(now, over)
         elif self.phase is Phase.STANDING:
-            if not word and not self._hung:
-                self._broke(now, silent=False)
-            self._leave(now, park=False)
-        self.out += word
+            if not word and not self._is_hung:
+                self._report_broken(now, silent=False)
+            self._remove(now, park=False)
+        self.output += word
         self.phase = Phase.OVER
         self.ending = ending
         self.due = None
 
     def move(self, now: int) -> None:
-        """A draining server sends its client away."""
-        if self.phase is Phase.STANDING and not self._hung:
+        """Sends MOVE to the client of a standing connection."""
+        if self.phase is Phase.STANDING and not self._is_hung:
             self.end(now, Ending.CLOSE, AttemptOutcome.UP, b"MOVE\r\n")
 
     def supersede(self, now: int) -> None:
-        """The same connection has come another way; this end of it means nothing any more."""
-        self._leave(now, park=False)
+        """Ends this end of a connection that has arrived again over another path."""
+        self._remove(now, park=False)
         self.phase = Phase.OVER
         self.ending = Ending.CLOSE
 
-    # ---- the first line ----
+    # ---- first line and set-up ----
 
-    def _begin(self, line: bytes, now: int) -> None:
-        holder = self.holder
+    def _read_first_line(self, line: bytes, now: int) -> None:
+        process = self.process
         try:
             first = FirstLine.read(line)
-            if holder.seal is not None:
-                holder.seal.check(line)
-            if (work := holder.works.get(first.figures.get("c", ""))) is None:
-                raise NotSent("its class")
-        except NotSent as error:
-            return self._not_sent(str(error), now)
-        goes_on = first.figures.get("at") == holder.host or (
-            first.figures.get("mid") == "1" and holder.holds(first.key)
+            if process.seal is not None:
+                process.seal.check(line)
+            if (work := process.class_works.get(first.fields.get("c", ""))) is None:
+                raise InvalidFirstLine("its class")
+        except InvalidFirstLine as error:
+            return self._reject(str(error), now)
+        goes_on = first.fields.get("at") == process.host or (
+            first.fields.get("mid") == "1" and process.holds(first.key)
         )
-        holder.seen.sent(now, first.request, self.relay, holder.number, self._first_at, goes_on)
-        self._first, self._work = first, work
-        self._usual = float(first.figures.get("w", work.load))
+        process.seen.sent(now, first.request, self.relay, process.number, self._first_byte_at, goes_on)
+        self._first_line, self._work = first, work
+        self._usual_load = float(first.fields.get("w", work.load))
         self._call = Call(
             first.request,
             self.relay,
-            holder.number,
+            process.number,
             work.number,
             0,
-            int(first.figures.get("g", "0"), 16),
+            int(first.fields.get("g", "0"), 16),
             first.key,
-            self._usual,
+            self._usual_load,
             now + first.wait_ms * 1000,
-            first.figures.get("mid") == "1",
-            NOBODY,
+            first.fields.get("mid") == "1",
+            NULL_MESSAGES,
         )
         self.phase = Phase.SETTING_UP
-        self._struck_or_taken(first, self._call, now)
+        self._answer_or_queue(first, self._call, now)
 
-    def _struck_or_taken(self, first: FirstLine, call: Call, now: int) -> None:
-        holder, fluid = self.holder, self.holder.fluid
+    def _answer_or_queue(self, first: FirstLine, call: Call, now: int) -> None:
+        process, fluid = self.process, self.process.fluid
         fluid.advance(now)
-        if self.fault is Fault.HANG or self._hung:
-            self._hung = True
+        if self.fault is Fault.HANG or self._is_hung:
+            self._is_hung = True
         elif self.fault is Fault.AFTER_LINE:
             self._answer(now, AttemptOutcome.RESET, ending=Ending.RESET)
         elif self.fault is Fault.HALF_CLOSE:
             self._answer(now, AttemptOutcome.RESET, ending=Ending.FINISH)
         elif (
             self.fault is Fault.ERROR
-            or holder.random.random() < holder.error_rate
+            or process.random.random() < process.error_rate
             or call.request in fluid.waiting
             or call.request in fluid.standing
         ):
             self._answer(now, AttemptOutcome.ERROR, b"ERR\r\n")
         elif call.mid_flow:
             self._resume(call, now)
-        elif "at" in first.figures and first.figures["at"] != holder.host:
+        elif "at" in first.fields and first.fields["at"] != process.host:
             self._answer(now, AttemptOutcome.RESET, ending=Ending.RESET)
         elif fluid.stage is Stage.DRAINS or len(fluid.waiting) >= fluid.queue or fluid.held >= fluid.cap:
             self._answer(now, AttemptOutcome.BUSY, b"BUSY\r\n")
-        elif "at" in first.figures or first.figures.get("s") == "0":  # it stood before: that costs nothing
-            self._up(now, call)
+        elif "at" in first.fields or first.fields.get("s") == "0":  # No set-up work: it stood before.
+            self._send_up(now, call)
         else:
-            self._queue_up(call, now)
+            self._queue_set_up(call, now)
 
     def _resume(self, call: Call, now: int) -> None:
-        """A connection whose packets come another way now: only the server that holds it can go on."""
-        before = self.holder.by_key.get(call.connection)
+        """Continues a connection whose packets come over another path; only the server that holds it can."""
+        before = self.process.by_key.get(call.connection)
         if before is not None:
             before.supersede(now)
-        elif call.connection in self.holder.parked_until:
-            self.holder.forget(call.connection)
+        elif call.connection in self.process.parked_until:
+            self.process.forget(call.connection)
         else:
             return self._answer(now, AttemptOutcome.RESET, ending=Ending.RESET)
-        self._up(now, call)
+        self._send_up(now, call)
 
-    def _queue_up(self, call: Call, now: int) -> None:
-        holder, fluid = self.holder, self.holder.fluid
+    def _queue_set_up(self, call: Call, now: int) -> None:
+        process, fluid = self.process, self.process.fluid
         assert self._work is not None
-        middle = math.log(self._work.set_up_us) - SET_UP_SIGMA * SET_UP_SIGMA / 2
-        work = float(holder.random.lognormal(middle, SET_UP_SIGMA))
+        log_mean = math.log(self._work.set_up_us) - SET_UP_SIGMA * SET_UP_SIGMA / 2
+        work = float(process.random.lognormal(log_mean, SET_UP_SIGMA))
         wait = min(fluid.pile_us(), TICK_US) if fluid.capacity() <= 0 else fluid.pile_us()
-        own = work / fluid.machine.speed
-        spread = float(holder.random.exponential(1.0)) * (OWN_SPREAD * own + fluid.wait_us)
+        own_us = work / fluid.machine.speed
+        spread_us = float(process.random.exponential(1.0)) * (OWN_SPREAD * own_us + fluid.wait_us)
         fluid.queue_up(call, work)
-        self._set_up_ends = fluid.waiting[call.request].end
-        self._asked_store = False
-        self.due = now + int(wait + own + spread) + holder.ways_us[self.relay]
+        self._set_up_end = fluid.waiting[call.request].end
+        self._has_asked_store = False
+        self.due = now + int(wait + own_us + spread_us) + process.round_trips_us[self.relay]
 
-    def _look_at_set_up(self, now: int) -> None:
-        fluid, call = self.holder.fluid, self._call
+    def _check_set_up(self, now: int) -> None:
+        fluid, call = self.process.fluid, self._call
         assert call is not None
         fluid.advance(now)
-        fluid.take_done()  # those that were left out ahead of it stand in its way no longer
-        if fluid.reached < self._set_up_ends - 1:  # its capacity has fallen since
+        fluid.take_done()  # Abandoned set-ups no longer hold up those behind them.
+        if fluid.reached < self._set_up_end - 1:  # The capacity has fallen in the meantime.
             capacity = fluid.capacity()
-            left = (self._set_up_ends - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
-            self.due = now + max(LEAST_US, min(TICK_US, int(left)))
+            remaining = (self._set_up_end - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
+            self.due = now + max(MIN_SET_UP_RECHECK_US, min(TICK_US, int(remaining)))
             return
-        if self.holder.store is not None and not self._asked_store:
-            self._asked_store = True
-            self.due = now + self.holder.store.ask(now)
+        if self.process.store is not None and not self._has_asked_store:
+            self._has_asked_store = True
+            self.due = now + self.process.store.ask(now)
             return
         del fluid.waiting[call.request]
         self.due = None
         if now > call.deadline:
             self._answer(now, AttemptOutcome.BUSY, b"BUSY\r\n")
         else:
-            self._up(now, call)
-
-    def _up(self, now: int, call: Call) -> None:
-        holder = self.holder
-        receipt = f"{holder.host}.{call.request:x}"
-        if holder.seal is not None:
-            receipt = holder.seal.receipt(holder.host, call.request)
-        self.out += f"UP {receipt}\r\n".encode()
-        self._attempt_over(now, AttemptOutcome.UP)
+            self._send_up(now, call)
+
+    def _send_up(self, now: int, call: Call) -> None:
+        process = self.process
+        receipt = f"{process.host}.{call.request:x}"
+        if process.seal is not None:
+            receipt = process.seal.receipt(process.host, call.request)
+        self.output += f"UP {receipt}\r\n".encode()
+        self._report_attempt(now, AttemptOutcome.UP)
         self.phase = Phase.STANDING
-        holder.by_key[call.connection] = self
-        holder.fluid.put(call)
-        self._plan_change(now)
-        self._next_due()
+        process.by_key[call.connection] = self
+        process.fluid.put(call)
+        self._schedule_load_change(now)
+        self._set_due()
 
     def _answer(
         self, now: int, over: AttemptOutcome, word: bytes = b"", ending: Ending = Ending.CLOSE
     ) -> None:
-        self._attempt_over(now, over)
-        self.out += word
+        self._report_attempt(now, over)
+        self.output += word
         self.phase = Phase.OVER
         self.ending = ending
 
-    def _give_up_turn(self, now: int) -> None:
-        call, fluid = self._call, self.holder.fluid
+    def _leave_queue(self, now: int) -> None:
+        call, fluid = self._call, self.process.fluid
         if call is not None and self.due is not None:
             fluid.advance(now)
             fluid.give_up(call)
             self.due = None
 
-    def _attempt_over(self, now: int, over: AttemptOutcome) -> None:
-        self._give_up_turn(now)
+    def _report_attempt(self, now: int, over: AttemptOutcome) -> None:
+        self._leave_queue(now)
         if self._call is not None:
-            self.holder.seen.attempt_over(now, self._call.request, self.holder.number, over)
+            self.process.seen.attempt_over(now, self._call.request, self.process.number, over)
 
-    def _not_sent(self, fault: str, now: int) -> None:
+    def _reject(self, fault: str, now: int) -> None:
         if self.phase is Phase.OVER:
             return
-        self.holder.syntax += 1
-        words = f"it sent server {self.holder.number} what no client sends: {fault}"
-        self.holder.seen.fault(now, self.relay, words)
+        self.process.syntax_errors += 1
+        words = f"it sent server {self.process.number} what no client sends: {fault}"
+        self.process.seen.fault(now, self.relay, words)
         self.end(now, Ending.CLOSE, AttemptOutcome.ERROR, b"SYNTAX\r\n")
 
     # ---- standing ----
 
-    def _line(self, line: bytes, now: int) -> None:
-        if self._hung:
+    def _handle_line(self, line: bytes, now: int) -> None:
+        if self._is_hung:
             return
         if self.fault is Fault.AFTER_LINE:
             return self.end(now, Ending.RESET, AttemptOutcome.RESET)
         if line == b"QUIT":
             return self.end(now, Ending.CLOSE, AttemptOutcome.UP, b"BYE\r\n")
-        self._note_held_back(line, now)
-        delay = self.holder.delay_us(now) + self.holder.ways_us[self.relay]
-        # An answer tells when it was given; lines that are not of this form come back as they are.
-        answer = b"E %d %b\r\n" % (now + delay, line[2:]) if line[:2] == b"M " else line + END
-        if delay < AT_ONCE_US and not self._echoes:
-            self.out += answer
+        self._report_late_line(line, now)
+        delay = self.process.delay_us(now) + self.process.round_trips_us[self.relay]
+        # A reply to "M <time>" contains the time of the reply; all other lines are echoed unchanged.
+        answer = b"E %d %b\r\n" % (now + delay, line[2:]) if line[:2] == b"M " else line + LINE_END
+        if delay < MIN_REPLY_DELAY_US and not self._pending_replies:
+            self.output += answer
         else:
-            last = self._echoes[-1][0] if self._echoes else 0
-            self._echoes.append((max(now + delay, last), answer))
-            self._next_due()
+            last = self._pending_replies[-1][0] if self._pending_replies else 0
+            self._pending_replies.append((max(now + delay, last), answer))
+            self._set_due()
 
-    def _note_held_back(self, line: bytes, now: int) -> None:
-        """A line tells when it was sent."""
+    def _report_late_line(self, line: bytes, now: int) -> None:
+        """Records a line that arrived late, by the sending time that the line contains."""
         word, _, sent = line.partition(b" ")
-        if word == b"M" and sent.isdigit() and now - int(sent) > HELD_BACK_US:
-            self.holder.seen.held_back(now, self.request, now - int(sent))
+        if word == b"M" and sent.isdigit() and now - int(sent) > MAX_LINE_DELAY_US:
+            self.process.seen.held_back(now, self.request, now - int(sent))
 
-    def _give_echoes(self, now: int) -> None:
-        if self.holder.fluid.capacity() <= 0:  # it does nothing at all
-            self._echoes = [(max(at, now + TICK_US), answer) for at, answer in self._echoes]
-        while self._echoes and self._echoes[0][0] <= now:
-            self.out += self._echoes.pop(0)[1]
+    def _send_replies(self, now: int) -> None:
+        if self.process.fluid.capacity() <= 0:  # No work is done at present.
+            self._pending_replies = [(max(at, now + TICK_US), answer) for at, answer in self._pending_replies]
+        while self._pending_replies and self._pending_replies[0][0] <= now:
+            self.output += self._pending_replies.pop(0)[1]
 
-    def _plan_change(self, now: int) -> None:
+    def _schedule_load_change(self, now: int) -> None:
         work = self._work
         if work is not None and work.swing_sigma:
-            self._change_at = now + int(work.change_us * self.holder.random.uniform(0.5, 1.5))
+            self._load_change_at = now + int(work.change_us * self.process.random.uniform(0.5, 1.5))
 
-    def _change(self, now: int) -> None:
-        """Its load is drawn anew round its usual one."""
-        call, work, fluid = self._call, self._work, self.holder.fluid
+    def _change_load(self, now: int) -> None:
+        """Draws a new load around the connection's usual load."""
+        call, work, fluid = self._call, self._work, self.process.fluid
         assert call is not None and work is not None
         sigma = work.swing_sigma
-        load = self._usual * float(self.holder.random.lognormal(-sigma * sigma / 2, sigma))
+        load = self._usual_load * float(self.process.random.lognormal(-sigma * sigma / 2, sigma))
         fluid.advance(now)
         fluid.demand += load - call.load
         call.load = load
-        self.out += b"LOAD %.1f\r\n" % load
-        self._plan_change(now)
+        self.output += b"LOAD %.1f\r\n" % load
+        self._schedule_load_change(now)
 
-    def _next_due(self) -> None:
-        moments = [self._echoes[0][0]] if self._echoes else []
-        if self._change_at is not None:
-            moments.append(self._change_at)
-        self.due = min(moments, default=None)
+    def _set_due(self) -> None:
+        times = [self._pending_replies[0][0]] if self._pending_replies else []
+        if self._load_change_at is not None:
+            times.append(self._load_change_at)
+        self.due = min(times, default=None)
 
-    def _broke(self, now: int, silent: bool) -> None:
-        self.holder.seen.broke(now, self.request, self.holder.number, silent)
+    def _report_broken(self, now: int, silent: bool) -> None:
+        self.process.seen.broke(now, self.request, self.process.number, silent)
 
-    def _leave(self, now: int, park: bool) -> None:
-        """It stands no more."""
-        holder, call = self.holder, self._call
+    def _remove(self, now: int, park: bool) -> None:
+        """Removes the connection from the standing ones; `park` keeps it for `park_us`."""
+        process, call = self.process, self._call
         assert call is not None
-        holder.fluid.advance(now)
-        if holder.by_key.get(call.connection) is self:
-            del holder.by_key[call.connection]
-        if park and call.connection not in holder.parked_until:
-            holder.fluid.park(call)
-            holder.parked_until[call.connection] = now + holder.park_us
+        process.fluid.advance(now)
+        if process.by_key.get(call.connection) is self:
+            del process.by_key[call.connection]
+        if park and call.connection not in process.parked_until:
+            process.fluid.park(call)
+            process.parked_until[call.connection] = now + process.park_us
         else:
-            holder.fluid.take_off(call)
+            process.fluid.take_off(call)
--- a/glenfold_lab/stand_ins/sockets.py
+++ b/glenfold_lab/stand_ins/sockets.py
@@ -1,4 +1,7 @@
-"""What stand-ins need of sockets; not the relay's own helpers, whose faults must not hide themselves here."""
+"""Socket helpers of the stand-ins.
+
+The relay's own helpers are not used, since a fault in them would then affect both sides and go unseen.
+"""
 
 import socket
 import struct
@@ -13,43 +16,46 @@
 
 
 def bind(host: str, port: int = 0) -> SocketType:
-    """Bound and not listening: the address is kept, and whoever connects to it is refused."""
+    """Returns a bound socket that does not listen: the address stays reserved and refuses connections.
+
+    Raises ValueError if `host` is not a loopback address.
+    """
     if not host.startswith("127."):
         raise ValueError(f"{host} is not a loopback address")
-    plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    plain.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    plain.bind((host, port))
-    plain.setblocking(False)
-    return trio.socket.from_stdlib_socket(plain)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind((host, port))
+    sock.setblocking(False)
+    return trio.socket.from_stdlib_socket(sock)
 
 
-def written(address: Address) -> str:
-    """HOST:PORT."""
+def format_address(address: Address) -> str:
+    """Returns the address as HOST:PORT."""
     return f"{address[0]}:{address[1]}"
 
 
-def begin_connect(address: Address) -> SocketType:
-    """A connection that need not come up."""
-    plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    plain.setblocking(False)
-    plain.connect_ex(address)
-    return trio.socket.from_stdlib_socket(plain)
+def start_connect(address: Address) -> SocketType:
+    """Returns a socket that has begun to connect; the connection may never be established."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setblocking(False)
+    sock.connect_ex(address)
+    return trio.socket.from_stdlib_socket(sock)
 
 
-async def take(sock: SocketType, data: bytes) -> None:
-    """Writes it all."""
-    left = memoryview(data)
-    while left:
-        left = left[await sock.send(left) :]
+async def send_all(sock: SocketType, data: bytes) -> None:
+    """Writes all bytes of `data`."""
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[await sock.send(remaining) :]
 
 
-def finish(sock: SocketType) -> None:
-    """Ends our side; what was written still arrives."""
+def shutdown_send(sock: SocketType) -> None:
+    """Shuts down the sending side; data already written is still delivered."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
 
 
-def end_now(sock: SocketType) -> None:
-    """The close to come resets the connection."""
+def reset_on_close(sock: SocketType) -> None:
+    """Makes the next close of the socket reset the connection."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
