--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -150,7 +150,7 @@
                 return await self._play(played, places, relays, keeper)
 
     def _relay(self, n: int, places: Places) -> RelayProcess:
-        settings = settings_json(self._scenario, self._script.fleet.terms, n, 0)
+        settings = settings_json(self._scenario, self._script.fleet.parameters, n, 0)
         return RelayProcess(
             n,
             f"n{n}",
--- a/glenfold_lab/model/anchors.py
+++ b/glenfold_lab/model/anchors.py
@@ -15,43 +15,45 @@
 
 Change = tuple[int, int]  # server, and its buckets; 0: it is removed
 
-Plain = choice.Anchor  # that of this program: the name in `choice` is another's for the time of a history
+PlainAnchor = (
+    choice.Anchor
+)  # that of this program: the name in `choice` is another's for the time of a history
 
 
-class Shared:
+class SharedEntry:
     """One plain anchor, the past that made it, and by how many it is held."""
 
-    __slots__ = ("plain", "past", "holders", "__weakref__")
+    __slots__ = ("plain", "digest", "holders", "__weakref__")
 
-    def __init__(self, plain: Plain, past: bytes) -> None:
-        self.plain, self.past, self.holders = plain, past, 0
+    def __init__(self, plain: PlainAnchor, past: bytes) -> None:
+        self.plain, self.digest, self.holders = plain, past, 0
 
 
 class Pool:
     """The anchors of one history, by their past; those that nobody holds are gone."""
 
     def __init__(self) -> None:
-        self._by_past: WeakValueDictionary[bytes, Shared] = WeakValueDictionary()
+        self._by_past: WeakValueDictionary[bytes, SharedEntry] = WeakValueDictionary()
 
-    def first(self, servers: list[tuple[int, int]]) -> Shared:
+    def get_initial(self, servers: list[tuple[int, int]]) -> SharedEntry:
         past = hashlib.blake2b(repr(servers).encode(), digest_size=16).digest()
         found = self._by_past.get(past)
-        return self._hold(found or Shared(Plain(servers), past))
+        return self._hold(found or SharedEntry(PlainAnchor(servers), past))
 
-    def later(self, shared: Shared, past: bytes, changes: Iterable[Change]) -> Shared:
+    def get_changed(self, shared: SharedEntry, past: bytes, changes: Iterable[Change]) -> SharedEntry:
         """The anchor with these changes; `shared` is let go."""
         found = self._by_past.get(past)
         shared.holders -= 1
         if found is None:
             # Nobody else's, it may be changed where it stands.
             plain = _copy(shared.plain) if shared.holders else shared.plain
-            found = Shared(plain, past)
+            found = SharedEntry(plain, past)
             for server, buckets in changes:
                 plain.add(server, buckets) if buckets else plain.remove(server)
         return self._hold(found)
 
-    def _hold(self, shared: Shared) -> Shared:
-        self._by_past[shared.past] = shared
+    def _hold(self, shared: SharedEntry) -> SharedEntry:
+        self._by_past[shared.digest] = shared
         shared.holders += 1
         return shared
 
@@ -59,25 +61,25 @@
         return len(self._by_past)
 
 
-def _after(past: bytes, change: Change) -> bytes:
+def _next_digest(past: bytes, change: Change) -> bytes:
     return hashlib.blake2b(past + b"%d %d" % change, digest_size=16).digest()
 
 
-def _copy(plain: Plain) -> Plain:
+def _copy(plain: PlainAnchor) -> PlainAnchor:
     """Tables and lists are copied; what is inside them is replaced by an anchor, never changed."""
     new = object.__new__(type(plain))
     vars(new).update((name, copy.copy(value)) for name, value in vars(plain).items())
     return new
 
 
-class SharedAnchor(Plain):
+class SharedAnchor(PlainAnchor):
     """Behaves as a plain anchor of its own. Changes are only noted, and made when a key is looked up: so
     relays that heard the same list need no steps between, which none of the others would find any more."""
 
     def __init__(self, servers: list[tuple[int, int]], pool: Pool) -> None:
         self._pool = pool
-        self._shared = pool.first(servers)
-        self._past = self._shared.past
+        self._shared = pool.get_initial(servers)
+        self._past = self._shared.digest
         self._changes: dict[int, int] = {}
         self._noted: list[Change] = []
 
@@ -92,14 +94,14 @@
 
     def _note(self, server: int, buckets: int) -> None:
         # One by one, not list by list: who looked nothing up between two lists has the same past.
-        self._past = _after(self._past, (server, buckets))
+        self._past = _next_digest(self._past, (server, buckets))
         self._noted.append((server, buckets))
         self._changes[server] = buckets
 
     @property
-    def plain(self) -> Plain:
+    def plain(self) -> PlainAnchor:
         if self._noted:
-            self._shared = self._pool.later(self._shared, self._past, self._noted)
+            self._shared = self._pool.get_changed(self._shared, self._past, self._noted)
             self._noted, self._changes = [], {}
         return self._shared.plain
 
--- a/glenfold_lab/model/clients.py
+++ b/glenfold_lab/model/clients.py
@@ -19,32 +19,34 @@
 from glenfold_lab.model.front import Front
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.network import Network
-from glenfold_lab.model.plan import MOST_CLIENTS, Plan
+from glenfold_lab.model.plan import MAX_CLIENTS, Plan
 from glenfold_lab.model.population import Drawn, Population
 from glenfold_lab.model.relays import Exchange, Relay
-from glenfold_lab.model.wire import Machines, Wanted
+from glenfold_lab.model.wire import DemandCounter, Machines
 from glenfold_lab.observe import End, Final, Watcher
-from glenfold_lab.spec import Clients as ClientTerms
+from glenfold_lab.spec import Clients as ClientOptions
 from glenfold_lab.spec import Pair, Scenario
 from glenfold_lab.streams import Streams
-from linnetspread import interface as i
+from linnetspread import interface
 
-DRAWN_US = SECOND_US // 4  # clients are drawn for so long ahead
-LINES_US = 2 * SECOND_US  # between two lines that a client sends on a standing connection
-PATIENCE_US = 100_000  # beyond its deadline and the slack: an answer may still be under way
-SYN_AGAIN_US = SECOND_US  # TCP's first wait before it asks again for a connection
-PACKETS_US = SECOND_US  # within which packets of a connection come after the front sends them elsewhere
-FIRST_ASKS_US = 3 * SECOND_US  # within which those come that nobody could hold at the start
-CHANGES = 4096  # drawn at once
+DRAW_AHEAD_US = SECOND_US // 4  # clients are drawn for so long ahead
+LINE_INTERVAL_US = 2 * SECOND_US  # between two lines that a client sends on a standing connection
+ANSWER_MARGIN_US = 100_000  # beyond its deadline and the slack: an answer may still be under way
+SYN_RETRY_US = SECOND_US  # TCP's first wait before it asks again for a connection
+REROUTED_PACKET_US = (
+    SECOND_US  # within which packets of a connection come after the front sends them elsewhere
+)
+INITIAL_RETRY_SPREAD_US = 3 * SECOND_US  # within which those come that nobody could hold at the start
+CHANGES_PER_DRAW = 4096  # drawn at once
 
-ASK, LEAVE, CHANGE, GIVE_UP = range(4)  # what is planned
+ASK_RELAY, LEAVE_SERVICE, CHANGE_LOAD, GIVE_UP = range(4)  # what is planned
 
 
 WAITING = 0  # to ask
 ASKING = 1
 STANDING = 2
 PARKED = 3  # its packets reach no relay until the front sends them elsewhere
-RESIGNED = 4  # it has tried often enough, but still wants a connection
+GAVE_UP = 4  # it has tried often enough, but still wants a connection
 GONE = 5
 
 
@@ -59,20 +61,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class ClientBehavior:
     """Drawn for all clients of a history; times in microseconds, by class where there are several."""
 
     deadlines: tuple[int, ...]
     change_us: tuple[float, ...]
     swing: tuple[float, ...]
     backoff_us: float
-    backoff_most_us: float
+    max_backoff_us: float
     rejoin_us: tuple[float, float]
     move_us: tuple[float, float]
     slack_us: int
 
     @classmethod
-    def of(cls, scenario: Scenario, streams: Streams) -> "Habits":
+    def of(cls, scenario: Scenario, streams: Streams) -> "ClientBehavior":
         clients, classes = scenario.clients, scenario.classes
         return cls(
             deadlines=tuple(round(kind.deadline_ms * 1000) for kind in classes),
@@ -85,19 +87,19 @@
                 for number, kind in enumerate(classes)
             ),
             backoff_us=value(clients.backoff_ms, streams.of("clients", "backoff")) * 1000,
-            backoff_most_us=clients.backoff_most_ms * 1000,
-            rejoin_us=_about(clients.rejoin_ms, streams.of("clients", "rejoin")),
-            move_us=_about(clients.move_ms, streams.of("clients", "move")),
+            max_backoff_us=clients.backoff_most_ms * 1000,
+            rejoin_us=_around_mean(clients.rejoin_ms, streams.of("clients", "rejoin")),
+            move_us=_around_mean(clients.move_ms, streams.of("clients", "move")),
             slack_us=round(scenario.rules.answer_slack_ms * 1000),
         )
 
-    def away_us(self, moved: bool, place: float) -> int:
+    def reconnect_delay_us(self, moved: bool, place: float) -> int:
         """How long a client stays away that was moved, or whose connection broke; `place` is its own."""
         least, most = self.move_us if moved else self.rejoin_us
         return int(least + (most - least) * place)
 
 
-def _about(wanted: Pair, random: np.random.Generator) -> tuple[float, float]:
+def _around_mean(wanted: Pair, random: np.random.Generator) -> tuple[float, float]:
     """Half to one and a half of the mean that is drawn, within the pair itself; milliseconds in, microseconds
     out."""
     mean, (least, most) = value_by_ratio(wanted, random), wanted
@@ -123,7 +125,7 @@
 
     def add(self, drawn: Drawn) -> range:
         first, count = len(self), len(drawn.at)
-        assert first + count <= MOST_CLIENTS
+        assert first + count <= MAX_CLIENTS
         for column, values in (
             (self.first_ask, drawn.at),
             (self.until, drawn.until),
@@ -160,28 +162,28 @@
         kernel: Kernel,
         network: Network,
         machines: Machines,
-        service: Wanted,
+        service: DemandCounter,
         watcher: Watcher,
         front: Front,
         relays: Relays,
     ) -> None:
-        self._terms: ClientTerms = scenario.clients
-        self._habits = Habits.of(scenario, streams)
+        self._options: ClientOptions = scenario.clients
+        self._habits = ClientBehavior.of(scenario, streams)
         self._pass_through = scenario.relays.pass_through
         self._kernel, self._network, self._machines = kernel, network, machines
         self._service, self._watcher = service, watcher
         self._front, self._relays = front, relays
         self._population = population
-        self._all = Columns()
+        self._columns = Columns()
         self._requests = 0
         self._changes = _changes(streams)
         until = kernel.now + round(scenario.length_s * SECOND_US)
-        self._plan = Plan(kernel, until, (self._ask, self._leave, self._change, self._give_up))
-        self._coming = population.coming(DRAWN_US)
+        self._plan = Plan(kernel, until, (self._ask, self._leave, self._change_load, self._give_up))
+        self._arrivals = population.arrivals(DRAW_AHEAD_US)
 
     def __len__(self) -> int:
         """How many have come so far."""
-        return len(self._all)
+        return len(self._columns)
 
     # ---- who comes ----
 
@@ -189,17 +191,17 @@
         """Those who stand already, and then those who come."""
         now = self._kernel.now
         drawn = self._population.standing()
-        refused = [client for client in self._new(drawn) if not self._stands(client)]
+        refused = [client for client in self._add_clients(drawn) if not self._start_standing(client)]
         for place, client in enumerate(refused):
-            self._plan_first_ask(client, now + FIRST_ASKS_US * place // len(refused))
+            self._plan_first_ask(client, now + INITIAL_RETRY_SPREAD_US * place // len(refused))
         for (kind, scheme), count in sorted(
             Counter(zip(drawn.request_class.tolist(), drawn.scheme.tolist(), strict=True)).items()
         ):
             self._service.wanted(kind, scheme, count)
-        self._come()
+        self._add_arrivals()
 
-    def _stands(self, client: int) -> bool:
-        self._all.turn[client] = 1  # it has asked, and is wanted
+    def _start_standing(self, client: int) -> bool:
+        self._columns.turn[client] = 1  # it has asked, and is wanted
         relay = self._relay_for(client)
         running = None if relay is None else self._relays.running(relay)
         if running is None:
@@ -208,260 +210,264 @@
         exchange = self._exchange(client, running)
         if not running.stand(exchange):
             return False
-        self._all.state[client] = STANDING
-        self._all.exchange[client] = exchange
+        self._columns.state[client] = STANDING
+        self._columns.exchange[client] = exchange
         return True
 
-    def _come(self) -> None:
-        drawn = next(self._coming, None)
+    def _add_arrivals(self) -> None:
+        drawn = next(self._arrivals, None)
         if drawn is None:
             return
-        for client, at in zip(self._new(drawn), drawn.at.tolist(), strict=True):
-            self._plan.add(at, client, ASK)
-        self._kernel.after(DRAWN_US, self._come)
+        for client, at in zip(self._add_clients(drawn), drawn.at.tolist(), strict=True):
+            self._plan.add(at, client, ASK_RELAY)
+        self._kernel.after(DRAW_AHEAD_US, self._add_arrivals)
 
-    def _new(self, drawn: Drawn) -> range:
+    def _add_clients(self, drawn: Drawn) -> range:
         """Each has its end and its next change of load planned, whatever becomes of it."""
-        clients = self._all.add(drawn)
-        add, every = self._plan.add, self._habits.change_us
+        clients = self._columns.add(drawn)
+        add, columns = self._plan.add, self._habits.change_us
         for client, at, until, kind in zip(
             clients, drawn.at.tolist(), drawn.until.tolist(), drawn.request_class.tolist(), strict=True
         ):
-            add(until, client, LEAVE)
-            add(at + int(every[kind] * next(self._changes)[1]), client, CHANGE)
+            add(until, client, LEAVE_SERVICE)
+            add(at + int(columns[kind] * next(self._changes)[1]), client, CHANGE_LOAD)
         return clients
 
     # ---- asking ----
 
     def _plan_first_ask(self, client: int, at: int) -> None:
         """Of a connection that it wants anew."""
-        self._all.first_ask[client] = at
+        self._columns.first_ask[client] = at
         self._plan_ask(client, at)
 
     def _plan_ask(self, client: int, at: int) -> None:
-        self._all.state[client] = WAITING
-        self._all.due[client] = at
-        self._plan.add(at, client, ASK)
+        self._columns.state[client] = WAITING
+        self._columns.due[client] = at
+        self._plan.add(at, client, ASK_RELAY)
 
     def _relay_for(self, client: int) -> int | None:
         """A connection that goes on elsewhere leaves its relay; the front knows what runs only later."""
-        every = self._all
+        columns = self._columns
         relay = self._front.relay_for(
-            every.zone[client],
-            every.key[client],
-            every.turn[client],
-            every.relay[client] if every.mid_flow[client] else -1,
+            columns.zone[client],
+            columns.key[client],
+            columns.turn[client],
+            columns.relay[client] if columns.mid_flow[client] else -1,
         )
-        every.relay[client] = -1 if relay is None else relay
+        columns.relay[client] = -1 if relay is None else relay
         return relay
 
     def _ask(self, client: int, moment: int) -> None:
         """Its first line reaches a relay's machine at this moment, or nobody."""
-        every = self._all
-        if every.due[client] != moment or every.state[client] != WAITING:
+        columns = self._columns
+        if columns.due[client] != moment or columns.state[client] != WAITING:
             return
-        kind = every.kind[client]
+        kind = columns.kind[client]
         sent = moment - self._network.client_us()
-        if not every.turn[client]:
-            self._service.wanted(kind, every.scheme[client], 1)
-        if every.first_ask[client] == moment:
-            every.first_ask[client] = sent
+        if not columns.turn[client]:
+            self._service.wanted(kind, columns.scheme[client], 1)
+        if columns.first_ask[client] == moment:
+            columns.first_ask[client] = sent
         self._requests += 1
-        self._watcher.asked(moment, self._requests, client, kind, every.first_ask[client])
+        self._watcher.asked(moment, self._requests, client, kind, columns.first_ask[client])
         relay = self._relay_for(client)
-        every.turn[client] += 1
+        columns.turn[client] += 1
         running = None if relay is None else self._relays.running(relay)
         if relay is None or not self._relays.reachable(relay):
-            self._asking(client, sent, None)
+            self._await_answer(client, sent, None)
         elif running is None:
-            self._again(client, 0)
+            self._retry(client, 0)
         else:
             exchange = self._exchange(client, running)
-            self._asking(client, sent, exchange)
+            self._await_answer(client, sent, exchange)
             if not running.offer(exchange, sent + self._habits.deadlines[kind]):
-                every.exchange[client] = None
-                self._plan_ask(client, moment + SYN_AGAIN_US)
+                columns.exchange[client] = None
+                self._plan_ask(client, moment + SYN_RETRY_US)
 
     def _exchange(self, client: int, relay: Relay) -> Exchange:
         """For the request that it has just begun."""
-        every = self._all
-        kind, scheme, group = every.kind[client], every.scheme[client], every.group[client]
+        columns = self._columns
+        kind, scheme, group = columns.kind[client], columns.scheme[client], columns.group[client]
         deadline = self._habits.deadlines[kind]
-        event = i.Request(
+        event = interface.Request(
             self._requests,
             deadline,
-            every.key[client],
+            columns.key[client],
             group,
             kind,
             scheme,
             None,
-            client_retry=self._terms.marks_retry and every.tries[client] > 0,
-            mid_flow=bool(every.mid_flow[client]),
-            returning=bool(every.returning[client]),
+            client_retry=self._options.marks_retry and columns.tries[client] > 0,
+            mid_flow=bool(columns.mid_flow[client]),
+            returning=bool(columns.returning[client]),
         )
         state = RequestState(self._requests, self._kernel.now + deadline)
         return Exchange(relay, client, scheme, group, event, state)
 
-    def _asking(self, client: int, sent: int, exchange: Exchange | None) -> None:
-        every, habits = self._all, self._habits
-        every.state[client] = ASKING
-        every.exchange[client] = exchange
-        due = sent + habits.deadlines[every.kind[client]] + habits.slack_us + PATIENCE_US
-        every.due[client] = due
+    def _await_answer(self, client: int, sent: int, exchange: Exchange | None) -> None:
+        columns, habits = self._columns, self._habits
+        columns.state[client] = ASKING
+        columns.exchange[client] = exchange
+        due = sent + habits.deadlines[columns.kind[client]] + habits.slack_us + ANSWER_MARGIN_US
+        columns.due[client] = due
         self._plan.add(due, client, GIVE_UP)
 
     def _give_up(self, client: int, moment: int) -> None:
-        every = self._all
-        if every.due[client] != moment or every.state[client] != ASKING:
+        columns = self._columns
+        if columns.due[client] != moment or columns.state[client] != ASKING:
             return
-        self._closes(client)
-        if every.mid_flow[client]:
-            self._come_back(client)
+        self._close(client)
+        if columns.mid_flow[client]:
+            self._reconnect(client)
         else:
-            self._again(client, 0)
+            self._retry(client, 0)
 
-    def _closes(self, client: int) -> None:
+    def _close(self, client: int) -> None:
         """Its own side of whatever it has."""
-        exchange, standing = self._all.exchange[client], self._all.state[client] == STANDING
+        exchange, standing = self._columns.exchange[client], self._columns.state[client] == STANDING
         if exchange is None:
             return
         if standing:
             self._watcher.ended(self._kernel.now, exchange.event.request, End.CLIENT)
         else:
             self._watcher.left(self._kernel.now, exchange.event.request)
-        self._all.exchange[client] = None
+        self._columns.exchange[client] = None
         exchange.relay.client_left(exchange)
 
-    def _again(self, client: int, wait_us: int) -> None:
+    def _retry(self, client: int, wait_us: int) -> None:
         """After a try that came to nothing; `wait_us` is what BUSY advised."""
-        every, habits = self._all, self._habits
-        every.exchange[client] = None
-        every.tries[client] += 1
-        tries = every.tries[client]
-        if tries > self._terms.retries:
-            every.state[client] = RESIGNED
+        columns, habits = self._columns, self._habits
+        columns.exchange[client] = None
+        columns.tries[client] += 1
+        tries = columns.tries[client]
+        if tries > self._options.retries:
+            columns.state[client] = GAVE_UP
             return
-        pause = min(habits.backoff_us * 2 ** min(tries - 1, 20), habits.backoff_most_us)
-        pause *= 0.5 + every.pace[client]
-        if every.honours[client]:
+        pause = min(habits.backoff_us * 2 ** min(tries - 1, 20), habits.max_backoff_us)
+        pause *= 0.5 + columns.pace[client]
+        if columns.honours[client]:
             pause = max(pause, wait_us)
         ways = self._network.client_us() + self._network.client_us()
         self._plan_ask(client, self._kernel.now + ways + int(pause))
 
-    def _come_back(self, client: int, moved: bool = False) -> None:
+    def _reconnect(self, client: int, moved: bool = False) -> None:
         """Its connection broke or was moved."""
-        every = self._all
-        every.exchange[client] = None
-        every.mid_flow[client] = False
-        every.returning[client] = self._terms.marks_returning
-        self._plan_first_ask(client, self._kernel.now + self._habits.away_us(moved, every.rejoin[client]))
+        columns = self._columns
+        columns.exchange[client] = None
+        columns.mid_flow[client] = False
+        columns.returning[client] = self._options.marks_returning
+        self._plan_first_ask(
+            client, self._kernel.now + self._habits.reconnect_delay_us(moved, columns.rejoin[client])
+        )
 
     # ---- while it lives ----
 
     def _leave(self, client: int, moment: int) -> None:
-        every = self._all
-        self._closes(client)
-        every.state[client] = GONE
-        self._service.wanted(every.kind[client], every.scheme[client], -1)
-
-    def _change(self, client: int, moment: int) -> None:
-        every = self._all
-        if every.state[client] == GONE:
+        columns = self._columns
+        self._close(client)
+        columns.state[client] = GONE
+        self._service.wanted(columns.kind[client], columns.scheme[client], -1)
+
+    def _change_load(self, client: int, moment: int) -> None:
+        columns = self._columns
+        if columns.state[client] == GONE:
             return
-        kind, (place, interval) = every.kind[client], next(self._changes)
+        kind, (place, interval) = columns.kind[client], next(self._changes)
         swing = self._habits.swing[kind]
-        load = every.load[client] = every.usual[client] * math.exp(swing * place - swing * swing / 2)
-        exchange = every.exchange[client]
-        if exchange is not None and exchange.call is not None and every.state[client] == STANDING:
+        load = columns.load[client] = columns.usual[client] * math.exp(swing * place - swing * swing / 2)
+        exchange = columns.exchange[client]
+        if exchange is not None and exchange.call is not None and columns.state[client] == STANDING:
             self._machines.change_load(exchange.call, load)
             if self._machines.answer_us(exchange.call) is not None:
                 exchange.relay.load_changed(exchange, load)
-        self._plan.add(moment + int(self._habits.change_us[kind] * interval), client, CHANGE)
+        self._plan.add(moment + int(self._habits.change_us[kind] * interval), client, CHANGE_LOAD)
 
     def drop(self, part: float, over_us: int, random: np.random.Generator) -> None:
         """So many of those that stand lose their connections at once, and come again within that time."""
-        every, struck = self._all, np.flatnonzero(random.uniform(size=len(self._all)) < part)
+        columns, struck = self._columns, np.flatnonzero(random.uniform(size=len(self._columns)) < part)
         waits = random.uniform(0, over_us, size=len(struck))
         for client, wait in zip(struck.tolist(), waits.tolist(), strict=True):
-            if every.state[client] == STANDING:
-                self._closes(client)
-                every.returning[client] = self._terms.marks_returning
+            if columns.state[client] == STANDING:
+                self._close(client)
+                columns.returning[client] = self._options.marks_returning
                 self._plan_first_ask(client, self._kernel.now + int(wait))
 
     # ---- what relays see and say: `Clientele` ----
 
     def load(self, client: int) -> float:
-        return self._all.load[client]
+        return self._columns.load[client]
 
     def next_line(self, client: int) -> int:
         now = self._kernel.now
-        return now + (client * 1_618_033 - now) % LINES_US
+        return now + (client * 1_618_033 - now) % LINE_INTERVAL_US
 
-    def hears(self, exchange: Exchange) -> bool:
-        return self._all.exchange[exchange.client] is exchange and (
+    def is_reachable(self, exchange: Exchange) -> bool:
+        return self._columns.exchange[exchange.client] is exchange and (
             self._relays.reachable(exchange.relay.number)
         )
 
-    def up(self, exchange: Exchange) -> None:
-        client, every = exchange.client, self._all
-        if self.hears(exchange):
-            every.state[client] = STANDING
-            every.tries[client] = every.returning[client] = every.mid_flow[client] = 0
+    def answered_up(self, exchange: Exchange) -> None:
+        client, columns = exchange.client, self._columns
+        if self.is_reachable(exchange):
+            columns.state[client] = STANDING
+            columns.tries[client] = columns.returning[client] = columns.mid_flow[client] = 0
 
-    def turned_away(self, exchange: Exchange, wait_us: int) -> None:
-        if not self.hears(exchange):
+    def refused_or_failed(self, exchange: Exchange, wait_us: int) -> None:
+        if not self.is_reachable(exchange):
             return
-        if self._all.mid_flow[exchange.client]:  # it stood, and does no more
-            self._come_back(exchange.client)
+        if self._columns.mid_flow[exchange.client]:  # it stood, and does no more
+            self._reconnect(exchange.client)
         else:
-            self._again(exchange.client, wait_us)
+            self._retry(exchange.client, wait_us)
 
-    def over(self, exchange: Exchange, how: End) -> None:
-        if self._all.exchange[exchange.client] is exchange:
+    def connection_ended(self, exchange: Exchange, how: End) -> None:
+        if self._columns.exchange[exchange.client] is exchange:
             self._watcher.ended(self._kernel.now, exchange.event.request, how)
-            self._come_back(exchange.client, how is End.MOVED)
+            self._reconnect(exchange.client, how is End.MOVED)
 
     # ---- where packets go ----
 
-    def lost_relay(self, exchange: Exchange, planned: bool) -> bool:
+    def relay_lost(self, exchange: Exchange, planned: bool) -> bool:
         """Its relay's process died, or ended as it was told to. True for one whose connection goes on when
         its packets are sent to another; the others see theirs reset."""
-        client, every = exchange.client, self._all
-        if every.exchange[client] is not exchange:
+        client, columns = exchange.client, self._columns
+        if columns.exchange[client] is not exchange:
             return False
-        stood = every.state[client] == STANDING
-        every.exchange[client] = None
+        stood = columns.state[client] == STANDING
+        columns.exchange[client] = None
         if stood:
             how = End.CUT if planned and not self._pass_through else End.RELAY_DIED
             self._watcher.ended(self._kernel.now, exchange.event.request, how)
         elif planned and exchange.state.phase is not Phase.STANDING:
             self._watcher.answered(self._kernel.now, exchange.event.request, Final.CLOSED, None, 0)
-        if self._pass_through and (stood or every.mid_flow[client]):
-            every.state[client] = PARKED
+        if self._pass_through and (stood or columns.mid_flow[client]):
+            columns.state[client] = PARKED
             return True
         if stood:
-            self._come_back(client)
+            self._reconnect(client)
         else:
-            self._again(client, 0)
+            self._retry(client, 0)
         return False
 
-    def goes_elsewhere(self, exchange: Exchange) -> None:
+    def move_to_other_relay(self, exchange: Exchange) -> None:
         """The front sends the packets of a standing connection to another relay from now on."""
         client = exchange.client
-        if self._all.exchange[client] is exchange and self._all.state[client] == STANDING:
+        if self._columns.exchange[client] is exchange and self._columns.state[client] == STANDING:
             self._watcher.ended(self._kernel.now, exchange.event.request, End.RELAY_DIED)
-            self._all.exchange[client] = None
-            exchange.relay.goes_elsewhere(exchange)
-            self._all.state[client] = PARKED
+            self._columns.exchange[client] = None
+            exchange.relay.move_to_other_relay(exchange)
+            self._columns.state[client] = PARKED
             self.reach_relays([client])
 
     def reach_relays(self, clients: Iterable[int]) -> None:
         """Packets of these parked connections come to relays again, as each sends its next."""
-        every = self._all
+        columns = self._columns
         for client in clients:
-            if every.state[client] == PARKED:
-                every.mid_flow[client] = True
-                self._plan_first_ask(client, self._kernel.now + int(PACKETS_US * every.pace[client]))
+            if columns.state[client] == PARKED:
+                columns.mid_flow[client] = True
+                self._plan_first_ask(
+                    client, self._kernel.now + int(REROUTED_PACKET_US * columns.pace[client])
+                )
 
 
 def _changes(streams: Streams) -> Iterator[tuple[float, float]]:
@@ -469,5 +475,7 @@
     random = streams.of("clients", "changes")
     while True:
         yield from zip(
-            random.standard_normal(CHANGES).tolist(), random.uniform(0.5, 1.5, CHANGES).tolist(), strict=True
+            random.standard_normal(CHANGES_PER_DRAW).tolist(),
+            random.uniform(0.5, 1.5, CHANGES_PER_DRAW).tolist(),
+            strict=True,
         )
--- a/glenfold_lab/model/draw.py
+++ b/glenfold_lab/model/draw.py
@@ -7,7 +7,7 @@
 
 from glenfold_lab.spec import Range
 
-BLOCK = 4096  # drawn ahead at once: one by one, numpy takes ten times as long
+DRAW_BLOCK = 4096  # drawn ahead at once: one by one, numpy takes ten times as long
 
 
 def value(wanted: Range, random: np.random.Generator) -> float:
@@ -26,7 +26,7 @@
     return value(wanted, random)
 
 
-def between(wanted: Range, place: float) -> float:
+def interpolate(wanted: Range, place: float) -> float:
     """The value at that place (0 to 1) of a range; for values that are drawn together."""
     if isinstance(wanted, tuple):
         low, high = wanted
@@ -38,10 +38,10 @@
     """Without end; `sigma` is that of the logarithm, `mean` the mean of the values themselves."""
     middle = math.log(mean) - sigma * sigma / 2
     while True:
-        yield from random.lognormal(middle, sigma, BLOCK).tolist()
+        yield from random.lognormal(middle, sigma, DRAW_BLOCK).tolist()
 
 
-def in_shares(count: int, shares: list[float], random: np.random.Generator) -> list[int]:
+def assign_by_shares(count: int, shares: list[float], random: np.random.Generator) -> list[int]:
     """Places in `shares`, `count` of them, as near those shares as whole numbers allow, in a drawn order."""
     edges = np.round(np.cumsum(shares) / sum(shares) * count).astype(int)
     places = np.searchsorted(edges, np.arange(count), side="right")
--- a/glenfold_lab/model/fleet.py
+++ b/glenfold_lab/model/fleet.py
@@ -6,17 +6,17 @@
 import numpy as np
 
 from glenfold.destinations import server_number
-from glenfold_lab.model.draw import between, in_shares, lognormals, value, value_by_ratio
+from glenfold_lab.model.draw import assign_by_shares, interpolate, lognormals, value, value_by_ratio
 from glenfold_lab.model.kernel import SECOND_US
 from glenfold_lab.spec import Range, Scenario, ServerKind
 from glenfold_lab.streams import Streams
 
-CORE = 1_000_000.0  # microseconds of work that a standard core does in a second
-TABLE_TAX: Range = (0.2, 0.4)  # of the capacity, lost to a full table of connections
+CORE_WORK_US_PER_S = 1_000_000.0  # microseconds of work that a standard core does in a second
+TABLE_CAPACITY_LOSS: Range = (0.2, 0.4)  # of the capacity, lost to a full table of connections
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class HistoryParameters:
     """What one history drew that clients and machines have to agree on. Loads in microseconds a second on a
     standard core; a class or scheme goes by its place in the scenario.
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KindTerms:
+class KindParameters:
     """One kind of server, drawn. per_core: of connections of the mean load; times in microseconds."""
 
     name: str
@@ -64,8 +64,8 @@
     index: int
     number: int
     host: str
-    kind: KindTerms
-    kind_place: int
+    kind: KindParameters
+    kind_index: int
     zone: int
     cell: int
     speed: float
@@ -83,25 +83,25 @@
         self._hosts = 0
         self._numbers: set[int] = set()
         self.kinds = self._draw_kinds()
-        self.table_tax = value(TABLE_TAX, streams.of("servers", "table"))
+        self.table_tax = value(TABLE_CAPACITY_LOSS, streams.of("servers", "table"))
         self._speeds = [self._speeds_of(place, kind) for place, kind in enumerate(self.kinds)]
         self.machines: list[Machine] = []
         count = scenario.servers.count
-        kinds = in_shares(count, self._shares, streams.of("servers", "kinds"))
-        zones = in_shares(count, self._zone_shares, streams.of("servers", "zones"))
+        kinds = assign_by_shares(count, self._shares, streams.of("servers", "kinds"))
+        zones = assign_by_shares(count, self._zone_shares, streams.of("servers", "zones"))
         for kind, zone in zip(kinds, zones, strict=True):
             self.add(kind, zone)
-        self.terms = self._draw_terms()
+        self.parameters = self._draw_parameters()
 
-    def add(self, kind_place: int, zone: int) -> Machine:
+    def add(self, kind_index: int, zone: int) -> Machine:
         """A machine more, that no list has named yet."""
-        kind, speed = self.kinds[kind_place], next(self._speeds[kind_place])
+        kind, speed = self.kinds[kind_index], next(self._speeds[kind_index])
         index = len(self.machines)
         host, number = self._new_name()
         # A core of a kind that carries more connections than one of the first does that much more work.
-        capacity = kind.cores * speed * CORE * kind.per_core / self.kinds[0].per_core
+        capacity = kind.cores * speed * CORE_WORK_US_PER_S * kind.per_core / self.kinds[0].per_core
         cell = index // self._scenario.servers.cell_size
-        self.machines.append(Machine(index, number, host, kind, kind_place, zone, cell, speed, capacity))
+        self.machines.append(Machine(index, number, host, kind, kind_index, zone, cell, speed, capacity))
         return self.machines[-1]
 
     def add_drawn(self) -> Machine:
@@ -111,7 +111,7 @@
 
     def warm_per_s(self, machine: Machine) -> float:
         """New connections a second whose usual load fills all of its cores."""
-        return machine.capacity / self.terms.mean_load / self.terms.life_us * SECOND_US
+        return machine.capacity / self.parameters.mean_load / self.parameters.life_us * SECOND_US
 
     def _new_name(self) -> tuple[str, int]:
         while True:
@@ -122,19 +122,19 @@
                 self._numbers.add(number)
                 return host, number
 
-    def _draw_kinds(self) -> list[KindTerms]:
+    def _draw_kinds(self) -> list[KindParameters]:
         # Kinds with the same range carry the same number: it is the connections' doing, not the servers'.
         place = float(self._streams.of("servers", "per_core").uniform())
         return [
-            self._draw_kind(number, kind, between(kind.per_core, place))
+            self._draw_kind(number, kind, interpolate(kind.per_core, place))
             for number, kind in enumerate(self._scenario.servers.kinds)
         ]
 
-    def _draw_kind(self, number: int, kind: ServerKind, per_core: float) -> KindTerms:
+    def _draw_kind(self, number: int, kind: ServerKind, per_core: float) -> KindParameters:
         def drawn(name: str) -> float:
             return value(getattr(kind, name), self._streams.of("servers", name, number))
 
-        return KindTerms(
+        return KindParameters(
             name=kind.name,
             cores=kind.cores,
             weight=kind.weight or float(kind.cores),
@@ -150,11 +150,11 @@
             burst=drawn("burst"),
         )
 
-    def _speeds_of(self, place: int, kind: KindTerms) -> Iterator[float]:
+    def _speeds_of(self, place: int, kind: KindParameters) -> Iterator[float]:
         return lognormals(kind.speed, kind.speed_cv, self._streams.of("servers", "speeds", place))
 
-    def _draw_terms(self) -> Terms:
-        mean = CORE / self.kinds[0].per_core
+    def _draw_parameters(self) -> HistoryParameters:
+        mean = CORE_WORK_US_PER_S / self.kinds[0].per_core
         classes = self._scenario.classes
         loads = [value(kind.load, self._streams.of("classes", "load", n)) for n, kind in enumerate(classes)]
         usual = sum(load * kind.share for load, kind in zip(loads, classes, strict=True))
@@ -165,7 +165,7 @@
         group_cost = mean * value(servers.group_cost, self._streams.of("servers", "group_cost"))
         group_size = value_by_ratio(clients.group_size, self._streams.of("clients", "group_size"))
         each = mean + (group_cost / group_size if clients.groups else 0.0)  # a group is at one server
-        return Terms(
+        return HistoryParameters(
             life_us=life,
             mean_load=mean,
             class_load=tuple(mean * load / usual for load in loads),
--- a/glenfold_lab/model/kernel.py
+++ b/glenfold_lab/model/kernel.py
@@ -13,13 +13,13 @@
     def __init__(self, start: int = 1_000 * SECOND_US) -> None:
         self.start = start
         self.now = start
-        self._made = 0
+        self._sequence = 0
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def at(self, moment: int, call: Callable[..., None], *values: Any) -> None:
         """Calls at that moment, or now if it is past. What is made first at one moment is called first."""
-        self._made += 1
-        heapq.heappush(self._events, (max(moment, self.now), self._made, call, values))
+        self._sequence += 1
+        heapq.heappush(self._events, (max(moment, self.now), self._sequence, call, values))
 
     def after(self, us: int, call: Callable[..., None], *values: Any) -> None:
         self.at(self.now + us, call, *values)
--- a/glenfold_lab/model/listing/feeds.py
+++ b/glenfold_lab/model/listing/feeds.py
@@ -14,7 +14,7 @@
 from glenfold_lab.model.draw import value
 from glenfold_lab.model.fleet import Fleet, Machine
 from glenfold_lab.model.kernel import SECOND_US, Kernel
-from glenfold_lab.model.listing.known import Known
+from glenfold_lab.model.listing.shared_destinations import SharedDestinations
 from glenfold_lab.model.listing.versions import Document, Entry, Versions, names_of
 from glenfold_lab.model.network import Network
 from glenfold_lab.observe import Told, Watcher
@@ -22,12 +22,12 @@
 from glenfold_lab.streams import Streams
 from linnetspread.interface import ServerList
 
-AGAIN_US = int(RETRY_DELAY_S * SECOND_US)
-LONGEST_SILENCE_US = int(MAX_WATCH_SILENCE_S * SECOND_US)
+RETRY_US = int(RETRY_DELAY_S * SECOND_US)
+MAX_SILENCE_US = int(MAX_WATCH_SILENCE_S * SECOND_US)
 HEARTBEAT_US = 2 * SECOND_US  # an agent finds out so much later at the most that a change is missing
-ANSWER_US = 1_000  # an agent on the same machine answers at once
+AGENT_ANSWER_US = 1_000  # an agent on the same machine answers at once
 
-Heard = Callable[[ServerList], None]
+ListCallback = Callable[[ServerList], None]
 
 
 class Feed:
@@ -40,29 +40,29 @@
 
     __slots__ = (
         "relay",
-        "heard",
-        "known",
+        "on_list",
+        "destinations",
         "held",
         "missing",
         "last",
-        "reads",
-        "life",
+        "is_watching",
+        "incarnation",
         "free_at",
-        "behind",
-        "quiet_since",
+        "out_of_order",
+        "silent_since",
     )
 
     def __init__(self, relay: int, version: int) -> None:
         self.relay = relay
-        self.heard: Heard | None = None
-        self.known: Known | None = None
+        self.on_list: ListCallback | None = None
+        self.destinations: SharedDestinations | None = None
         self.held = self.last = version
         self.missing: dict[int, bool] = {}
-        self.reads = False
-        self.life = 0
+        self.is_watching = False
+        self.incarnation = 0
         self.free_at = 0
-        self.behind: list[int] = []  # changes that come after the next one
-        self.quiet_since = 0  # 0: the agent hears of discovery
+        self.out_of_order: list[int] = []  # changes that come after the next one
+        self.silent_since = 0  # 0: the agent hears of discovery
 
 
 class RelayLists:
@@ -92,11 +92,11 @@
         self._late_us = micros(spec.late_s, SECOND_US, "late")
         self._told_within_us = int(spec.told_within_s * SECOND_US)
         self._streams = streams
-        self._nothing = Known.nothing(names_of(scenario))
+        self._empty = SharedDestinations.empty(names_of(scenario))
         first = [Entry(machine, Told.READY, 0) for machine in fleet.machines]
         self._versions = Versions(scenario.zones.names, first)
         self._feeds = [Feed(relay, 1) for relay in range(scenario.relays.count)]
-        self._news_of: dict[int, int] = {}  # how much has happened to each server
+        self._events_of: dict[int, int] = {}  # how much has happened to each server
         self._noticed_of: dict[int, int] = {}  # and how much of it is known
         self._gathered: dict[int, Entry] = {}
         self._silent_until = 0
@@ -104,9 +104,9 @@
 
     # ---- discovery ----
 
-    def news(self, machine: Machine, state: Told, started: int, silent: bool) -> None:
+    def server_changed(self, machine: Machine, state: Told, started: int, silent: bool) -> None:
         """Something has happened to a server, of which discovery finds out later."""
-        happened = self._news_of[machine.number] = self._news_of.get(machine.number, 0) + 1
+        happened = self._events_of[machine.number] = self._events_of.get(machine.number, 0) + 1
         delay = self._silent_notice_us if silent else self._notice_us
         delay = self._add_us if state is Told.READY else delay
         self._kernel.after(delay, self._notice, Entry(machine, state, started), happened)
@@ -143,106 +143,108 @@
     def _send(self, feed: Feed, version: int, delay: int) -> None:
         """What is late holds up what comes behind it: it is one stream."""
         feed.free_at = max(feed.free_at, self._kernel.now + delay)
-        self._kernel.at(feed.free_at, self._arrive, feed, version)
+        self._kernel.at(feed.free_at, self._receive_change, feed, version)
 
     # ---- an agent ----
 
-    def _hears(self, feed: Feed) -> bool:
+    def _is_connected(self, feed: Feed) -> bool:
         return self._kernel.now >= self._silent_until and not self._network.relay_cut(feed.relay)
 
-    def _arrive(self, feed: Feed, version: int) -> None:
+    def _receive_change(self, feed: Feed, version: int) -> None:
         """A change has come to the agent."""
-        if version not in feed.missing or not self._hears(feed):
+        if version not in feed.missing or not self._is_connected(feed):
             return
-        if min(feed.missing) < version and not feed.behind:  # there is a gap: it asks for the whole list
-            return self._come_to(feed, version, True)
-        if not feed.behind and self._luck("out_of_order", self._spec.out_of_order):
-            feed.behind.append(version)
-            return self._kernel.after(HEARTBEAT_US, self._late_ones, feed)
-        self._come_to(feed, version, False)
-        if self._luck("doubled", self._spec.doubled):
+        if (
+            min(feed.missing) < version and not feed.out_of_order
+        ):  # there is a gap: it asks for the whole list
+            return self._advance(feed, version, True)
+        if not feed.out_of_order and self._happens("out_of_order", self._spec.out_of_order):
+            feed.out_of_order.append(version)
+            return self._kernel.after(HEARTBEAT_US, self._receive_out_of_order, feed)
+        self._advance(feed, version, False)
+        if self._happens("doubled", self._spec.doubled):
             self._write(feed, version, False)
-        self._late_ones(feed)
+        self._receive_out_of_order(feed)
 
-    def _luck(self, purpose: str, share: float) -> bool:
+    def _happens(self, purpose: str, share: float) -> bool:
         return share > 0 and self._streams.of("list", purpose).uniform() < share
 
-    def _late_ones(self, feed: Feed) -> None:
-        behind, feed.behind = feed.behind, []
-        for version in behind:
-            if version in feed.missing and self._hears(feed):
-                self._come_to(feed, version, False)
+    def _receive_out_of_order(self, feed: Feed) -> None:
+        out_of_order, feed.out_of_order = feed.out_of_order, []
+        for version in out_of_order:
+            if version in feed.missing and self._is_connected(feed):
+                self._advance(feed, version, False)
 
     def _find_missing(self, feed: Feed, version: int) -> None:
         """Nothing came behind the change that was lost."""
-        if version in feed.missing and self._hears(feed):
-            self._come_to(feed, self._versions.last, True)
+        if version in feed.missing and self._is_connected(feed):
+            self._advance(feed, self._versions.last, True)
 
-    def _come_to(self, feed: Feed, version: int, whole: bool) -> None:
+    def _advance(self, feed: Feed, version: int, whole: bool) -> None:
         """The agent holds this version now, or all versions up to it."""
         feed.held = max(feed.held, version)
         come = [v for v in feed.missing if v <= version] if whole else [version]
         for one in come:
-            self._tell_change(feed, one)
+            self._report_change(feed, one)
             del feed.missing[one]
         self._write(feed, version, whole)
 
     # ---- a relay ----
 
-    def relay_up(self, relay: int, heard: Heard) -> None:
+    def relay_up(self, relay: int, on_list: ListCallback) -> None:
         feed = self._feeds[relay]
-        feed.heard, feed.known = heard, self._nothing
-        feed.life += 1
-        cached, feed.reads = feed.last, True
+        feed.on_list, feed.destinations = on_list, self._empty
+        feed.incarnation += 1
+        cached, feed.is_watching = feed.last, True
         self._read(feed, self._versions.whole(cached), True)
-        if not self._hears(feed):  # its agent can't know either, until it is told again
+        if not self._is_connected(feed):  # its agent can't know either, until it is told again
             feed.missing |= {version: False for version in range(cached + 1, feed.held + 1)}
-        self._tell_start(feed, cached)
+        self._report_start(feed, cached)
         if feed.held != cached:  # else the watch would begin with the list that it has
-            feed.reads = False
-            self._kernel.after(ANSWER_US, self._watch_again, feed, feed.life)
+            feed.is_watching = False
+            self._kernel.after(AGENT_ANSWER_US, self._watch_again, feed, feed.incarnation)
 
     def relay_down(self, relay: int) -> None:
         feed = self._feeds[relay]
-        feed.heard, feed.known, feed.reads = None, None, False
-        feed.life += 1
+        feed.on_list, feed.destinations, feed.is_watching = None, None, False
+        feed.incarnation += 1
 
     def _write(self, feed: Feed, version: int, whole: bool) -> None:
-        if feed.reads:
+        if feed.is_watching:
             versions = self._versions
             self._read(feed, versions.whole(version) if whole else versions.change(version))
 
     def _read(self, feed: Feed, document: Document, cached: bool = False) -> None:
-        if feed.heard is None or feed.known is None:
+        if feed.on_list is None or feed.destinations is None:
             return
         try:
-            feed.known = feed.known.read(document, cached)
+            feed.destinations = feed.destinations.read(document, cached)
         except BadList:
-            feed.reads = False
-            return self._kernel.after(AGAIN_US, self._watch_again, feed, feed.life)
+            feed.is_watching = False
+            return self._kernel.after(RETRY_US, self._watch_again, feed, feed.incarnation)
         feed.last = document["seq"]
-        feed.heard(feed.known.told)
+        feed.on_list(feed.destinations.server_list)
 
-    def _watch_again(self, feed: Feed, life: int) -> None:
+    def _watch_again(self, feed: Feed, incarnation: int) -> None:
         """A watch begins with a whole list. One that finds its agent silent begins when that speaks again."""
-        if life == feed.life and not feed.reads and self._hears(feed):
-            feed.reads = True
+        if incarnation == feed.incarnation and not feed.is_watching and self._is_connected(feed):
+            feed.is_watching = True
             self._write(feed, feed.held, True)
 
     # ---- what counts as told ----
 
-    def _tell(self, feed: Feed, entry: Entry) -> None:
+    def _report_entry(self, feed: Feed, entry: Entry) -> None:
         self._watcher.told(self._kernel.now, feed.relay, entry.machine.number, entry.state, entry.started)
 
-    def _tell_change(self, feed: Feed, version: int) -> None:
-        if feed.heard is None:
+    def _report_change(self, feed: Feed, version: int) -> None:
+        if feed.on_list is None:
             return
         for entry in self._versions.changed(version):
             latest = self._versions.changed_last(entry.machine.number)
             if latest == version or latest > feed.held or latest in feed.missing:
-                self._tell(feed, entry)  # else what it has been told is newer
+                self._report_entry(feed, entry)  # else what it has been told is newer
 
-    def _tell_start(self, feed: Feed, cached: int) -> None:
+    def _report_start(self, feed: Feed, cached: int) -> None:
         """The list that it starts with, then what its agent holds beyond it or has to."""
         now, told, relay = self._kernel.now, self._watcher.told, feed.relay
         for entry in self._versions.entries(cached):  # thousands, at thousands of relays
@@ -250,46 +252,46 @@
         for version in range(1, self._versions.last + 1):
             due = feed.missing.get(version, version <= feed.held)
             if due and (version > cached or version in feed.missing):
-                self._tell_change(feed, version)
+                self._report_change(feed, version)
 
     def _count_as_told(self, version: int) -> None:
         for feed in self._feeds:
             if version in feed.missing:
                 feed.missing[version] = True
-                self._tell_change(feed, version)
+                self._report_change(feed, version)
 
     # ---- silence ----
 
     def silence(self, us: int) -> None:
         """Discovery and all agents say nothing for so long."""
         self._silent_until = max(self._silent_until, self._kernel.now + us)
-        self._mark_quiet()
-        self._kernel.at(self._silent_until, self._speak)
+        self._mark_silent()
+        self._kernel.at(self._silent_until, self._resume_feeds)
 
     def _zone_changed(self, _zone: int) -> None:
-        self._mark_quiet()
-        self._speak()
+        self._mark_silent()
+        self._resume_feeds()
 
-    def _mark_quiet(self) -> None:
+    def _mark_silent(self) -> None:
         for feed in self._feeds:
-            if not self._hears(feed):
-                feed.quiet_since = feed.quiet_since or self._kernel.now
+            if not self._is_connected(feed):
+                feed.silent_since = feed.silent_since or self._kernel.now
 
-    def _speak(self) -> None:
+    def _resume_feeds(self) -> None:
         for feed in self._feeds:
-            if feed.quiet_since and self._hears(feed):
-                self._catch_up(feed, self._kernel.now - feed.quiet_since)
-                feed.quiet_since = 0
+            if feed.silent_since and self._is_connected(feed):
+                self._catch_up(feed, self._kernel.now - feed.silent_since)
+                feed.silent_since = 0
 
     def _catch_up(self, feed: Feed, silent_us: int) -> None:
         """A watch that said nothing for long was given up and begins anew; another just goes on."""
         feed.held = self._versions.last
         for version in sorted(feed.missing):
-            self._tell_change(feed, version)
-            if feed.reads and silent_us < LONGEST_SILENCE_US:
+            self._report_change(feed, version)
+            if feed.is_watching and silent_us < MAX_SILENCE_US:
                 self._write(feed, version, False)
         feed.missing.clear()
-        if feed.heard is not None and (silent_us >= LONGEST_SILENCE_US or not feed.reads):
-            feed.reads = False
-            again = int(self._streams.of("list", "again").uniform() * AGAIN_US)
-            self._kernel.after(again, self._watch_again, feed, feed.life)
+        if feed.on_list is not None and (silent_us >= MAX_SILENCE_US or not feed.is_watching):
+            feed.is_watching = False
+            again = int(self._streams.of("list", "again").uniform() * RETRY_US)
+            self._kernel.after(again, self._watch_again, feed, feed.incarnation)
--- a/glenfold_lab/model/listing/known.py
+++ b/glenfold_lab/model/listing/shared_destinations.py
@@ -8,11 +8,11 @@
 from glenfold_lab.model.listing.versions import Document
 from linnetspread.interface import ListKind, ServerList
 
-Heard = tuple[int, bool, bool]  # version, whether whole, whether cached
+ReceivedList = tuple[int, bool, bool]  # version, whether whole, whether cached
 
 
-class _Set(DestinationSet):
-    def twin(self) -> "_Set":
+class _ForkableSet(DestinationSet):
+    def fork(self) -> "_ForkableSet":
         """One that goes its own way from here. What a set knows is replaced with each list, never changed in
         place, but for those that have left."""
         other = copy.copy(self)
@@ -20,7 +20,7 @@
         return other
 
 
-class Known:
+class SharedDestinations:
     """What relays know that heard the same lists in the same order, and the list that they heard last.
 
     10,000 servers told to 1,000 relays would be 10 million entries to read: so the first relay that hears a
@@ -28,24 +28,24 @@
     only for as long as somebody keeps it.
     """
 
-    __slots__ = ("_set", "_next", "told", "__weakref__")
+    __slots__ = ("_set", "_next", "server_list", "__weakref__")
 
-    def __init__(self, known: _Set, told: ServerList) -> None:
+    def __init__(self, known: _ForkableSet, server_list: ServerList) -> None:
         self._set = known
-        self._next: WeakValueDictionary[Heard, Known] = WeakValueDictionary()
-        self.told = told
+        self._next: WeakValueDictionary[ReceivedList, SharedDestinations] = WeakValueDictionary()
+        self.server_list = server_list
 
     @classmethod
-    def nothing(cls, names: Names) -> "Known":
+    def empty(cls, names: Names) -> "SharedDestinations":
         """What a relay knows before it has heard any list."""
-        return cls(_Set(names), ServerList(ListKind.CACHED))
+        return cls(_ForkableSet(names), ServerList(ListKind.CACHED))
 
-    def read(self, document: Document, cached: bool = False) -> "Known":
+    def read(self, document: Document, cached: bool = False) -> "SharedDestinations":
         """The knowledge after this list; `BadList` as the set has it. The same version must be the same
         document."""
-        heard = document["seq"], document["whole"], cached
-        known = self._next.get(heard)
+        received = document["seq"], document["whole"], cached
+        known = self._next.get(received)
         if known is None:
-            twin = self._set.twin()
-            known = self._next[heard] = Known(twin, twin.read(document, cached))
+            fork = self._set.fork()
+            known = self._next[received] = SharedDestinations(fork, fork.read(document, cached))
         return known
--- a/glenfold_lab/model/listing/versions.py
+++ b/glenfold_lab/model/listing/versions.py
@@ -13,8 +13,8 @@
 Document = dict[str, Any]
 
 PORT = 3000
-WHOLE_KEPT = 8  # whole lists of so many versions are kept; others are put together again
-WORDS = {Told[state.name]: word for word, state in STATES.items()}
+MAX_CACHED_FULL_LISTS = 8  # whole lists of so many versions are kept; others are put together again
+HEALTH_WORDS = {Told[state.name]: word for word, state in STATES.items()}
 
 
 def names_of(scenario: Scenario) -> Names:
@@ -43,7 +43,7 @@
             "site": zones[machine.zone],
             "class": machine.kind.name,
             "block": machine.cell,
-            "health": WORDS[self.state],
+            "health": HEALTH_WORDS[self.state],
             "share": machine.kind.weight,
             "born_ms": self.started // 1000,
         }
@@ -64,7 +64,7 @@
 
     def add(self, entries: list[Entry]) -> int | None:
         """A version more, of those entries that say something new; None if none does."""
-        new = [entry for entry in entries if self._says_new(entry)]
+        new = [entry for entry in entries if self._is_news(entry)]
         if not new:
             return None
         self._changes.append(new)
@@ -72,7 +72,7 @@
             self._latest[entry.machine.number] = self.last, entry
         return self.last
 
-    def _says_new(self, entry: Entry) -> bool:
+    def _is_news(self, entry: Entry) -> bool:
         known = self._latest.get(entry.machine.number)
         return entry != known[1] if known is not None else entry.state is not Told.GONE
 
@@ -98,7 +98,7 @@
             by_server = {e.machine.number: e for step in self._changes[: version + 1] for e in step}
             entries = [entry for entry in by_server.values() if entry.state is not Told.GONE]
             self._whole[version] = entries, self._document(version, True, entries)
-            if len(self._whole) > WHOLE_KEPT:
+            if len(self._whole) > MAX_CACHED_FULL_LISTS:
                 self._whole.popitem(last=False)
         return self._whole[version]
 
--- a/glenfold_lab/model/machine_faults.py
+++ b/glenfold_lab/model/machine_faults.py
@@ -10,7 +10,7 @@
 from glenfold_lab.model.listing.feeds import RelayLists
 from glenfold_lab.model.network import Network
 from glenfold_lab.model.servers.calls import PushServers
-from glenfold_lab.model.servers.lives import Lives
+from glenfold_lab.model.servers.lifecycle import ServerLifecycle
 from glenfold_lab.model.servers.server import Server
 from glenfold_lab.results import Happened
 from glenfold_lab.spec import Fault, Scenario
@@ -20,16 +20,16 @@
 
 # Where a fault does not say it: the part of the servers that it strikes, the cores that a neighbour takes,
 # how many times smaller a fleet becomes, and how long a flapping server is away and back.
-PART, TAKEN, SMALLER, FLAP_S = 0.25, 0.5, 2.0, 4.0
+DEFAULT_PART, DEFAULT_CORE_SHARE, DEFAULT_SHRINK_FACTOR, DEFAULT_FLAP_S = 0.25, 0.5, 2.0, 4.0
 
 
-class Due:
+class DrawnFault:
     """A fault of the scenario, drawn: times in microseconds, `at` from the start of the history. Its place in
     the scenario decides its generators, so that one fault more shifts no other."""
 
-    def __init__(self, fault: Fault, place: int, streams: Streams) -> None:
+    def __init__(self, fault: Fault, index: int, streams: Streams) -> None:
         self.fault = fault
-        self._streams, self._place = streams, place
+        self._streams, self._index = streams, index
         self.at, self.length, self.over, self.every = (
             int(self.drawn(name, 0.0) * SECOND_US) for name in ("at_s", "len_s", "over_s", "every_s")
         )
@@ -39,17 +39,17 @@
         return default if wanted is None else value(wanted, self.random(name))
 
     def count_of(self, machines: int) -> int:
-        part = self.drawn("part", PART)
+        part = self.drawn("part", DEFAULT_PART)
         return min(machines, self.fault.count or max(1, round(part * machines)))
 
     def random(self, purpose: str) -> np.random.Generator:
-        return self._streams.of("faults", purpose, self._place)
+        return self._streams.of("faults", purpose, self._index)
 
     def choose(self, machines: Sequence[T], count: int) -> list[T]:
         order = self.random("whom").permutation(len(machines))
-        return [machines[place] for place in sorted(order[:count].tolist())]
+        return [machines[index] for index in sorted(order[:count].tolist())]
 
-    def place_of(self, count: int) -> int:
+    def draw_index(self, count: int) -> int:
         return int(self.random("where").integers(count))
 
 
@@ -62,17 +62,17 @@
         streams: Streams,
         kernel: Kernel,
         servers: PushServers,
-        lives: Lives,
+        lifecycle: ServerLifecycle,
         lists: RelayLists,
         network: Network,
         note: Callable[[Happened], None],
     ) -> None:
-        self._kernel, self._servers, self._lives = kernel, servers, lives
+        self._kernel, self._servers, self._lifecycle = kernel, servers, lifecycle
         self._lists, self._network = lists, network
         self._relays = scenario.relays.count
         self._end = kernel.start + int(scenario.length_s * SECOND_US)
         self._note = note
-        self._kinds: dict[str, Callable[[Due], Happened]] = {
+        self._kinds: dict[str, Callable[[DrawnFault], Happened]] = {
             "neighbour": self._neighbour,
             "shrink": self._shrink,
             "drain": self._drain,
@@ -80,14 +80,14 @@
             "start_servers": self._start_new,
             "server_crash": self._crash,
             "server_vanish": self._vanish,
-            "server_jam": self._jam,
+            "server_jam": self._stall,
             "zone_loss": self._zone_loss,
             "list_silent": self._list_silent,
             "flap": self._flap,
         }
         self._due = [
-            Due(fault, place, streams)
-            for place, fault in enumerate(scenario.faults)
+            DrawnFault(fault, index, streams)
+            for index, fault in enumerate(scenario.faults)
             if fault.kind in self._kinds
         ]
 
@@ -95,15 +95,15 @@
         for due in self._due:
             self._kernel.at(self._kernel.start + due.at, self._strike, due)
 
-    def _strike(self, due: Due) -> None:
+    def _strike(self, due: DrawnFault) -> None:
         self._note(self._kinds[due.fault.kind](due))
 
-    def _chosen(self, due: Due) -> list[Server]:
-        running = self._lives.running()
+    def _choose_targets(self, due: DrawnFault) -> list[Server]:
+        running = self._lifecycle.running()
         return due.choose(running, due.count_of(len(running)))
 
-    def _happened(
-        self, due: Due, servers: Sequence[Server], us: int = 0, relays: tuple[int, ...] = ()
+    def _record(
+        self, due: DrawnFault, servers: Sequence[Server], us: int = 0, relays: tuple[int, ...] = ()
     ) -> Happened:
         """us: for how long; 0 is for good."""
         now = self._kernel.now - self._kernel.start
@@ -112,110 +112,114 @@
 
     # ---- capacity ----
 
-    def _neighbour(self, due: Due) -> Happened:
-        struck, share = self._chosen(due), min(1.0, due.drawn("size", TAKEN))
+    def _neighbour(self, due: DrawnFault) -> Happened:
+        struck, share = self._choose_targets(due), min(1.0, due.drawn("size", DEFAULT_CORE_SHARE))
         until = self._kernel.now + due.length if due.length else self._end
         for server in struck:
-            self._take_turns(server, share, due.every or until, until)
-        return self._happened(due, struck, due.length)
+            self._alternate_neighbour(server, share, due.every or until, until)
+        return self._record(due, struck, due.length)
 
-    def _take_turns(self, server: Server, share: float, every: int, until: int, away: float = 0.0) -> None:
+    def _alternate_neighbour(
+        self, server: Server, share: float, every: int, until: int, other_share: float = 0.0
+    ) -> None:
         """On for a while and off for a while."""
         now = self._kernel.now
-        self._lives.take_cores(server, share if now < until else 0.0)
+        self._lifecycle.take_cores(server, share if now < until else 0.0)
         if now < until:
-            self._kernel.at(min(now + every, until), self._take_turns, server, away, every, until, share)
+            self._kernel.at(
+                min(now + every, until), self._alternate_neighbour, server, other_share, every, until, share
+            )
 
-    def _jam(self, due: Due) -> Happened:
-        struck = self._chosen(due)
+    def _stall(self, due: DrawnFault) -> Happened:
+        struck = self._choose_targets(due)
         for server in struck:
-            self._lives.jam(server, True)
+            self._lifecycle.set_stalled(server, True)
             if due.length:
-                self._kernel.after(due.length, self._lives.jam, server, False)
-        return self._happened(due, struck, due.length)
+                self._kernel.after(due.length, self._lifecycle.set_stalled, server, False)
+        return self._record(due, struck, due.length)
 
     # ---- the fleet ----
 
-    def _shrink(self, due: Due) -> Happened:
-        running = self._lives.running()
-        left = max(1, round(len(running) / max(1.0, due.drawn("size", SMALLER))))
+    def _shrink(self, due: DrawnFault) -> Happened:
+        running = self._lifecycle.running()
+        left = max(1, round(len(running) / max(1.0, due.drawn("size", DEFAULT_SHRINK_FACTOR))))
         return self._drain_all(due, due.choose(running, len(running) - left))
 
-    def _drain(self, due: Due) -> Happened:
-        struck = self._chosen(due)
+    def _drain(self, due: DrawnFault) -> Happened:
+        struck = self._choose_targets(due)
         happened = self._drain_all(due, struck)
         for server in struck if due.fault.replace else ():
             machine = server.machine
-            self._lives.add(self._servers.fleet.add(machine.kind_place, machine.zone))
+            self._lifecycle.add(self._servers.fleet.add(machine.kind_index, machine.zone))
         return happened
 
-    def _drain_all(self, due: Due, struck: list[Server]) -> Happened:
+    def _drain_all(self, due: DrawnFault, struck: list[Server]) -> Happened:
         for server in struck:
-            self._lives.drain(server, due.over)
-        return self._happened(due, struck, due.over)
+            self._lifecycle.drain(server, due.over)
+        return self._record(due, struck, due.over)
 
-    def _restart(self, due: Due) -> Happened:
-        struck = self._chosen(due)
+    def _restart(self, due: DrawnFault) -> Happened:
+        struck = self._choose_targets(due)
         for turn, server in enumerate(struck):
-            self._kernel.after(due.over * turn // len(struck), self._lives.restart, server, due.length)
-        return self._happened(due, struck, due.over + due.length)
+            self._kernel.after(due.over * turn // len(struck), self._lifecycle.restart, server, due.length)
+        return self._record(due, struck, due.over + due.length)
 
-    def _start_new(self, due: Due) -> Happened:
-        count = due.fault.count or due.count_of(len(self._lives.running()))
+    def _start_new(self, due: DrawnFault) -> Happened:
+        count = due.fault.count or due.count_of(len(self._lifecycle.running()))
         for turn in range(count):
             self._kernel.after(due.over * turn // count, self._add_one)
-        return self._happened(due, (), due.over)
+        return self._record(due, (), due.over)
 
     def _add_one(self) -> None:
-        self._lives.add(self._servers.fleet.add_drawn())
+        self._lifecycle.add(self._servers.fleet.add_drawn())
 
-    def _crash(self, due: Due) -> Happened:
-        struck = self._chosen(due)
+    def _crash(self, due: DrawnFault) -> Happened:
+        struck = self._choose_targets(due)
         for server in struck:
             if due.length:
-                self._lives.restart(server, due.length)
+                self._lifecycle.restart(server, due.length)
             else:
-                self._lives.end(server)
-        return self._happened(due, struck, due.length)
+                self._lifecycle.end(server)
+        return self._record(due, struck, due.length)
 
     # ---- silence ----
 
-    def _vanish(self, due: Due) -> Happened:
-        struck = self._chosen(due)
+    def _vanish(self, due: DrawnFault) -> Happened:
+        struck = self._choose_targets(due)
         for server in struck:
-            self._lives.vanish(server)
+            self._lifecycle.vanish(server)
             if due.length:
-                self._kernel.after(due.length, self._lives.appear, server, server.life)
-        return self._happened(due, struck, due.length)
+                self._kernel.after(due.length, self._lifecycle.appear, server, server.life)
+        return self._record(due, struck, due.length)
 
-    def _zone_loss(self, due: Due) -> Happened:
+    def _zone_loss(self, due: DrawnFault) -> Happened:
         names = self._network.names
-        zone = names.index(due.fault.zone) if due.fault.zone else due.place_of(len(names))
-        struck = self._lives.cut(zone, due.fault.relays)
+        zone = names.index(due.fault.zone) if due.fault.zone else due.draw_index(len(names))
+        struck = self._lifecycle.cut(zone, due.fault.relays)
         if due.length:
-            self._kernel.after(due.length, self._lives.restore, zone)
+            self._kernel.after(due.length, self._lifecycle.restore, zone)
         relays = range(self._relays) if due.fault.relays else ()
         cut_off = tuple(relay for relay in relays if self._network.zone_of(relay) == zone)
-        return self._happened(due, struck, due.length, cut_off)
+        return self._record(due, struck, due.length, cut_off)
 
     # ---- the list ----
 
-    def _list_silent(self, due: Due) -> Happened:
+    def _list_silent(self, due: DrawnFault) -> Happened:
         self._lists.silence(due.length or self._end - self._kernel.now)
-        return self._happened(due, (), due.length)
+        return self._record(due, (), due.length)
 
-    def _flap(self, due: Due) -> Happened:
-        struck = self._chosen(due)
+    def _flap(self, due: DrawnFault) -> Happened:
+        struck = self._choose_targets(due)
         until = self._kernel.now + due.length if due.length else self._end
-        half = (due.every or int(FLAP_S * SECOND_US)) // 2
+        half = (due.every or int(DEFAULT_FLAP_S * SECOND_US)) // 2
         for server in struck:
             self._flap_out(server, server.life, half, until)
-        return self._happened(due, struck, due.length)
+        return self._record(due, struck, due.length)
 
     def _flap_out(self, server: Server, life: int, half: int, until: int) -> None:
-        if self._kernel.now < until and server.life == life and self._lives.turn_away(server):
+        if self._kernel.now < until and server.life == life and self._lifecycle.start_drain(server):
             self._kernel.after(half, self._flap_back, server, life, half, until)
 
     def _flap_back(self, server: Server, life: int, half: int, until: int) -> None:
-        self._lives.take_again(server, life)
+        self._lifecycle.cancel_drain(server, life)
         self._kernel.after(half, self._flap_out, server, life, half, until)
--- a/glenfold_lab/model/machinery.py
+++ b/glenfold_lab/model/machinery.py
@@ -6,7 +6,7 @@
 from glenfold_lab.model.machine_faults import MachineFaults
 from glenfold_lab.model.network import Network
 from glenfold_lab.model.servers.calls import TICK_US, PushServers
-from glenfold_lab.model.servers.lives import Lives
+from glenfold_lab.model.servers.lifecycle import ServerLifecycle
 from glenfold_lab.model.service import Service
 from glenfold_lab.observe import Watcher
 from glenfold_lab.results import Happened
@@ -26,18 +26,20 @@
         self._kernel = kernel
         self.happened: list[Happened] = []
         fleet = Fleet(scenario, streams)
-        self.terms = fleet.terms
+        self.parameters = fleet.parameters
         self.network = Network(scenario.zones, streams)
         self.servers = PushServers(scenario, streams, kernel, watcher, fleet, self.network)
         self.listing = RelayLists(scenario, streams, kernel, watcher, fleet, self.network)
         self.service = Service(scenario, kernel, self.servers)
-        self.lives = Lives(self.servers, scenario.rules, self.listing.news, self.happened.append)
+        self.lifecycle = ServerLifecycle(
+            self.servers, scenario.rules, self.listing.server_changed, self.happened.append
+        )
         self._faults = MachineFaults(
             scenario,
             streams,
             kernel,
             self.servers,
-            self.lives,
+            self.lifecycle,
             self.listing,
             self.network,
             self.happened.append,
@@ -45,7 +47,7 @@
 
     def start(self) -> None:
         """Tells of the push servers that run and sets the clock going: before any call or `resume`."""
-        self.lives.begin()
+        self.lifecycle.start_all()
         self._faults.start()
         self._kernel.after(TICK_US, self._tick)
 
--- a/glenfold_lab/model/network.py
+++ b/glenfold_lab/model/network.py
@@ -60,12 +60,12 @@
     def cut(self, zone: int, relays: bool) -> None:
         """Cuts off the push servers of a zone; with `relays`, all its machines."""
         self._servers_cut[zone], self._all_cut[zone] = True, relays
-        self._tell(zone)
+        self._notify(zone)
 
     def restore(self, zone: int) -> None:
         self._servers_cut[zone] = self._all_cut[zone] = False
-        self._tell(zone)
+        self._notify(zone)
 
-    def _tell(self, zone: int) -> None:
+    def _notify(self, zone: int) -> None:
         for call in self.on_change:
             call(zone)
--- a/glenfold_lab/model/plan.py
+++ b/glenfold_lab/model/plan.py
@@ -14,16 +14,16 @@
 KIND_BITS = 2
 CLIENT_MASK = (1 << CLIENT_BITS) - 1
 KIND_MASK = (1 << KIND_BITS) - 1
-MOST_CLIENTS = 1 << CLIENT_BITS
+MAX_CLIENTS = 1 << CLIENT_BITS
 
-Due = Callable[[int, int], None]
+PlannedCall = Callable[[int, int], None]
 
 
 class Plan:
     """`kinds`: by the number of a kind, what is called when such a moment comes, with the client and the
     moment. What lies beyond `until` never comes."""
 
-    def __init__(self, kernel: Kernel, until: int, kinds: Sequence[Due]) -> None:
+    def __init__(self, kernel: Kernel, until: int, kinds: Sequence[PlannedCall]) -> None:
         self._kernel = kernel
         self._start = kernel.now
         self._until = until
--- a/glenfold_lab/model/population.py
+++ b/glenfold_lab/model/population.py
@@ -9,16 +9,16 @@
 from numpy.typing import NDArray
 
 from glenfold_lab.model.draw import value
-from glenfold_lab.model.fleet import Terms
+from glenfold_lab.model.fleet import HistoryParameters
 from glenfold_lab.model.kernel import SECOND_US
 from glenfold_lab.spec import Scenario
 from glenfold_lab.streams import Streams
 
 Floats = NDArray[np.float64]
-Whole = NDArray[np.int64]
+Integers = NDArray[np.int64]
 Keys = NDArray[np.uint64]
 
-STANDING, COMING = 0, 1
+STANDING, ARRIVING = 0, 1
 SIZE_BIASED = 1.0  # a connection met at a random moment is longer than usual, in proportion to its length
 
 
@@ -31,11 +31,11 @@
     pace, rejoin: its own place, 0 to 1, within the spread of backing off and of coming again.
     """
 
-    at: Whole
-    until: Whole
-    request_class: Whole
-    scheme: Whole
-    zone: Whole
+    at: Integers
+    until: Integers
+    request_class: Integers
+    scheme: Integers
+    zone: Integers
     key: Keys
     group: Keys
     load: Floats
@@ -51,14 +51,16 @@
     stand at the start and those that come follow from one rate and one spread of lives.
     """
 
-    def __init__(self, scenario: Scenario, terms: Terms, streams: Streams, start: int) -> None:
+    def __init__(
+        self, scenario: Scenario, parameters: HistoryParameters, streams: Streams, start: int
+    ) -> None:
         self._scenario = scenario
         self._clients = scenario.clients
-        self._terms = terms
+        self._parameters = parameters
         self._streams = streams
         self._start = start
         self._length = round(scenario.length_s * SECOND_US)
-        self._rate = terms.new_per_us
+        self._rate = parameters.new_per_us
         self._life_sigma = self._value("life_sigma")
         self._swing = self._value("swing")
         self._swing_at = float(streams.of("clients", "swing").uniform())
@@ -84,9 +86,9 @@
         return value(getattr(self._clients, name), self._streams.of("clients", name))
 
     @property
-    def usual(self) -> float:
+    def mean_connections(self) -> float:
         """How many want a connection at once."""
-        return self._rate * self._terms.life_us
+        return self._rate * self._parameters.life_us
 
     def _skewed_zones(self) -> Floats:
         zones, random = len(self._scenario.zones.names), self._streams.of("clients", "zone_skew")
@@ -98,7 +100,7 @@
         random = self._streams.of("clients", "group_keys")
         if not self._clients.groups:
             return np.ones(1), np.zeros(1, np.uint64)
-        count = max(1, round(self.usual / self._terms.group_size))
+        count = max(1, round(self.mean_connections / self._parameters.group_size))
         sizes = np.arange(1, count + 1) ** -self._value("group_zipf")
         return _shares(sizes), _draw_keys(random, count)
 
@@ -106,24 +108,24 @@
 
     def standing(self) -> Drawn:
         """Those whose connections stood before the history."""
-        count = round(self.usual) if self._clients.standing else 0
+        count = round(self.mean_connections) if self._clients.standing else 0
         at = np.full(count, self._start)
         random = self._streams.of("clients", "lives", STANDING)
         left = random.uniform(size=count) * self._lives(random, count, SIZE_BIASED)
         return self._drawn(at, left, STANDING)
 
-    def coming(self, step_us: int) -> Iterator[Drawn]:
+    def arrivals(self, step_us: int) -> Iterator[Drawn]:
         """Those that come, a step's worth at a time."""
         arrivals = self._streams.of("clients", "arrivals")
-        lives = self._streams.of("clients", "lives", COMING)
+        lives = self._streams.of("clients", "lives", ARRIVING)
         for begin in range(0, self._length, step_us):
             end = min(begin + step_us, self._length)
-            mean = self._rate * (end - begin) * self._course((begin + end) / 2 / self._length)
+            mean = self._rate * (end - begin) * self._relative_rate((begin + end) / 2 / self._length)
             count = int(arrivals.poisson(mean))
             at = self._start + np.sort(arrivals.integers(begin, end, size=count))
-            yield self._drawn(at, self._lives(lives, count, 0.0), COMING)
+            yield self._drawn(at, self._lives(lives, count, 0.0), ARRIVING)
 
-    def _course(self, place: float) -> float:
+    def _relative_rate(self, place: float) -> float:
         """The rate at a place of the history (0 to 1), against its mean."""
         if self._clients.shape == "ramp":
             return 1 + self._swing * (2 * place - 1)
@@ -131,27 +133,27 @@
 
     def _lives(self, random: np.random.Generator, count: int, biased: float) -> Floats:
         sigma = self._life_sigma
-        middle = math.log(self._terms.life_us) + (biased - 0.5) * sigma * sigma
+        middle = math.log(self._parameters.life_us) + (biased - 0.5) * sigma * sigma
         return random.lognormal(middle, sigma, count)
 
-    def _drawn(self, at: Whole, life: Floats, which: int) -> Drawn:
+    def _drawn(self, at: Integers, life: Floats, stream: int) -> Drawn:
         count = len(at)
 
         def of(purpose: str) -> np.random.Generator:
-            return self._streams.of("clients", purpose, which)
+            return self._streams.of("clients", purpose, stream)
 
-        classes = _places(of("classes"), self._class_shares, count)
+        classes = _draw_indices(of("classes"), self._class_shares, count)
         sigma = self._load_sigma[classes]
         spread = np.exp(sigma * of("loads").standard_normal(count) - sigma * sigma / 2)
         return Drawn(
             at=at,
             until=at + np.minimum(life, 1e15).astype(np.int64) + 1,
             request_class=classes,
-            scheme=_places(of("schemes"), self._scheme_shares, count),
-            zone=_places(of("zones"), self._zone_shares, count),
+            scheme=_draw_indices(of("schemes"), self._scheme_shares, count),
+            zone=_draw_indices(of("zones"), self._zone_shares, count),
             key=_draw_keys(of("keys"), count),
-            group=self._group_keys[_places(of("groups"), self._group_shares, count)],
-            load=np.array(self._terms.class_load)[classes] * spread,
+            group=self._group_keys[_draw_indices(of("groups"), self._group_shares, count)],
+            load=np.array(self._parameters.class_load)[classes] * spread,
             pace=of("paces").uniform(size=count),
             rejoin=of("rejoins").uniform(size=count),
             honours=of("honours").uniform(size=count) < self._honour,
@@ -164,7 +166,7 @@
     return np.asarray(sums / sums[-1])
 
 
-def _places(random: np.random.Generator, shares: Floats, count: int) -> Whole:
+def _draw_indices(random: np.random.Generator, shares: Floats, count: int) -> Integers:
     return np.searchsorted(shares, random.uniform(size=count), side="right").astype(np.int64)
 
 
--- a/glenfold_lab/model/relay_hosts.py
+++ b/glenfold_lab/model/relay_hosts.py
@@ -15,8 +15,8 @@
 from glenfold_lab.streams import Streams
 from linnetspread.choice import SEEDS, mix
 
-FRONT_TOLD_S = (0.2, 0.4)  # after SIGTERM new connections keep arriving for so long
-KILLED_S = 0.3  # SIGKILL, after the moment by which a relay leaves by itself
+FRONT_REMOVAL_S = (0.2, 0.4)  # after SIGTERM new connections keep arriving for so long
+KILL_DELAY_S = 0.3  # SIGKILL, after the moment by which a relay leaves by itself
 
 MakeRelay = Callable[[int, int], Relay]  # its number, and the seed of this life
 
@@ -29,7 +29,7 @@
     relay: Relay | None = None
     lives: int = 0
     leaving: bool = False
-    lost: list[int] = field(default_factory=list)
+    lost_clients: list[int] = field(default_factory=list)
 
 
 class RelayHosts:
@@ -78,10 +78,10 @@
             return
         host.lives, host.leaving = lives + 1, False
         relay = host.relay = self._make(number, int(self._seeds[number].integers(1 << 63)))
-        self._listing.relay_up(number, relay.heard)
+        self._listing.relay_up(number, relay.receive_list)
         self._watcher.relay_up(self._kernel.now, number)
         if self._front.admits(number):  # back before the front had noticed: its packets go there as before
-            self._find_relays(host)
+            self._reach_relays(host)
         elif self.reachable(number):
             self._admit(number)
 
@@ -99,11 +99,11 @@
             return
         host.leaving = True
         lives = host.lives
-        self._kernel.after(self._draw_us(FRONT_TOLD_S), self._taken_out, number, lives)
+        self._kernel.after(self._draw_us(FRONT_REMOVAL_S), self._remove_from_front, number, lives)
         leave_at = host.relay.leave(lambda: self._end(number, lives))
-        self._kernel.at(leave_at + round(KILLED_S * SECOND_US), self._end, number, lives)
+        self._kernel.at(leave_at + round(KILL_DELAY_S * SECOND_US), self._end, number, lives)
 
-    def _taken_out(self, number: int, lives: int) -> None:
+    def _remove_from_front(self, number: int, lives: int) -> None:
         if self._hosts[number].lives == lives and self._front.admits(number):
             self._front.remove(number)
             self._set_changed(number)
@@ -116,15 +116,17 @@
         host.relay = None
         self._watcher.relay_down(self._kernel.now, number)
         self._listing.relay_down(number)
-        host.lost += [
-            exchange.client for exchange in relay.die() if self.clients.lost_relay(exchange, host.leaving)
+        host.lost_clients += [
+            exchange.client
+            for exchange in relay.terminate()
+            if self.clients.relay_lost(exchange, host.leaving)
         ]
         self._kernel.after(self._draw_us(self._scenario.relays.restart_s), self._boot, number, lives)
         if host.leaving:  # the front knows
             self._front.remove(number)
-            self._find_relays(host)
+            self._reach_relays(host)
         else:
-            self._kernel.after(self._notice_us(), self._noticed, number, lives)
+            self._kernel.after(self._notice_us(), self._notice_end, number, lives)
 
     def stall(self, number: int, until: int) -> None:
         """Its process stops, and then goes on; its machine still takes connections."""
@@ -140,23 +142,23 @@
 
     # ---- what the front hears ----
 
-    def _noticed(self, number: int, lives: int) -> None:
+    def _notice_end(self, number: int, lives: int) -> None:
         """That the process of this life is dead, unless another has started meanwhile."""
         host = self._hosts[number]
         if host.lives != lives or host.relay is not None:
             return
         self._front.remove(number)
-        self._find_relays(host)
+        self._reach_relays(host)
         self._set_changed(number)
 
-    def _find_relays(self, host: RelayHost) -> None:
-        lost, host.lost = host.lost, []
-        self.clients.reach_relays(lost)
+    def _reach_relays(self, host: RelayHost) -> None:
+        lost_clients, host.lost_clients = host.lost_clients, []
+        self.clients.reach_relays(lost_clients)
 
     def _admit(self, number: int) -> None:
         self._front.admit(number)
         self._set_changed(number)
-        self._find_relays(self._hosts[number])
+        self._reach_relays(self._hosts[number])
 
     def _set_changed(self, number: int) -> None:
         """Part of the connections of the zone's other relays land elsewhere, where packets pass through."""
@@ -169,18 +171,18 @@
                 continue
             for exchange in host.relay.standing:
                 if mix(exchange.event.key + salt) < self._reshuffle * (1 << 64):
-                    self.clients.goes_elsewhere(exchange)
+                    self.clients.move_to_other_relay(exchange)
 
     # ---- zones that are cut off ----
 
     def _zone_changed(self, zone: int) -> None:
         for number in self._of_zone(zone):
-            if self.reachable(number) and not self._front.admits(number) and self._ready(number):
+            if self.reachable(number) and not self._front.admits(number) and self._is_ready(number):
                 self._admit(number)
             elif not self.reachable(number) and self._front.admits(number):
                 self._kernel.after(self._notice_us(), self._cut_noticed, number)
 
-    def _ready(self, number: int) -> bool:
+    def _is_ready(self, number: int) -> bool:
         return self._hosts[number].relay is not None and not self._hosts[number].leaving
 
     def _cut_noticed(self, number: int) -> None:
@@ -189,11 +191,11 @@
         if self.reachable(number) or not self._front.admits(number):
             return
         self._front.remove(number)
-        self._find_relays(host)
+        self._reach_relays(host)
         self._set_changed(number)
         if host.relay is not None:
             for exchange in host.relay.standing:
-                self.clients.goes_elsewhere(exchange)
+                self.clients.move_to_other_relay(exchange)
 
     def _of_zone(self, zone: int) -> Sequence[int]:
         return [number for number in range(len(self._hosts)) if self._network.zone_of(number) == zone]
--- a/glenfold_lab/model/relay_settings.py
+++ b/glenfold_lab/model/relay_settings.py
@@ -6,32 +6,34 @@
 
 from glenfold.config import Room
 from glenfold_lab.model.draw import value
-from glenfold_lab.model.fleet import Terms
+from glenfold_lab.model.fleet import HistoryParameters
 from glenfold_lab.spec import Relays, RequestClass, Scenario
 from glenfold_lab.streams import Streams
-from linnetspread import interface as i
+from linnetspread import interface
 
-UNBOUND = 1 << 30  # sockets
+UNLIMITED_SOCKETS = 1 << 30  # sockets
 
 T = TypeVar("T")
 
 
-def told(kind: type[T], **values: Any) -> T:
+def with_known_fields(kind: type[T], **values: Any) -> T:
     """Another revision's decisions may lack some of these settings: it is told what it knows."""
     known = {field.name for field in fields(kind)}  # type: ignore[arg-type]
     return kind(**{name: value for name, value in values.items() if name in known})
 
 
-def settings_of(scenario: Scenario, terms: Terms, slot: int, zone: int) -> i.Settings:
+def settings_of(
+    scenario: Scenario, parameters: HistoryParameters, slot: int, zone: int
+) -> interface.Settings:
     """`tells_delay` stays off: no line of the protocol says what a message takes."""
     rules, park_s = scenario.rules, scenario.servers.park_s
-    return told(
-        i.Settings,
+    return with_known_fields(
+        interface.Settings,
         gateways=scenario.relays.count,
         slot=slot,
         zone=zone,
         classes=tuple(_class(kind) for kind in scenario.classes),
-        tenants=_tenants(scenario, terms),
+        tenants=_tenants(scenario, parameters),
         kinds=tuple(kind.name for kind in scenario.servers.kinds),
         weighted=True,
         pass_through=scenario.relays.pass_through,
@@ -55,22 +57,22 @@
     return int(amount * unit)
 
 
-def _class(kind: RequestClass) -> i.RequestClass:
+def _class(kind: RequestClass) -> interface.RequestClass:
     """Asking for a connection again harms nobody."""
-    return i.RequestClass(
+    return interface.RequestClass(
         aim_us=_us(kind.aim_ms),
         deadline_us=_us(kind.deadline_ms),
         worth=kind.worth,
-        semantics=i.Semantics.REPEATABLE,
+        semantics=interface.Semantics.REPEATABLE,
         message_aim_us=kind.message_aim_ms * 1e3,
     )
 
 
-def _tenants(scenario: Scenario, terms: Terms) -> tuple[i.Tenant, ...]:
+def _tenants(scenario: Scenario, parameters: HistoryParameters) -> tuple[interface.Tenant, ...]:
     """A tenant within its share asks for as many connections a second as end of those it may have."""
     return tuple(
-        i.Tenant(scheme.share, quota / terms.life_us * 1e6, quota)
-        for scheme, quota in zip(scenario.schemes, terms.quotas, strict=True)
+        interface.Tenant(scheme.share, quota / parameters.life_us * 1e6, quota)
+        for scheme, quota in zip(scenario.schemes, parameters.quotas, strict=True)
     )
 
 
@@ -92,5 +94,5 @@
             call=round(relays.call_us / cores),
             reply=round(relays.reply_us / cores),
             notice=round(relays.notice_us / cores),
-            room=Room.within(relays.sockets or UNBOUND, relays.memory_mb or math.inf),
+            room=Room.within(relays.sockets or UNLIMITED_SOCKETS, relays.memory_mb or math.inf),
         )
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from glenfold import request as r
+from glenfold import request as request_state
 from glenfold.dispatch import Dispatch, RequestAction
 from glenfold.net.inbound import LISTEN_BACKLOG
 from glenfold.net.passing import SERVER_SILENCE_TIMEOUT_S
@@ -20,21 +20,21 @@
 from glenfold_lab.model.relay_settings import Costs
 from glenfold_lab.model.wire import Call, Machines
 from glenfold_lab.observe import End, Final, Over, Watcher
-from linnetspread import interface as i
+from linnetspread import interface
 
-SILENT_US = round(SERVER_SILENCE_TIMEOUT_S * SECOND_US)
-HELD_BACK_US = SECOND_US  # a line that waits here for longer is worth a word
-CALL_UP = r.CallUp(b"")
+SERVER_SILENCE_US = round(SERVER_SILENCE_TIMEOUT_S * SECOND_US)
+LINE_DELAY_REPORT_US = SECOND_US  # a line that waits here for longer is worth a word
+CALL_UP = request_state.CallUp(b"")
 CALL_ENDED = {
-    Over.BUSY: r.CallEnded(i.Outcome.FULL),
-    Over.ERROR: r.CallEnded(i.Outcome.ERROR),
-    Over.REFUSED: r.CallEnded(i.Outcome.CONNECT_FAILED),
-    Over.RESET: r.CallEnded(i.Outcome.RESET),
+    Over.BUSY: request_state.CallEnded(interface.Outcome.FULL),
+    Over.ERROR: request_state.CallEnded(interface.Outcome.ERROR),
+    Over.REFUSED: request_state.CallEnded(interface.Outcome.CONNECT_FAILED),
+    Over.RESET: request_state.CallEnded(interface.Outcome.RESET),
 }
-LEFT = r.ClientDisconnected()
-LATE = r.DeadlinePassed()
-CANCELLED = r.ConnectionEnded(i.Outcome.CANCELLED)
-BROKEN = r.ConnectionEnded(i.Outcome.RESET)
+CLIENT_DISCONNECTED = request_state.ClientDisconnected()
+DEADLINE_PASSED = request_state.DeadlinePassed()
+CANCELLED = request_state.ConnectionEnded(interface.Outcome.CANCELLED)
+BROKEN = request_state.ConnectionEnded(interface.Outcome.RESET)
 
 
 @dataclass(slots=True, eq=False)
@@ -49,12 +49,12 @@
     client: int
     scheme: int
     group: int
-    event: i.Request
-    state: r.RequestState
+    event: interface.Request
+    state: request_state.RequestState
     call: Call | None = None
 
 
-class Clientele(Protocol):
+class ClientSide(Protocol):
     """The clients' ends of a relay's connections. All is told as it leaves the relay."""
 
     def load(self, client: int) -> float:
@@ -63,54 +63,54 @@
     def next_line(self, client: int) -> int:
         """When it next sends a line on its standing connection."""
 
-    def hears(self, exchange: Exchange) -> bool:
+    def is_reachable(self, exchange: Exchange) -> bool:
         """Whether its client is still there, and packets pass between them."""
 
-    def up(self, exchange: Exchange) -> None: ...
+    def answered_up(self, exchange: Exchange) -> None: ...
 
-    def turned_away(self, exchange: Exchange, wait_us: int) -> None:
+    def refused_or_failed(self, exchange: Exchange, wait_us: int) -> None:
         """BUSY with a wait, or (0) without one or failed."""
 
-    def over(self, exchange: Exchange, how: End) -> None:
+    def connection_ended(self, exchange: Exchange, how: End) -> None:
         """Its standing connection ended."""
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class RelayContext:
     """What all relays of a history share."""
 
     kernel: Kernel
     machines: Machines
-    clients: Clientele
+    clients: ClientSide
     watcher: Watcher
     costs: Costs
 
 
 class Relay:
-    def __init__(self, number: int, settings: i.Settings, seed: int, around: Surroundings) -> None:
+    def __init__(self, number: int, settings: interface.Settings, seed: int, context: RelayContext) -> None:
         self.number = number
         self.settings = settings
         self.alive = True
         self.dispatch = Dispatch(settings, seed, lambda text: None)
         self.exchanges: dict[int, Exchange] = {}  # those accepted and not over, by request
-        self._kernel = around.kernel
-        self._machines = around.machines
-        self._clients = around.clients
-        self._watcher = around.watcher
-        self._costs = around.costs
-        self._events: deque[i.Event] = deque()
-        self._telling = False
+        self._kernel = context.kernel
+        self._machines = context.machines
+        self._clients = context.clients
+        self._watcher = context.watcher
+        self._costs = context.costs
+        self._events: deque[interface.Event] = deque()
+        self._is_submitting = False
         self._steps: deque[tuple[int, Callable[..., None], tuple[Any, ...]]] = deque()
         self._busy_until = self._stalled_until = 0
         self._backlog: dict[int, Exchange] = {}  # accepted by its machine alone
         self._last_arrival = 0
         self._due: list[tuple[int, int, Exchange, Call | None]] = []  # when what must have its answer
-        self._made = 0
+        self._sequence = 0
         self._wakes_at: int | None = None
 
     # ---- the core: one step after the other ----
 
-    def _do(self, cost: int, call: Callable[..., None], *values: Any) -> None:
+    def _run_step(self, cost: int, call: Callable[..., None], *values: Any) -> None:
         """At once where nothing else is under way: then the queue costs nothing."""
         now = self._kernel.now
         if self._busy_until <= now and not self._steps:
@@ -139,15 +139,19 @@
 
     # ---- from the list ----
 
-    def heard(self, servers: i.ServerList) -> None:
+    def receive_list(self, servers: interface.ServerList) -> None:
         if self.alive:
-            self._do(self._costs.notice, self._tell, servers)
+            self._run_step(self._costs.notice, self._submit, servers)
 
     # ---- from clients ----
 
     @property
     def standing(self) -> list[Exchange]:
-        return [exchange for exchange in self.exchanges.values() if exchange.state.phase is r.Phase.STANDING]
+        return [
+            exchange
+            for exchange in self.exchanges.values()
+            if exchange.state.phase is request_state.Phase.STANDING
+        ]
 
     def offer(self, exchange: Exchange, deadline: int) -> bool:
         """A client's connection with its first line; False when its machine has too many not yet accepted.
@@ -158,21 +162,21 @@
         self._last_arrival = self._kernel.now
         self._backlog[event.request] = exchange
         self._watcher.taken(self._kernel.now, event.request, self.number, deadline, event.request_class)
-        self._do(self._costs.accept, self._accept, exchange)
+        self._run_step(self._costs.accept, self._accept, exchange)
         return True
 
     def _accept(self, exchange: Exchange) -> None:
         del self._backlog[exchange.event.request]
         if len(self.exchanges) >= self._costs.room.taken:
-            self._answer(exchange, Final.BUSY, self._most_wait())
+            self._answer(exchange, Final.BUSY, self._max_retry_wait_us())
             return
         # As the real relay counts: from when it reads the line, be that late.
         exchange.state.deadline_us = self._kernel.now + exchange.event.expires_in_us
         self.exchanges[exchange.event.request] = exchange
-        self._watch(exchange.state.deadline_us, exchange, None)
-        self._tell(exchange.event)
+        self._add_deadline(exchange.state.deadline_us, exchange, None)
+        self._submit(exchange.event)
 
-    def _most_wait(self) -> int:
+    def _max_retry_wait_us(self) -> int:
         return self.settings.max_retry_after_us if self.settings.may_retry_after else 0
 
     def stand(self, exchange: Exchange) -> bool:
@@ -187,13 +191,15 @@
         now, event = self._kernel.now, exchange.event
         actions = self.dispatch.balancer.handle(now, event)
         for tries in range(self.settings.max_attempts):
-            server = next((action.server for action in actions if isinstance(action, i.Attempt)), None)
+            server = next(
+                (action.server for action in actions if isinstance(action, interface.Attempt)), None
+            )
             if server is None:
                 return False
             call = self._new_call(exchange, server, now + event.expires_in_us)
             held = self._machines.resume(call)
-            outcome = i.Outcome.CANCELLED if held else i.Outcome.FULL
-            answer = i.Answer(event.request, tries, server, outcome, 0, held)
+            outcome = interface.Outcome.CANCELLED if held else interface.Outcome.FULL
+            answer = interface.Answer(event.request, tries, server, outcome, 0, held)
             actions = self.dispatch.balancer.handle(now, answer)
             if held:
                 self._resume(exchange, call)
@@ -205,54 +211,54 @@
         self.exchanges[exchange.event.request] = exchange
         # Where packets pass through it comes as one that goes on: its time is no sign of what set-ups take.
         event = replace(exchange.event, mid_flow=self.settings.pass_through)
-        self._tell(i.Existing(event, call.server))
+        self._submit(interface.Existing(event, call.server))
         exchange.state.resume(call.server, now)
         exchange.call = call
         for effect in exchange.state.on(CALL_UP, now + self._machines.way_us(call)):
-            if isinstance(effect, r.Report):
-                self._tell(effect.event)
-        self._load_heard(exchange, call.load)
+            if isinstance(effect, request_state.Report):
+                self._submit(effect.event)
+        self._report_load(exchange, call.load)
 
     def client_left(self, exchange: Exchange) -> None:
         """It closed its side, be it answered by now or not."""
         if self.alive:
-            self._do(self._costs.notice, self._client_left, exchange)
+            self._run_step(self._costs.notice, self._client_left, exchange)
 
     def _client_left(self, exchange: Exchange) -> None:
-        if exchange.state.phase is r.Phase.STANDING:
+        if exchange.state.phase is request_state.Phase.STANDING:
             self._drop_call(exchange)
             self._on(exchange, CANCELLED)
         elif exchange.event.request in self.exchanges:
-            self._on(exchange, LEFT)
+            self._on(exchange, CLIENT_DISCONNECTED)
 
-    def goes_elsewhere(self, exchange: Exchange) -> None:
+    def move_to_other_relay(self, exchange: Exchange) -> None:
         """The packets of a standing connection reach another relay from now on."""
         if exchange.call is not None:
             self._machines.park(exchange.call)
             exchange.call = None
         if self.alive:
-            self._do(self._costs.notice, self._on, exchange, CANCELLED)
+            self._run_step(self._costs.notice, self._on, exchange, CANCELLED)
 
     def load_changed(self, exchange: Exchange, load: float) -> None:
         """Its server says so among its lines."""
-        self._do(self._costs.notice, self._line_passed, exchange, load, self._kernel.now)
+        self._run_step(self._costs.notice, self._line_passed, exchange, load, self._kernel.now)
 
     def _line_passed(self, exchange: Exchange, load: float, since: int) -> None:
         # A process that was stopped is not to blame.
         late = self._kernel.now - max(since, self._stalled_until)
-        if late > HELD_BACK_US:
+        if late > LINE_DELAY_REPORT_US:
             self._watcher.held_back(self._kernel.now, exchange.event.request, late)
-        self._load_heard(exchange, load)
+        self._report_load(exchange, load)
 
-    def _load_heard(self, exchange: Exchange, load: float) -> None:
-        if exchange.state.phase is r.Phase.STANDING:
-            self._tell(exchange.state.notice(i.NoticeKind.LOAD, load))
+    def _report_load(self, exchange: Exchange, load: float) -> None:
+        if exchange.state.phase is request_state.Phase.STANDING:
+            self._submit(exchange.state.notice(interface.NoticeKind.LOAD, load))
 
     # ---- from push servers ----
 
     def replied(self, call: Call, over: Over) -> None:
         if self.alive:
-            self._do(self._costs.reply, self._replied, call, over)
+            self._run_step(self._costs.reply, self._replied, call, over)
 
     def _replied(self, call: Call, over: Over) -> None:
         exchange = self._caller(call)
@@ -260,14 +266,14 @@
             return
         if over is Over.UP:
             self._on(exchange, CALL_UP)
-            self._load_heard(exchange, call.load)  # right behind the receipt
+            self._report_load(exchange, call.load)  # right behind the receipt
         else:
             exchange.call = None
             self._on(exchange, CALL_ENDED[over])
 
     def ended(self, call: Call, how: End) -> None:
         if self.alive:
-            self._do(self._costs.notice, self._ended, call, how)
+            self._run_step(self._costs.notice, self._ended, call, how)
 
     def _ended(self, call: Call, how: End) -> None:
         exchange = self._caller(call)
@@ -283,84 +289,84 @@
     def fell_silent(self, call: Call) -> None:
         exchange = self._caller(call)
         if exchange is not None:
-            self._kernel.at(self._clients.next_line(exchange.client), self._asked, call)
+            self._kernel.at(self._clients.next_line(exchange.client), self._await_line_answer, call)
 
-    def _asked(self, call: Call) -> None:
+    def _await_line_answer(self, call: Call) -> None:
         """The client has sent a line that may go unanswered."""
         exchange = self._caller(call)
-        if exchange is None or not self._clients.hears(exchange):
+        if exchange is None or not self._clients.is_reachable(exchange):
             return
         takes = self._machines.answer_us(call)
-        if takes is None or takes >= SILENT_US:
-            self._kernel.after(SILENT_US, self._unanswered, call, takes)
+        if takes is None or takes >= SERVER_SILENCE_US:
+            self._kernel.after(SERVER_SILENCE_US, self._handle_silence, call, takes)
 
-    def _unanswered(self, call: Call, takes: int | None) -> None:
+    def _handle_silence(self, call: Call, takes: int | None) -> None:
         exchange = self._caller(call)
         if exchange is None:
             return
         if takes is None and self._machines.answer_us(call) is not None:
             self.fell_silent(call)  # it is back, and has answered after all
         else:
-            self._do(self._costs.notice, self._move, exchange, BROKEN)
+            self._run_step(self._costs.notice, self._move, exchange, BROKEN)
 
     # ---- decisions and states ----
 
-    def _tell(self, event: i.Event) -> None:
+    def _submit(self, event: interface.Event) -> None:
         """One after the other, as through the channel to the real task."""
         self._events.append(event)
-        if self._telling:
+        if self._is_submitting:
             return
-        self._telling = True
+        self._is_submitting = True
         while self._events:
-            self._carry(self.dispatch.handle(self._kernel.now, self._events.popleft()))
-        self._telling = False
+            self._apply(self.dispatch.handle(self._kernel.now, self._events.popleft()))
+        self._is_submitting = False
         due = self.dispatch.next_timer_us
         if due is not None:
             self._wake_at(due)
 
-    def _carry(self, actions: list[RequestAction]) -> None:
+    def _apply(self, actions: list[RequestAction]) -> None:
         for action in actions:
             exchange = self.exchanges.get(action.request)
             if exchange is not None:
                 self._on(exchange, action)
 
-    def _on(self, exchange: Exchange, incident: r.Input) -> None:
-        for effect in exchange.state.on(incident, self._kernel.now):
+    def _on(self, exchange: Exchange, event_input: request_state.Input) -> None:
+        for effect in exchange.state.on(event_input, self._kernel.now):
             match effect:
-                case r.Report(event):
-                    self._tell(event)
-                case r.StartCall(server, deadline_us):
+                case request_state.Report(event):
+                    self._submit(event)
+                case request_state.StartCall(server, deadline_us):
                     self._start_call(exchange, server, deadline_us)
-                case r.AnswerUp():
+                case request_state.AnswerUp():
                     self._answer(exchange, Final.UP, 0)
-                case r.DropCall():
+                case request_state.DropCall():
                     self._drop_call(exchange)
-                case r.AnswerRefused(wait_us):
+                case request_state.AnswerRefused(wait_us):
                     self._answer(exchange, Final.BUSY, wait_us)
-                case r.AnswerFailed():
+                case request_state.AnswerFailed():
                     self._answer(exchange, Final.ERROR, 0)
-                case r.MoveClient():
+                case request_state.MoveClient():
                     self._busy_until += self._costs.notice
                     self._move(exchange, CANCELLED)
-        if exchange.state.phase is r.Phase.FINISHED:
+        if exchange.state.phase is request_state.Phase.FINISHED:
             self.exchanges.pop(exchange.event.request, None)
 
     def _answer(self, exchange: Exchange, final: Final, wait_us: int) -> None:
         number, wait = exchange.event.request, wait_us // 1000 * 1000  # the line has milliseconds
         if final is Final.UP:
             self._watcher.answered(self._kernel.now, number, final, exchange.state.server, 0)
-            self._clients.up(exchange)
+            self._clients.answered_up(exchange)
         else:
             self._watcher.answered(self._kernel.now, number, final, None, wait)
-            self._clients.turned_away(exchange, wait)
+            self._clients.refused_or_failed(exchange, wait)
 
-    def _move(self, exchange: Exchange, why: r.ConnectionEnded) -> None:
-        if exchange.state.phase is r.Phase.STANDING:
+    def _move(self, exchange: Exchange, why: request_state.ConnectionEnded) -> None:
+        if exchange.state.phase is request_state.Phase.STANDING:
             self._drop_call(exchange)
             self._end(exchange, End.MOVED, why)
 
-    def _end(self, exchange: Exchange, how: End, why: r.ConnectionEnded) -> None:
-        self._clients.over(exchange, how)
+    def _end(self, exchange: Exchange, how: End, why: request_state.ConnectionEnded) -> None:
+        self._clients.connection_ended(exchange, how)
         self._on(exchange, why)
 
     # ---- calls ----
@@ -388,7 +394,7 @@
         waits = deadline_us - self._kernel.now
         if not call.sent_at:
             waits = min(waits, self.settings.connect_timeout_us)
-        self._watch(self._kernel.now + waits, exchange, call)
+        self._add_deadline(self._kernel.now + waits, exchange, call)
 
     def _drop_call(self, exchange: Exchange) -> None:
         if exchange.call is not None:
@@ -397,9 +403,9 @@
 
     # ---- deadlines ----
 
-    def _watch(self, moment: int, exchange: Exchange, call: Call | None) -> None:
-        self._made += 1
-        heapq.heappush(self._due, (moment, self._made, exchange, call))
+    def _add_deadline(self, moment: int, exchange: Exchange, call: Call | None) -> None:
+        self._sequence += 1
+        heapq.heappush(self._due, (moment, self._sequence, exchange, call))
         self._wake_at(moment)
 
     def _wake_at(self, moment: int) -> None:
@@ -410,15 +416,15 @@
     def _wake(self, moment: int) -> None:
         if self.alive and moment == self._wakes_at:
             self._wakes_at = None
-            self._do(0, self._fire)
+            self._run_step(0, self._fire)
 
     def _fire(self) -> None:
         now, due = self._kernel.now, self._due
-        self._carry(self.dispatch.fire(now))
-        while due and (due[0][0] <= now or not self._waited_for(*due[0][2:])):
+        self._apply(self.dispatch.fire(now))
+        while due and (due[0][0] <= now or not self._is_awaited(*due[0][2:])):
             _, _, exchange, call = heapq.heappop(due)
-            if self._waited_for(exchange, call):
-                self._too_late(exchange, call)
+            if self._is_awaited(exchange, call):
+                self._handle_deadline(exchange, call)
         moments = [due[0][0]] if due else []
         timer = self.dispatch.next_timer_us
         if timer is not None:
@@ -427,25 +433,25 @@
             self._wake_at(min(moments))
 
     @staticmethod
-    def _waited_for(exchange: Exchange, call: Call | None) -> bool:
+    def _is_awaited(exchange: Exchange, call: Call | None) -> bool:
         phase = exchange.state.phase
         return (
-            phase is r.Phase.CALLING
+            phase is request_state.Phase.CALLING
             and (call is None or call is exchange.call)
-            or (phase is r.Phase.DECIDING and call is None)
+            or (phase is request_state.Phase.DECIDING and call is None)
         )
 
-    def _too_late(self, exchange: Exchange, call: Call | None) -> None:
+    def _handle_deadline(self, exchange: Exchange, call: Call | None) -> None:
         if call is None:
-            self._on(exchange, LATE)
+            self._on(exchange, DEADLINE_PASSED)
             return
         self._drop_call(exchange)
-        outcome = i.Outcome.TIMEOUT if call.sent_at else i.Outcome.CONNECT_FAILED
-        self._on(exchange, r.CallEnded(outcome))
+        outcome = interface.Outcome.TIMEOUT if call.sent_at else interface.Outcome.CONNECT_FAILED
+        self._on(exchange, request_state.CallEnded(outcome))
 
     # ---- its end ----
 
-    def die(self) -> list[Exchange]:
+    def terminate(self) -> list[Exchange]:
         """Its process ends: its connections are reset, or wait at their servers where packets pass through.
         Returns what it held, with what its machine had accepted for it."""
         self.alive = False
@@ -453,7 +459,7 @@
         for exchange in held:
             if exchange.call is None:
                 continue
-            if self.settings.pass_through and exchange.state.phase is r.Phase.STANDING:
+            if self.settings.pass_through and exchange.state.phase is request_state.Phase.STANDING:
                 self._machines.park(exchange.call)
             else:
                 self._machines.close(exchange.call)
@@ -472,34 +478,45 @@
         return round(leaving.exit_at * SECOND_US)
 
     def _leave(
-        self, leaving: ShutdownSchedule, told: set[int], left: list[Exchange], over: Callable[[], None]
+        self,
+        leaving: ShutdownSchedule,
+        notified: set[int],
+        remaining: list[Exchange],
+        over: Callable[[], None],
     ) -> None:
         if not self.alive:
             return
         if self._stalled_until > self._kernel.now:
-            self._kernel.at(self._stalled_until, self._leave, leaving, told, left, over)
+            self._kernel.at(self._stalled_until, self._leave, leaving, notified, remaining, over)
             return
         now = self._kernel.now / SECOND_US
-        while left and left[-1].state.phase is not r.Phase.STANDING:
-            left.pop()
-        if not left:
+        while remaining and remaining[-1].state.phase is not request_state.Phase.STANDING:
+            remaining.pop()
+        if not remaining:
             worths = {
                 exchange: self.settings.classes[exchange.event.request_class].worth
                 for exchange in self.standing
-                if exchange.event.request not in told
+                if exchange.event.request not in notified
             }
-            left = move_order(worths, leaving.is_short_of_time)[::-1]
+            remaining = move_order(worths, leaving.is_short_of_time)[::-1]
         arriving = now < leaving.arrivals_end_at(self._last_arrival / SECOND_US)
-        if now >= leaving.exit_at or not (left or arriving or self.exchanges or self._backlog):
+        if now >= leaving.exit_at or not (remaining or arriving or self.exchanges or self._backlog):
             over()
             return
         if arriving:
-            self._kernel.after(round(ANSWER_POLL_S * SECOND_US), self._leave, leaving, told, left, over)
+            self._kernel.after(
+                round(ANSWER_POLL_S * SECOND_US), self._leave, leaving, notified, remaining, over
+            )
             return
-        step = leaving.step(now, len(told) * self._costs.notice / SECOND_US, len(left))
+        step = leaving.step(now, len(notified) * self._costs.notice / SECOND_US, len(remaining))
         for _ in range(step.moves):
-            told.add(left[-1].event.request)
-            self._do(self._costs.notice, self._move, left.pop(), CANCELLED)
+            notified.add(remaining[-1].event.request)
+            self._run_step(self._costs.notice, self._move, remaining.pop(), CANCELLED)
         self._kernel.at(
-            max(self._kernel.now, round(step.next_at * SECOND_US)), self._leave, leaving, told, left, over
+            max(self._kernel.now, round(step.next_at * SECOND_US)),
+            self._leave,
+            leaving,
+            notified,
+            remaining,
+            over,
         )
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -7,12 +7,12 @@
 
 from glenfold.net.passing import SERVER_SILENCE_TIMEOUT_S
 from glenfold_lab.checker.cold import beyond_chance
-from glenfold_lab.model.draw import BLOCK, lognormals, value
+from glenfold_lab.model.draw import DRAW_BLOCK, lognormals, value
 from glenfold_lab.model.fleet import Fleet, Machine
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.network import Network
-from glenfold_lab.model.servers.messages import Messages, Moment
-from glenfold_lab.model.servers.placed import Placed
+from glenfold_lab.model.servers.connection_counts import ConnectionCounts
+from glenfold_lab.model.servers.messages import Messages, ServerSnapshot
 from glenfold_lab.model.servers.server import Server, Stage
 from glenfold_lab.model.servers.store import store_of
 from glenfold_lab.model.wire import Call
@@ -22,9 +22,9 @@
 
 TICK_US = 250_000
 SET_UP_SIGMA = 0.9  # of the logarithm of a set-up's work
-OWN_SPREAD = 0.1  # of a set-up's own time, on the mean
+SET_UP_SPREAD = 0.1  # of a set-up's own time, on the mean
 SILENT_US = SERVER_SILENCE_TIMEOUT_S * SECOND_US
-ROOM = 0.95  # of its capacity: what a server that sheds connections comes down to
+SHED_TARGET = 0.95  # of its capacity: what a server that sheds connections comes down to
 
 
 class PushServers:
@@ -43,7 +43,7 @@
         self._rules = scenario.rules
         self._error_rate = value(scenario.servers.error_rate, streams.of("servers", "error_rate"))
         self._park_us = int(value(scenario.servers.park_s, streams.of("servers", "park")) * SECOND_US)
-        self._works = [
+        self._set_up_work = [
             lognormals(
                 value(kind.set_up_ms, streams.of("classes", "set_up", n)) * 1000,
                 SET_UP_SIGMA,
@@ -52,22 +52,22 @@
             for n, kind in enumerate(scenario.classes)
         ]
         self._spread = _exponentials(streams.of("servers", "spread"))
-        self._luck = streams.of("servers", "errors")
-        self._store = store_of(scenario, streams, fleet.terms)
+        self._error_rng = streams.of("servers", "errors")
+        self._store = store_of(scenario, streams, fleet.parameters)
         aims = [kind.message_aim_ms * 1000 for kind in scenario.classes]
         self.messages = Messages(network, aims)
-        self.placed = Placed(len(network.names), len(scenario.classes), len(scenario.schemes))
+        self.placed = ConnectionCounts(len(network.names), len(scenario.classes), len(scenario.schemes))
         self.all: list[Server] = []
         self._by_number: dict[int, Server] = {}
-        self.on_fall: Callable[[Server], None] = self.break_all
+        self.on_overload: Callable[[Server], None] = self.break_all
         network.on_change.append(self._zone_changed)
         for machine in fleet.machines:
             self.add(machine)
 
     def add(self, machine: Machine) -> Server:
         """A machine whose process does not run yet."""
-        terms = self.fleet.terms
-        server = Server(machine, terms.mean_load, self.fleet.table_tax, terms.group_cost)
+        parameters = self.fleet.parameters
+        server = Server(machine, parameters.mean_load, self.fleet.table_tax, parameters.group_cost)
         self.all.append(server)
         self._by_number[machine.number] = server
         self.placed.add_server()
@@ -78,9 +78,9 @@
 
     def call(self, call: Call) -> None:
         server = self._by_number[call.server]
-        if not self._reached(call, server):
+        if not self._is_reachable(call, server):
             return
-        way = self._way(call, server)
+        way = self._delay_us(call, server)
         call.sent_at = self.kernel.now + 2 * way
         if server.running:
             self.kernel.after(3 * way, self._arrive, call, server)
@@ -88,7 +88,7 @@
             self.kernel.after(way, self._refuse, call, server)
 
     def _arrive(self, call: Call, server: Server) -> None:
-        if call.dropped or not self._reached(call, server):
+        if call.dropped or not self._is_reachable(call, server):
             return
         now = self.kernel.now
         mid_flow = server.parked.get(call.connection) if call.mid_flow else None
@@ -101,15 +101,15 @@
             server.unpark(mid_flow)
             call.resumed = True
             self._stand(call, server)
-        elif server.cold and self._too_many(server):
+        elif server.cold and self._is_overloaded(server):
             self._answer(call, server, Over.RESET)
-            self.on_fall(server)
+            self.on_overload(server)
         elif server.stage is Stage.DRAINS or now > call.deadline or len(server.waiting) >= server.queue:
             self._answer(call, server, Over.BUSY)
         else:
             self._set_up(call, server)
 
-    def _too_many(self, server: Server) -> bool:
+    def _is_overloaded(self, server: Server) -> bool:
         """Whether this new connection is beyond what a cold server survives."""
         now, arrivals, rules = self.kernel.now, server.arrivals, self._rules
         arrivals.append(now)
@@ -120,45 +120,45 @@
         return beyond_chance(len(arrivals), budget)
 
     def _set_up(self, call: Call, server: Server) -> None:
-        server.queue_up(call, next(self._works[call.request_class]))
-        if len(server.line) == 1:
-            self._next_turn(server)
+        server.enqueue(call, next(self._set_up_work[call.request_class]))
+        if len(server.set_up_queue) == 1:
+            self._schedule_head(server)
 
-    def _next_turn(self, server: Server) -> None:
+    def _schedule_head(self, server: Server) -> None:
         """When the head of the line will be done, if the capacity stays as it is."""
-        if server.line:
+        if server.set_up_queue:
             capacity = server.capacity()
-            wait = server.head_left() / capacity * 1e6 if capacity > 0 else TICK_US
+            wait = server.work_before_head() / capacity * 1e6 if capacity > 0 else TICK_US
             wait_us = max(1, math.ceil(min(TICK_US, wait)))
-            self.kernel.after(wait_us, self._turn, server, server.life)
+            self.kernel.after(wait_us, self._finish_set_ups, server, server.life)
 
-    def _turn(self, server: Server, life: int) -> None:
+    def _finish_set_ups(self, server: Server, life: int) -> None:
         if server.life != life:
             return
         server.advance(self.kernel.now)
         capacity = server.capacity()
-        for set_up in server.take_done():
+        for set_up in server.pop_finished():
             # All cores work on it as the fluid has it, but in truth one does; and messages come between.
             own = set_up.work / server.machine.speed
             left = max(0.0, own - set_up.work / capacity * 1e6) if capacity > 0 else 0.0
-            spread = next(self._spread) * (OWN_SPREAD * own + server.wait_us)
+            spread = next(self._spread) * (SET_UP_SPREAD * own + server.wait_us)
             self.kernel.after(int(left + spread), self._ask_store, set_up.call, server)
-        self._next_turn(server)
+        self._schedule_head(server)
 
     def _ask_store(self, call: Call, server: Server) -> None:
         if call.over or call.dropped:
             return
-        takes = self._store.ask(self.kernel.now) if self._store is not None else 0
-        self.kernel.after(takes, self._done, call, server)
+        takes = self._store.answer_us(self.kernel.now) if self._store is not None else 0
+        self.kernel.after(takes, self._finish, call, server)
 
-    def _done(self, call: Call, server: Server) -> None:
-        if call.over or call.dropped or not self._reached(call, server):
+    def _finish(self, call: Call, server: Server) -> None:
+        if call.over or call.dropped or not self._is_reachable(call, server):
             return
         server.advance(self.kernel.now)
         del server.waiting[call.request]
         if self.kernel.now > call.deadline:
             self._answer(call, server, Over.BUSY)
-        elif self._error_rate and self._luck.uniform() < self._error_rate:
+        elif self._error_rate and self._error_rng.uniform() < self._error_rate:
             self._answer(call, server, Over.ERROR)
         else:
             self._stand(call, server)
@@ -174,14 +174,14 @@
     def _answer(self, call: Call, server: Server, over: Over) -> None:
         call.over = True
         self.watcher.attempt_over(self.kernel.now, call.request, call.server, over)
-        if self._reached(call, server):
-            self.kernel.after(self._way(call, server), self._replied, call, server, over)
+        if self._is_reachable(call, server):
+            self.kernel.after(self._delay_us(call, server), self._replied, call, server, over)
 
     def _replied(self, call: Call, server: Server, over: Over) -> None:
         if call.dropped:
             return
         call.back.replied(call, over)
-        if call.stands and (server.quiet or not self._reached(call, server)):
+        if call.stands and (server.is_unresponsive or not self._is_reachable(call, server)):
             call.back.fell_silent(call)
 
     # ---- standing connections ----
@@ -204,7 +204,7 @@
             self._take_off(call, server)
         elif call.arrived and not call.over:
             server.advance(self.kernel.now)
-            server.give_up(call)
+            server.abandon(call)
             self.watcher.attempt_over(self.kernel.now, call.request, call.server, Over.ABANDONED)
 
     def park(self, call: Call) -> None:
@@ -230,22 +230,22 @@
         call.load = load
 
     def way_us(self, call: Call) -> int:
-        return 4 * self._way(call, self._by_number[call.server])
+        return 4 * self._delay_us(call, self._by_number[call.server])
 
     def answer_us(self, call: Call) -> int | None:
         server = self._by_number[call.server]
-        if not call.stands or not self._reached(call, server):
+        if not call.stands or not self._is_reachable(call, server):
             return None
         server.advance(self.kernel.now)
-        took = server.pile_us() + server.wait_us + self.messages.own_us(server.machine.index)
+        took = server.backlog_us() + server.wait_us + self.messages.message_work_us(server.machine.index)
         way = self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
         return int(2 * way + took) if took < float("inf") else None
 
     def break_off(self, call: Call, server: Server, how: End) -> None:
         """Ends a standing connection from the server's side."""
         self._take_off(call, server)
-        if self._reached(call, server):
-            self.kernel.after(self._way(call, server), self._ended, call, how)
+        if self._is_reachable(call, server):
+            self.kernel.after(self._delay_us(call, server), self._ended, call, how)
 
     def break_all(self, server: Server) -> None:
         """The process dies: all it holds is reset, and whoever waits there as well."""
@@ -260,13 +260,13 @@
             call.back.ended(call, how)
 
     def _put(self, call: Call, server: Server) -> None:
-        server.put(call)
+        server.add_standing(call)
         self._count(call, server, 1)
         call.stands = True
 
     def _take_off(self, call: Call, server: Server) -> None:
         server.advance(self.kernel.now)
-        server.take_off(call)
+        server.remove_standing(call)
         self._count(call, server, -1)
         call.stands = False
 
@@ -276,30 +276,30 @@
 
     # ---- the way between ----
 
-    def _reached(self, call: Call, server: Server) -> bool:
+    def _is_reachable(self, call: Call, server: Server) -> bool:
         zone = self.network.zone_of(call.relay)
         return not server.silent and self.network.passes(zone, server.machine.zone)
 
-    def _way(self, call: Call, server: Server) -> int:
+    def _delay_us(self, call: Call, server: Server) -> int:
         return self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
 
-    def tell_silent(self, server: Server) -> None:
+    def notify_silent(self, server: Server) -> None:
         """Its connections, that is to say those whose lines go unanswered now."""
         for call in list(server.standing.values()):
-            if server.quiet or not self._reached(call, server):
+            if server.is_unresponsive or not self._is_reachable(call, server):
                 call.back.fell_silent(call)
 
     def _zone_changed(self, _zone: int) -> None:
         for server in self.all:
-            if server.running and not server.silent and not server.quiet:
-                self.tell_silent(server)
+            if server.running and not server.silent and not server.is_unresponsive:
+                self.notify_silent(server)
 
     # ---- every tick ----
 
-    def tick(self) -> Moment:
+    def tick(self) -> ServerSnapshot:
         """Brings all servers up to now and gives them as tables; those that hold too much shed."""
         rows = [self._tick_one(server) for server in self.all]
-        demand, capacity, set_ups, pile = np.array(rows, dtype=np.float64).T
+        demand, capacity, set_ups, backlog_us = np.array(rows, dtype=np.float64).T
         used = np.divide(demand + set_ups, capacity, out=np.ones_like(demand), where=capacity > 0)
         zones = range(len(self.network.names))
         answers = np.array(
@@ -310,7 +310,7 @@
         )
         for server, wait in zip(self.all, self.messages.waits(used).tolist(), strict=True):
             server.wait_us = wait
-        return Moment(demand, capacity, used, pile, answers)
+        return ServerSnapshot(demand, capacity, used, backlog_us, answers)
 
     def _tick_one(self, server: Server) -> tuple[float, float, float, float]:
         if not server.running:
@@ -320,28 +320,28 @@
             server.refresh(now)
         else:
             server.advance(now)
-        if server.piled > server.machine.kind.buffer_s * server.machine.capacity:
+        if server.backlog > server.machine.kind.buffer_s * server.machine.capacity:
             self._shed(server)
         server.set_up_load = (server.set_up_load + server.set_up_work / TICK_US * SECOND_US) / 2
         server.set_up_work = 0.0
-        pile = server.pile_us()
-        if server.quiet != (pile > SILENT_US):
-            server.quiet = not server.quiet
-            if server.quiet:
-                self.tell_silent(server)
-        return server.demand, server.capacity(), server.set_up_load, pile
+        backlog_us = server.backlog_us()
+        if server.is_unresponsive != (backlog_us > SILENT_US):
+            server.is_unresponsive = not server.is_unresponsive
+            if server.is_unresponsive:
+                self.notify_silent(server)
+        return server.demand, server.capacity(), server.set_up_load, backlog_us
 
     def _shed(self, server: Server) -> None:
         """More is piled up than it has room for: it drops the heaviest, one at least, until the rest fits."""
         heaviest = sorted(server.standing.values(), key=lambda call: (-call.load, call.request))
         for turn, call in enumerate(heaviest):
             capacity = server.capacity()
-            if turn and (server.demand <= ROOM * capacity or capacity <= 0):
+            if turn and (server.demand <= SHED_TARGET * capacity or capacity <= 0):
                 break
             self.break_off(call, server, End.BROKEN)
-        server.drop(server.piled - server.machine.kind.buffer_s * server.machine.capacity)
+        server.drop(server.backlog - server.machine.kind.buffer_s * server.machine.capacity)
 
 
 def _exponentials(random: np.random.Generator) -> Iterator[float]:
     while True:
-        yield from random.exponential(1.0, BLOCK).tolist()
+        yield from random.exponential(1.0, DRAW_BLOCK).tolist()
--- a/glenfold_lab/model/servers/placed.py
+++ b/glenfold_lab/model/servers/connection_counts.py
@@ -6,7 +6,7 @@
 from numpy.typing import NDArray
 
 
-class Placed:
+class ConnectionCounts:
     """Counted one by one as connections come and go, and read as a whole each tick."""
 
     def __init__(self, zones: int, classes: int, schemes: int) -> None:
--- a/glenfold_lab/model/servers/lives.py
+++ b/glenfold_lab/model/servers/lifecycle.py
@@ -11,33 +11,33 @@
 from glenfold_lab.results import Happened
 from glenfold_lab.spec import Rules
 
-STEP_US = 100_000  # a draining server asks some of its clients to leave every so often
-MS = 1000  # lists tell the moment of a start in milliseconds: starts fall on whole ones
+DRAIN_STEP_US = 100_000  # a draining server asks some of its clients to leave every so often
+MILLISECOND_US = 1000  # lists tell the moment of a start in milliseconds: starts fall on whole ones
 
 # Machine, its new state, when it started, and whether it went without a word.
-News = Callable[[Machine, Told, int, bool], None]
+ServerChanged = Callable[[Machine, Told, int, bool], None]
 
 
-class Lives:
+class ServerLifecycle:
     """All changes of a server's stage are made here, once each; what is over for a server stays so until its
     next process. `news` hears of what discovery has to find out."""
 
     def __init__(
-        self, servers: PushServers, rules: Rules, news: News, note: Callable[[Happened], None]
+        self, servers: PushServers, rules: Rules, on_change: ServerChanged, note: Callable[[Happened], None]
     ) -> None:
         self._servers = servers
         self._kernel, self._watcher = servers.kernel, servers.watcher
         self._rules = rules
-        self._news = news
+        self._on_change = on_change
         self._note = note
-        servers.on_fall = self._fall
+        servers.on_overload = self._fail_overloaded
 
-    def begin(self) -> None:
+    def start_all(self) -> None:
         """All servers run, and have long been warm."""
         for server in self._servers.all:
             server.stage = Stage.RUNS
             server.refresh(self._kernel.now)
-            self._tell_started(server, False)
+            self._report_started(server, False)
 
     def running(self) -> list[Server]:
         """Ready ones that can be struck by something, in the order of their index."""
@@ -51,19 +51,19 @@
 
     def start(self, server: Server) -> None:
         """Cold, at the next whole millisecond."""
-        self._kernel.at(-(-self._kernel.now // MS) * MS, self._start, server)
+        self._kernel.at(-(-self._kernel.now // MILLISECOND_US) * MILLISECOND_US, self._start, server)
 
     def _start(self, server: Server) -> None:
         if server.running:
             return
         server.stage, server.silent = Stage.RUNS, False
-        server.at = server.started = self._kernel.now
+        server.updated_at = server.started = self._kernel.now
         server.cold = True
         server.refresh(self._kernel.now)
-        self._tell_started(server, True)
-        self._news(server.machine, Told.READY, server.started, False)
+        self._report_started(server, True)
+        self._on_change(server.machine, Told.READY, server.started, False)
 
-    def _tell_started(self, server: Server, cold: bool) -> None:
+    def _report_started(self, server: Server, cold: bool) -> None:
         rules = self._rules
         capacity = Capacity(
             self._servers.fleet.warm_per_s(server.machine), rules.cold_share, int(rules.cold_s * SECOND_US)
@@ -77,10 +77,10 @@
         server.stage = Stage.DOWN
         self._servers.break_all(server)
         if not server.silent:
-            self._tell_ended(server)
-        self._news(server.machine, Told.GONE, server.started, server.silent)
+            self._report_ended(server)
+        self._on_change(server.machine, Told.GONE, server.started, server.silent)
 
-    def _tell_ended(self, server: Server) -> None:
+    def _report_ended(self, server: Server) -> None:
         self._watcher.server_ended(self._kernel.now, server.machine.number)
 
     def restart(self, server: Server, down_us: int) -> None:
@@ -88,7 +88,7 @@
         self.end(server)
         self._kernel.after(down_us, self.start, server)
 
-    def _fall(self, server: Server) -> None:
+    def _fail_overloaded(self, server: Server) -> None:
         self.end(server)
         at = self._kernel.now - self._kernel.start
         self._note(Happened("fell_over", at, None, (server.machine.number,)))
@@ -97,25 +97,25 @@
 
     def drain(self, server: Server, over_us: int) -> None:
         """Asks its clients to leave, evenly over that time, then ends; what is left is reset."""
-        if not self.turn_away(server):
+        if not self.start_drain(server):
             return
         self._ask_to_leave(server, server.life, len(server.standing), over_us, over_us)
 
-    def turn_away(self, server: Server) -> bool:
+    def start_drain(self, server: Server) -> bool:
         """It drains: it takes nothing new. False if it already did, or does not run."""
         if server.stage is not Stage.RUNS:
             return False
         server.stage = Stage.DRAINS
         self._watcher.server_draining(self._kernel.now, server.machine.number)
-        self._news(server.machine, Told.DRAINING, server.started, False)
+        self._on_change(server.machine, Told.DRAINING, server.started, False)
         return True
 
-    def take_again(self, server: Server, life: int) -> None:
+    def cancel_drain(self, server: Server, life: int) -> None:
         """A drain is called off, if that process still runs."""
         if server.stage is Stage.DRAINS and server.life == life:
             server.stage = Stage.RUNS
-            self._tell_started(server, False)
-            self._news(server.machine, Told.READY, server.started, False)
+            self._report_started(server, False)
+            self._on_change(server.machine, Told.READY, server.started, False)
 
     def _ask_to_leave(self, server: Server, life: int, count: int, over_us: int, left_us: int) -> None:
         """So many of `count` may stay as there is time left."""
@@ -123,7 +123,7 @@
             return
         if left_us <= 0:
             return self.end(server)
-        step = min(STEP_US, left_us)
+        step = min(DRAIN_STEP_US, left_us)
         stay = math.ceil(count * (left_us - step) / over_us)
         for call in list(server.standing.values())[: max(0, len(server.standing) - stay)]:
             self._servers.break_off(call, server, End.MOVED)
@@ -136,37 +136,37 @@
         if not server.running or server.silent:
             return
         server.silent = True
-        self._go_silent(server)
-        self._servers.tell_silent(server)
+        self._report_lost(server)
+        self._servers.notify_silent(server)
 
     def appear(self, server: Server, life: int) -> None:
         """It is back as it went, if that process still runs."""
         if server.silent and server.life == life:
             server.silent = False
-            self._come_back(server)
+            self._report_back(server)
 
     def cut(self, zone: int, relays: bool) -> list[Server]:
         """Cuts a zone off (`Network.cut`); gives the servers that were."""
         struck = [s for s in self._servers.all if s.machine.zone == zone and s.running and not s.silent]
         self._servers.network.cut(zone, relays)
         for server in struck:
-            self._go_silent(server)
+            self._report_lost(server)
         return struck
 
     def restore(self, zone: int) -> None:
         self._servers.network.restore(zone)
         for server in self._servers.all:
             if server.machine.zone == zone and server.running and not server.silent:
-                self._come_back(server)
+                self._report_back(server)
 
-    def _go_silent(self, server: Server) -> None:
-        self._tell_ended(server)
-        self._news(server.machine, Told.GONE, server.started, True)
+    def _report_lost(self, server: Server) -> None:
+        self._report_ended(server)
+        self._on_change(server.machine, Told.GONE, server.started, True)
 
-    def _come_back(self, server: Server) -> None:
-        self._tell_started(server, False)
+    def _report_back(self, server: Server) -> None:
+        self._report_started(server, False)
         state = Told.READY if server.stage is Stage.RUNS else Told.DRAINING
-        self._news(server.machine, state, server.started, False)
+        self._on_change(server.machine, state, server.started, False)
 
     # ---- capacity ----
 
@@ -175,7 +175,7 @@
         server.neighbour = share
         server.refresh(self._kernel.now)
 
-    def jam(self, server: Server, jammed: bool) -> None:
+    def set_stalled(self, server: Server, is_stalled: bool) -> None:
         """While it is jammed nothing is done, and what comes piles up."""
-        server.jammed = jammed
+        server.is_stalled = is_stalled
         server.refresh(self._kernel.now)
--- a/glenfold_lab/model/servers/messages.py
+++ b/glenfold_lab/model/servers/messages.py
@@ -14,14 +14,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class ServerSnapshot:
     """All servers at one moment, by their index. Loads as parts of standard cores; pile_us: how long the
     work piled up takes, infinite where nothing is done; `answers`: by the relays' zone, whether it can."""
 
     demand: Floats
     capacity: Floats
     used: Floats  # of the capacity, with set-ups
-    pile_us: Floats
+    backlog_us: Floats
     answers: NDArray[np.bool_]
 
 
@@ -49,18 +49,18 @@
         cores, times the bursts in which messages come."""
         # Sums of loads that came and went may be a hair below 0.
         cores, part = np.array(self._cores), np.clip(used, 0.0, FULL)
-        crowd = part ** (np.sqrt(2 * (cores + 1)) - 1) / (cores * (1 - part))
-        waits: Floats = np.array(self._own) * np.array(self._burst) * crowd
+        queueing = part ** (np.sqrt(2 * (cores + 1)) - 1) / (cores * (1 - part))
+        waits: Floats = np.array(self._own) * np.array(self._burst) * queueing
         return waits
 
-    def in_aim(self, now: Moment) -> Floats:
+    def share_within_aim(self, now: ServerSnapshot) -> Floats:
         """Of shape (servers, zones, classes): of the messages of connections through that zone's relays. What
         is fixed of their time is passed by all; the wait beyond it has an exponential tail."""
-        fixed = (np.array(self._own) + now.pile_us)[:, None] + np.array(self._ways)
+        fixed = (np.array(self._own) + now.backlog_us)[:, None] + np.array(self._ways)
         left = self._aims - fixed[:, :, None]
         tail = np.maximum(self.waits(now.used), 1.0)[:, None, None]
         shares: Floats = np.where(left > 0, -np.expm1(-np.maximum(left, 0) / tail), 0.0)
         return shares * now.answers[:, :, None]
 
-    def own_us(self, server: int) -> float:
+    def message_work_us(self, server: int) -> float:
         return self._own[server]
--- a/glenfold_lab/model/servers/server.py
+++ b/glenfold_lab/model/servers/server.py
@@ -42,22 +42,22 @@
         "group_cost",
         "stage",
         "silent",
-        "quiet",
+        "is_unresponsive",
         "life",
         "started",
         "cold",
         "neighbour",
-        "jammed",
-        "base",
-        "taken_each",
+        "is_stalled",
+        "base_capacity",
+        "capacity_per_connection",
         "demand",
-        "piled",
-        "came",
+        "backlog",
+        "total_work",
         "left_out",
-        "at",
+        "updated_at",
         "standing",
         "waiting",
-        "line",
+        "set_up_queue",
         "parked",
         "groups",
         "set_up_work",
@@ -76,22 +76,26 @@
         self.life = 0  # which of its processes this is
         self.started = 0  # 0: long ago
         self.neighbour = 0.0  # the share of its cores that others take
-        self.jammed = False
-        self.at = 0
+        self.is_stalled = False
+        self.updated_at = 0
         self.clear()
 
     def clear(self) -> None:
         """As a process begins: with nothing."""
         self.life += 1
         self.cold = False
-        self.quiet = False  # its connections have been told that lines go unanswered
-        self.base = self.taken_each = 0.0  # capacity, and what each connection in the table takes of it
-        self.demand = self.piled = 0.0
-        self.came = 0.0  # all work so far, with what is piled up
+        self.is_unresponsive = False  # its connections have been told that lines go unanswered
+        self.base_capacity = self.capacity_per_connection = (
+            0.0  # capacity, and what each connection in the table takes of it
+        )
+        self.demand = self.backlog = 0.0
+        self.total_work = 0.0  # all work so far, with what is piled up
         self.left_out = 0.0  # of it, what is still in the line but will not be done
         self.standing: dict[int, Call] = {}  # by request
         self.waiting: dict[int, SetUp] = {}  # also; until answered
-        self.line: deque[SetUp] = deque()  # those of them whose work is not done, and what is left out
+        self.set_up_queue: deque[SetUp] = (
+            deque()
+        )  # those of them whose work is not done, and what is left out
         self.parked: dict[int, Call] = {}  # by the client's number
         self.groups: dict[int, int] = {}
         self.set_up_work = 0.0  # since the last tick
@@ -108,7 +112,9 @@
         return len(self.standing) + len(self.waiting) + len(self.parked)
 
     def capacity(self) -> float:
-        return self.base - self.taken_each * min(self.cap, len(self.standing) + len(self.parked))
+        return self.base_capacity - self.capacity_per_connection * min(
+            self.cap, len(self.standing) + len(self.parked)
+        )
 
     def warmth(self, now: int) -> float:
         """The share of its capacity that it has by then; grows evenly from its start."""
@@ -122,70 +128,70 @@
         self.advance(now)
         warmth = self.warmth(now)
         self.cold = self.cold and warmth < 1
-        self.base = 0.0 if self.jammed else self.machine.capacity * warmth * (1 - self.neighbour)
-        self.taken_each = self.base * self.table_tax / self.cap
+        self.base_capacity = 0.0 if self.is_stalled else self.machine.capacity * warmth * (1 - self.neighbour)
+        self.capacity_per_connection = self.base_capacity * self.table_tax / self.cap
 
     def advance(self, now: int) -> None:
-        if now <= self.at:
+        if now <= self.updated_at:
             return
-        seconds, self.at = (now - self.at) * 1e-6, now
+        seconds, self.updated_at = (now - self.updated_at) * 1e-6, now
         work = self.demand * seconds
-        self.came += work
-        self.piled = max(0.0, self.piled + work - self.capacity() * seconds)
+        self.total_work += work
+        self.backlog = max(0.0, self.backlog + work - self.capacity() * seconds)
 
     @property
-    def reached(self) -> float:
+    def work_done(self) -> float:
         """How much of all work that ever came is done."""
-        return self.came - self.piled - self.left_out
+        return self.total_work - self.backlog - self.left_out
 
-    def pile_us(self) -> float:
+    def backlog_us(self) -> float:
         """For how long it works on what is piled up."""
         capacity = self.capacity()
         if capacity > 0:
-            return self.piled / capacity * 1e6
-        return float("inf") if self.piled else 0.0
+            return self.backlog / capacity * 1e6
+        return float("inf") if self.backlog else 0.0
 
-    def queue_up(self, call: Call, work: float) -> None:
-        self.came += work
-        self.piled += work
+    def enqueue(self, call: Call, work: float) -> None:
+        self.total_work += work
+        self.backlog += work
         self.set_up_work += work
-        set_up = self.waiting[call.request] = SetUp(call, self.came, work)
-        self.line.append(set_up)
+        set_up = self.waiting[call.request] = SetUp(call, self.total_work, work)
+        self.set_up_queue.append(set_up)
 
-    def give_up(self, call: Call) -> None:
+    def abandon(self, call: Call) -> None:
         """A set-up whose relay has gone: what is left of its work is not done."""
         set_up = self.waiting.pop(call.request)
         set_up.gone = True
-        set_up.left_out = max(0.0, min(set_up.work, set_up.end - self.reached, self.piled))
-        self.piled -= set_up.left_out
+        set_up.left_out = max(0.0, min(set_up.work, set_up.end - self.work_done, self.backlog))
+        self.backlog -= set_up.left_out
         self.left_out += set_up.left_out
 
     def drop(self, work: float) -> None:
         """The latest of what is piled up, for want of room."""
-        self.piled -= work
-        self.came -= work
+        self.backlog -= work
+        self.total_work -= work
 
-    def take_done(self) -> list[SetUp]:
+    def pop_finished(self) -> list[SetUp]:
         """Set-ups whose work is done by now; what is left out is passed by in no time."""
         done: list[SetUp] = []
-        while self.line and self.head_left() <= 1:
-            head = self.line.popleft()
+        while self.set_up_queue and self.work_before_head() <= 1:
+            head = self.set_up_queue.popleft()
             self.left_out -= head.left_out
             if not head.gone:
                 done.append(head)
         return done
 
-    def head_left(self) -> float:
+    def work_before_head(self) -> float:
         """The work before the head of the line is done, or passed by."""
-        head = self.line[0]
-        return head.end - head.left_out - self.reached
+        head = self.set_up_queue[0]
+        return head.end - head.left_out - self.work_done
 
-    def put(self, call: Call) -> None:
+    def add_standing(self, call: Call) -> None:
         self.standing[call.request] = call
         self.demand += call.load
         self._join(call)
 
-    def take_off(self, call: Call) -> None:
+    def remove_standing(self, call: Call) -> None:
         del self.standing[call.request]
         self.demand -= call.load
         self._leave(call)
--- a/glenfold_lab/model/service.py
+++ b/glenfold_lab/model/service.py
@@ -12,11 +12,11 @@
 from glenfold_lab.spec import Scenario
 
 WINDOW_US = 10 * SECOND_US
-MOST_STEPS = 400  # of a series; a longer history has longer steps
-MOST_SERVERS = 50  # with a series of their own
-MOST_LOAD = 100.0  # times the limit, where that is next to nothing
+MAX_SERIES_STEPS = 400  # of a series; a longer history has longer steps
+MAX_SERVER_SERIES = 50  # with a series of their own
+MAX_LOAD_RATIO = 100.0  # times the limit, where that is next to nothing
 PERCENTILES = (10, 50, 90, 100)
-WHOLE, WORST_WINDOW, WORST_CLASS, WORST_SCHEME = 0.35, 0.35, 0.2, 0.1
+GOAL_SERVICE, GOAL_WINDOW, GOAL_CLASS, GOAL_SCHEME = 0.35, 0.35, 0.2, 0.1
 
 
 class Service:
@@ -31,13 +31,13 @@
         self._kernel, self._servers = kernel, servers
         self._over_worth = scenario.rules.over_share_worth
         self._worth = np.array([kind.worth for kind in scenario.classes])
-        self._quotas = np.array(servers.fleet.terms.quotas or [math.inf])
+        self._quotas = np.array(servers.fleet.parameters.quotas or [math.inf])
         self._names = [kind.name for kind in scenario.classes], [scheme.name for scheme in scenario.schemes]
         self._end = kernel.start + int(scenario.length_s * SECOND_US)
         self._counted_from = kernel.start + int(scenario.warm_up_s * SECOND_US)
         self._wants = [[0] * len(self._quotas) for _ in scenario.classes]
         ticks = math.ceil(scenario.length_s * SECOND_US / TICK_US)
-        self._per_step = max(1, math.ceil(ticks / MOST_STEPS))
+        self._per_step = max(1, math.ceil(ticks / MAX_SERIES_STEPS))
         # By tick: served and wanted, of shape (classes, schemes), and connections that stand.
         self._served: list[Floats] = []
         self._wanted: list[Floats] = []
@@ -55,9 +55,9 @@
         if self._kernel.now > self._end:
             return
         placed = self._servers.placed.table()
-        in_aim = self._servers.messages.in_aim(moment)
+        share_within_aim = self._servers.messages.share_within_aim(moment)
         wants = np.array(self._wants, dtype=np.float64)
-        served = np.einsum("nzkt,nzk->kt", placed, in_aim)
+        served = np.einsum("nzkt,nzk->kt", placed, share_within_aim)
         factors = self._within_share(placed.sum(axis=(0, 1, 2)).astype(np.float64))
         self._served.append(served * self._worth[:, None] * factors)
         self._wanted.append(wants * self._worth[:, None] * self._within_share(wants.sum(axis=0)))
@@ -74,7 +74,7 @@
 
     def _add_loads(self, demand: Floats, capacity: Floats) -> None:
         limit = np.where(capacity > 0, capacity, 1.0)
-        loads = np.where(demand > 0, np.minimum(demand / limit, MOST_LOAD), 0.0)
+        loads = np.where(demand > 0, np.minimum(demand / limit, MAX_LOAD_RATIO), 0.0)
         if len(self._served) % self._per_step == 1 % self._per_step:
             self._loads.append(loads)
             return
@@ -97,7 +97,7 @@
         whole = float(_shares(served.sum(), wanted.sum()))
         window = _worst_window(served.sum(axis=(1, 2)), wanted.sum(axis=(1, 2)))
         worst = whole, window, float(classes.min()), float(schemes.min())
-        parts = zip((WHOLE, WORST_WINDOW, WORST_CLASS, WORST_SCHEME), worst, strict=True)
+        parts = zip((GOAL_SERVICE, GOAL_WINDOW, GOAL_CLASS, GOAL_SCHEME), worst, strict=True)
         figures = dict(zip(("service", "worst_window", "worst_class", "worst_scheme"), worst, strict=True))
         figures["goal"] = sum(weight * share for weight, share in parts)
         for names, shares in zip(self._names, (classes, schemes), strict=True):
@@ -122,13 +122,13 @@
         machines = self._servers.fleet.machines
         rows = np.array([np.pad(row, (0, len(machines) - len(row))) for row in self._loads])
         rows = rows.reshape(-1, len(machines)) / self._lengths()[:, None]
-        if len(machines) <= MOST_SERVERS:
+        if len(machines) <= MAX_SERVER_SERIES:
             return {machine.host: self._series(rows[:, machine.index], machine.host) for machine in machines}
         found = {
             f"p{part}": self._series(np.percentile(rows, part, axis=1), f"{part} % of servers are below")
             for part in PERCENTILES
         }
-        worst = np.argsort(-rows.mean(axis=0), kind="stable")[:MOST_SERVERS]
+        worst = np.argsort(-rows.mean(axis=0), kind="stable")[:MAX_SERVER_SERIES]
         return found | {machines[n].host: self._series(rows[:, n], machines[n].host) for n in sorted(worst)}
 
     def _lengths(self) -> NDArray[np.int64]:
--- a/glenfold_lab/model/wire.py
+++ b/glenfold_lab/model/wire.py
@@ -86,7 +86,7 @@
 class Listing(Protocol):
     """The server list, as it reaches relays."""
 
-    def relay_up(self, relay: int, heard: Callable[[ServerList], None]) -> None:
+    def relay_up(self, relay: int, on_list: Callable[[ServerList], None]) -> None:
         """A relay's process begins to listen to its agent: hands over at once the list that it had last
         (CACHED), then whatever the agent holds beyond it, and from then on all that it hears."""
 
@@ -94,7 +94,7 @@
         """Its process is gone: it hears nothing more until `relay_up`, and keeps its last list."""
 
 
-class Wanted(Protocol):
+class DemandCounter(Protocol):
     """What clients want, against which the service is measured."""
 
     def wanted(self, request_class: int, scheme: int, change: int) -> None:
--- a/glenfold_lab/model/world.py
+++ b/glenfold_lab/model/world.py
@@ -17,15 +17,15 @@
 from glenfold_lab.model.population import Population
 from glenfold_lab.model.relay_hosts import RelayHosts
 from glenfold_lab.model.relay_settings import Costs, settings_of
-from glenfold_lab.model.relays import Relay, Surroundings
+from glenfold_lab.model.relays import Relay, RelayContext
 from glenfold_lab.observe import Watcher, Watchers
 from glenfold_lab.results import RunResult
 from glenfold_lab.spec import Scenario
 from glenfold_lab.streams import Streams
 
-SLICE_US = SECOND_US // 2  # of virtual time, between two words on the progress
-LAST_ANSWERS_US = 1_500_000  # beyond the longest deadline: by then the last requests are judged
-FELL = "fell_over"  # what happens to a cold push server that was sent too much
+PROGRESS_STEP_US = SECOND_US // 2  # of virtual time, between two words on the progress
+FINAL_ANSWER_MARGIN_US = 1_500_000  # beyond the longest deadline: by then the last requests are judged
+OVERLOADED = "fell_over"  # what happens to a cold push server that was sent too much
 
 Progress = Callable[[float], None]
 
@@ -36,7 +36,7 @@
     def __init__(self, world: "World") -> None:
         self._world = world
         self._zones: dict[int, int] = {}  # of push servers
-        self.taken_in = self.attempts = self.crossings = 0
+        self.taken_in = self.attempts = self.cross_zone_attempts = 0
 
     def taken(self, at: int, request: int, relay: int, deadline: int, request_class: int) -> None:
         self.taken_in += 1
@@ -48,14 +48,14 @@
             machines = self._world.machinery.servers.fleet.machines
             self._zones = {machine.number: machine.zone for machine in machines}
             zone = self._zones[server]
-        self.crossings += zone != self._world.machinery.network.zone_of(relay)
+        self.cross_zone_attempts += zone != self._world.machinery.network.zone_of(relay)
 
     def figures(self) -> dict[str, float]:
         """requests taken; attempts_per_request; cross_zone: share of attempts between two zones."""
         return {
             "requests": float(self.taken_in),
             "attempts_per_request": self.attempts / max(1, self.taken_in),
-            "cross_zone": self.crossings / max(1, self.attempts),
+            "cross_zone": self.cross_zone_attempts / max(1, self.attempts),
         }
 
 
@@ -87,7 +87,7 @@
 
     def _actors(self) -> tuple[Clients, RelayHosts]:
         scenario, streams, machinery = self.scenario, self._streams, self.machinery
-        network, terms = machinery.network, machinery.terms
+        network, parameters = machinery.network, machinery.parameters
         front = Front([network.zone_of(number) for number in range(scenario.relays.count)])
         relay_hosts = RelayHosts(
             scenario,
@@ -97,9 +97,9 @@
             machinery.listing,
             self.watcher,
             front,
-            lambda number, seed: Relay(number, settings[number], seed, around),
+            lambda number, seed: Relay(number, settings[number], seed, context),
         )
-        population = Population(scenario, terms, streams, self.kernel.start)
+        population = Population(scenario, parameters, streams, self.kernel.start)
         clients = relay_hosts.clients = Clients(
             scenario,
             population,
@@ -112,11 +112,11 @@
             front,
             relay_hosts,
         )
-        around = Surroundings(
+        context = RelayContext(
             self.kernel, machinery.servers, clients, self.watcher, Costs.of(scenario.relays, streams)
         )
         settings = [
-            settings_of(scenario, terms, number, network.zone_of(number))
+            settings_of(scenario, parameters, number, network.zone_of(number))
             for number in range(len(relay_hosts))
         ]
         return clients, relay_hosts
@@ -130,9 +130,9 @@
         self.clients.start()
         length = round(self.scenario.length_s * SECOND_US)
         longest = max(round(kind.deadline_ms * 1000) for kind in self.scenario.classes)
-        end = self.kernel.start + length + longest + LAST_ANSWERS_US
+        end = self.kernel.start + length + longest + FINAL_ANSWER_MARGIN_US
         while self.kernel.now < end:
-            self.kernel.run(min(end, self.kernel.now + SLICE_US))
+            self.kernel.run(min(end, self.kernel.now + PROGRESS_STEP_US))
             if progress is not None:
                 progress((self.kernel.now - self.kernel.start) / (end - self.kernel.start))
         self.watcher.finish(end)
@@ -149,7 +149,7 @@
                 "clients": float(len(self.clients)),
                 "refused": float(answers["busy"]),
                 "rules_broken": float(len(verdicts) + self.checker.left_out),
-                "servers_fallen": float(sum(len(one.servers) for one in happened if one.what == FELL)),
+                "servers_fallen": float(sum(len(one.servers) for one in happened if one.what == OVERLOADED)),
             }
         )
         return RunResult(
@@ -185,19 +185,21 @@
     revision was imported. `cost`: seconds in all, and build_s of these until the first connection; peak_mb
     of the process so far.
     """
-    began = time.perf_counter()
-    with no_collections(), shared_anchors():
+    started_at = time.perf_counter()
+    with without_garbage_collection(), shared_anchors():
         world = World(scenario, seed, watchers)
         world.start()
         built = time.perf_counter()
         world.run(progress)
         played = time.perf_counter()
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    return world.result(revision, {"seconds": played - began, "build_s": built - began, "peak_mb": peak_mb})
+    return world.result(
+        revision, {"seconds": played - started_at, "build_s": built - started_at, "peak_mb": peak_mb}
+    )
 
 
 @contextmanager
-def no_collections() -> Iterator[None]:
+def without_garbage_collection() -> Iterator[None]:
     """What a history makes it lets go of without cycles; looking for them in a million objects costs. The
     world itself is one: that of the history before is collected here."""
     gc.collect()
--- a/glenfold_lab/stand_ins/clients.py
+++ b/glenfold_lab/stand_ins/clients.py
@@ -36,11 +36,11 @@
     Wish,
 )
 from glenfold_lab.model.clients import (
-    LINES_US,
-    PACKETS_US,
-    PATIENCE_US,
-    SYN_AGAIN_US,
-    Habits,
+    ANSWER_MARGIN_US,
+    LINE_INTERVAL_US,
+    REROUTED_PACKET_US,
+    SYN_RETRY_US,
+    ClientBehavior,
 )
 from glenfold_lab.model.population import Drawn
 from glenfold_lab.observe import End, Final
@@ -134,7 +134,7 @@
     history; end: when nobody asks any more."""
 
     scenario: Scenario
-    habits: Habits
+    habits: ClientBehavior
     front: SocketFront
     seal: Seal
     seen: Seen
@@ -192,7 +192,9 @@
         )
         client.turn += 1
         if relay is None or not self.front.reaches(relay):
-            await self.clock.until(self.clock.now_us() + self.habits.deadlines[client.kind] + PATIENCE_US)
+            await self.clock.until(
+                self.clock.now_us() + self.habits.deadlines[client.kind] + ANSWER_MARGIN_US
+            )
             return Over.REFUSED
         client.relay = relay
         self._asked += 1
@@ -206,20 +208,20 @@
         if over is Over.ELSEWHERE:
             await self.front.settled(client.relay)
             client.mid_flow = True
-            return int(PACKETS_US * client.pace)
+            return int(REROUTED_PACKET_US * client.pace)
         if over is Over.UNREACHED:
-            return SYN_AGAIN_US
+            return SYN_RETRY_US
         if over is Over.REFUSED and not client.mid_flow:
             return self._backing_off(client)
         client.mid_flow = False
         client.returning = self.scenario.clients.marks_returning
         if over is Over.DROPPED:
             return client.away_us
-        return self.habits.away_us(over is Over.MOVED, client.rejoin)
+        return self.habits.reconnect_delay_us(over is Over.MOVED, client.rejoin)
 
     def _backing_off(self, client: Client) -> int:
         client.tries += 1
-        pause = min(self.habits.backoff_us * 2 ** min(client.tries - 1, 20), self.habits.backoff_most_us)
+        pause = min(self.habits.backoff_us * 2 ** min(client.tries - 1, 20), self.habits.max_backoff_us)
         pause *= 0.5 + client.pace
         return int(max(pause, client.advised_us if client.honours else 0))
 
@@ -292,7 +294,9 @@
         self._scope = trio.CancelScope()
         self._wait_us = crowd.habits.deadlines[client.kind]
         self.first_line = crowd.line(client, request, self._wait_us)
-        wish = Wish(self.first_line, self._wait_us + PATIENCE_US, client.until, LINES_US, b"QUIT\r\n")
+        wish = Wish(
+            self.first_line, self._wait_us + ANSWER_MARGIN_US, client.until, LINE_INTERVAL_US, b"QUIT\r\n"
+        )
         self._state = ClientState(wish, self._began, self._began)
 
     def give_up(self, over: Over, how: End) -> None:
--- a/glenfold_lab/stand_ins/fleet.py
+++ b/glenfold_lab/stand_ins/fleet.py
@@ -18,7 +18,7 @@
 import trio
 
 from glenfold_lab.model.population import Population
-from glenfold_lab.model.world import no_collections
+from glenfold_lab.model.world import without_garbage_collection
 from glenfold_lab.observe import Record, Watcher
 from glenfold_lab.results import Happened, RunResult
 from glenfold_lab.spec import Scenario
@@ -201,7 +201,7 @@
     with (
         tempfile.TemporaryDirectory(prefix="glenfold-fleet-") as folder,
         ExitStack() as stack,
-        no_collections(),
+        without_garbage_collection(),
     ):
         trio.run(run.play, Path(folder), stack, processes)
     return run.played(revision, watchers)
@@ -284,7 +284,7 @@
         self._reports = [part.report() for part in played]
 
     def _standing(self) -> int:
-        people = Population(self.day, self._script.fleet.terms, Streams(self.seed), 0)
+        people = Population(self.day, self._script.fleet.parameters, Streams(self.seed), 0)
         return len(people.standing().at)
 
     async def _sample(self) -> None:
--- a/glenfold_lab/stand_ins/front.py
+++ b/glenfold_lab/stand_ins/front.py
@@ -11,7 +11,7 @@
 
 from glenfold_lab.model.draw import value
 from glenfold_lab.model.front import Front
-from glenfold_lab.model.relay_hosts import FRONT_TOLD_S
+from glenfold_lab.model.relay_hosts import FRONT_REMOVAL_S
 from glenfold_lab.spec import Range
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 from glenfold_lab.stand_ins.ping import Ping, ping
@@ -75,7 +75,7 @@
     async def retire(self, relay: int) -> None:
         """It has been told to stop: the front hears of it soon, and admits it again once it was gone."""
         self._leaving.add(relay)
-        await self._wait(value(FRONT_TOLD_S, self._random))
+        await self._wait(value(FRONT_REMOVAL_S, self._random))
         self._take_out(relay)
 
     async def cut_off(self, relay: int, until: int) -> None:
--- a/glenfold_lab/stand_ins/part.py
+++ b/glenfold_lab/stand_ins/part.py
@@ -12,14 +12,14 @@
 import numpy as np
 import trio
 
-from glenfold_lab.model.clients import Habits
+from glenfold_lab.model.clients import ClientBehavior
 from glenfold_lab.model.draw import value
 from glenfold_lab.model.fleet import Machine
 from glenfold_lab.model.population import Population
 from glenfold_lab.model.servers.messages import Messages
 from glenfold_lab.model.servers.server import Server
 from glenfold_lab.model.servers.store import store_of
-from glenfold_lab.model.world import LAST_ANSWERS_US
+from glenfold_lab.model.world import FINAL_ANSWER_MARGIN_US
 from glenfold_lab.observe import Capacity, Record
 from glenfold_lab.spec import Scenario
 from glenfold_lab.stand_ins.agent import Agent, Holding
@@ -63,7 +63,7 @@
 def end_of(scenario: Scenario, times: Times) -> int:
     """When the last answers are there to be judged."""
     longest = max(round(kind.deadline_ms * 1000) for kind in scenario.classes)
-    return times.start + round(scenario.length_s * SECOND_US) + longest + LAST_ANSWERS_US
+    return times.start + round(scenario.length_s * SECOND_US) + longest + FINAL_ANSWER_MARGIN_US
 
 
 @dataclass(slots=True)
@@ -216,7 +216,7 @@
         )
         return Crowd(
             scenario,
-            Habits.of(scenario, streams),
+            ClientBehavior.of(scenario, streams),
             front,
             Seal(secret(self.seed)),
             self.seen,
@@ -233,12 +233,12 @@
         """Those of this process: who stood before, and who comes."""
         assert self.share.clients is not None
         which, of = self.share.clients
-        people = Population(self.scenario, self.script.fleet.terms, Streams(self.seed), start)
+        people = Population(self.scenario, self.script.fleet.parameters, Streams(self.seed), start)
         standing = list(clients_of(people.standing(), 0, True))
         if not self.scenario.relays.pass_through:  # else packets must go where the relays would send them
             self._choose_hosts(standing)
         coming: list[Client] = []
-        for drawn in people.coming(STEP_US):
+        for drawn in people.arrivals(STEP_US):
             coming += clients_of(drawn, len(standing) + len(coming), False)
         return standing[which::of], coming[which::of]
 
@@ -334,7 +334,7 @@
 
     def __init__(self, script: Script, seed: int, seen: Seen, part: float) -> None:
         scenario, streams = script.scenario, Streams(seed)
-        terms, rules, servers = script.fleet.terms, scenario.rules, scenario.servers
+        terms, rules, servers = script.fleet.parameters, scenario.rules, scenario.servers
         self._store = store_of(scenario, streams, terms, part)
         self._script, self._streams, self._seen, self._seal = script, streams, seen, Seal(secret(seed))
         self._group_load = terms.group_cost
@@ -356,7 +356,7 @@
         fleet, network = self._script.fleet, self._script.network
         messages = Messages(network, [])
         messages.add_server(machine)
-        fluid = Server(machine, fleet.terms.mean_load, fleet.table_tax, self._group_load)
+        fluid = Server(machine, fleet.parameters.mean_load, fleet.table_tax, self._group_load)
         zones = [network.zone_of(relay) for relay in range(self._script.scenario.relays.count)]
         ways = tuple(2 * network.delay_us(zone, machine.zone) for zone in zones)
         return Holder(
--- a/glenfold_lab/stand_ins/push_server.py
+++ b/glenfold_lab/stand_ins/push_server.py
@@ -236,7 +236,7 @@
 
     def jam(self, jammed: bool) -> None:
         """While it is jammed nothing is done, and what comes piles up."""
-        self.holder.fluid.jammed = jammed
+        self.holder.fluid.is_stalled = jammed
         self.holder.fluid.refresh(self._clock.now_us())
 
     # ---- its tasks ----
--- a/glenfold_lab/stand_ins/push_states.py
+++ b/glenfold_lab/stand_ins/push_states.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from glenfold_lab.model.servers.calls import OWN_SPREAD, ROOM, SET_UP_SIGMA, TICK_US
+from glenfold_lab.model.servers.calls import SET_UP_SIGMA, SET_UP_SPREAD, SHED_TARGET, TICK_US
 from glenfold_lab.model.servers.messages import Messages
 from glenfold_lab.model.servers.server import Server, Stage
 from glenfold_lab.model.servers.store import Store
@@ -158,7 +158,7 @@
         self.parked_until.clear()
         fluid = self.fluid
         fluid.clear()
-        fluid.stage, fluid.cold, fluid.started, fluid.at = Stage.RUNS, cold, now, now
+        fluid.stage, fluid.cold, fluid.started, fluid.updated_at = Stage.RUNS, cold, now, now
         fluid.refresh(now)
         self.seen.server_started(now, self.number, self.capacity, cold)
 
@@ -174,9 +174,9 @@
         used = (fluid.demand + fluid.set_up_load) / capacity if capacity > 0 else 1.0
         fluid.wait_us = float(self.messages.waits(np.array([used]))[0])
         full = fluid.machine.kind.buffer_s * fluid.machine.capacity
-        if fluid.piled <= full:
+        if fluid.backlog <= full:
             return []
-        fluid.drop(fluid.piled - full)
+        fluid.drop(fluid.backlog - full)
         return self._heaviest(capacity)
 
     def _heaviest(self, capacity: float) -> list["Conversation"]:
@@ -184,7 +184,7 @@
         left = self.fluid.demand
         struck: list[Conversation] = []
         for one in sorted(self.by_key.values(), key=lambda held: (-held.load, held.request)):
-            if struck and (left <= ROOM * capacity or capacity <= 0):
+            if struck and (left <= SHED_TARGET * capacity or capacity <= 0):
                 break
             left -= one.load
             struck.append(one)
@@ -193,7 +193,7 @@
     def delay_us(self, now: int) -> int:
         """Of a line, from its arrival to its answer; for ever while nothing is done."""
         self.fluid.advance(now)
-        own = self.messages.own_us(0) + self.fluid.pile_us()
+        own = self.messages.message_work_us(0) + self.fluid.backlog_us()
         return int(min(own + self.random.exponential(1.0) * self.fluid.wait_us, 1e12))
 
     def forget(self, key: int) -> None:
@@ -394,10 +394,10 @@
         assert self._work is not None
         middle = math.log(self._work.set_up_us) - SET_UP_SIGMA * SET_UP_SIGMA / 2
         work = float(holder.random.lognormal(middle, SET_UP_SIGMA))
-        wait = min(fluid.pile_us(), TICK_US) if fluid.capacity() <= 0 else fluid.pile_us()
+        wait = min(fluid.backlog_us(), TICK_US) if fluid.capacity() <= 0 else fluid.backlog_us()
         own = work / fluid.machine.speed
-        spread = float(holder.random.exponential(1.0)) * (OWN_SPREAD * own + fluid.wait_us)
-        fluid.queue_up(call, work)
+        spread = float(holder.random.exponential(1.0)) * (SET_UP_SPREAD * own + fluid.wait_us)
+        fluid.enqueue(call, work)
         self._set_up_ends = fluid.waiting[call.request].end
         self._asked_store = False
         self.due = now + int(wait + own + spread) + holder.ways_us[self.relay]
@@ -406,15 +406,15 @@
         fluid, call = self.holder.fluid, self._call
         assert call is not None
         fluid.advance(now)
-        fluid.take_done()  # those that were left out ahead of it stand in its way no longer
-        if fluid.reached < self._set_up_ends - 1:  # its capacity has fallen since
+        fluid.pop_finished()  # those that were left out ahead of it stand in its way no longer
+        if fluid.work_done < self._set_up_ends - 1:  # its capacity has fallen since
             capacity = fluid.capacity()
-            left = (self._set_up_ends - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
+            left = (self._set_up_ends - fluid.work_done) / capacity * 1e6 if capacity > 0 else TICK_US
             self.due = now + max(LEAST_US, min(TICK_US, int(left)))
             return
         if self.holder.store is not None and not self._asked_store:
             self._asked_store = True
-            self.due = now + self.holder.store.ask(now)
+            self.due = now + self.holder.store.answer_us(now)
             return
         del fluid.waiting[call.request]
         self.due = None
@@ -432,7 +432,7 @@
         self._attempt_over(now, Over.UP)
         self.phase = Phase.STANDING
         holder.by_key[call.connection] = self
-        holder.fluid.put(call)
+        holder.fluid.add_standing(call)
         self._plan_change(now)
         self._next_due()
 
@@ -446,7 +446,7 @@
         call, fluid = self._call, self.holder.fluid
         if call is not None and self.due is not None:
             fluid.advance(now)
-            fluid.give_up(call)
+            fluid.abandon(call)
             self.due = None
 
     def _attempt_over(self, now: int, over: Over) -> None:
@@ -531,4 +531,4 @@
             holder.fluid.park(call)
             holder.parked_until[call.connection] = now + holder.park_us
         else:
-            holder.fluid.take_off(call)
+            holder.fluid.remove_standing(call)
--- a/glenfold_lab/stand_ins/relay_settings.py
+++ b/glenfold_lab/stand_ins/relay_settings.py
@@ -3,14 +3,14 @@
 
 from typing import Any
 
-from glenfold_lab.model.fleet import Terms
+from glenfold_lab.model.fleet import HistoryParameters
 from glenfold_lab.model.relay_settings import settings_of
 from glenfold_lab.spec import Scenario
 
 SEMANTICS = {"REPEATABLE": "repeatable", "BY_KEY": "by_key", "ONCE": "once"}
 
 
-def settings_json(scenario: Scenario, terms: Terms, slot: int, zone: int) -> dict[str, Any]:
+def settings_json(scenario: Scenario, terms: HistoryParameters, slot: int, zone: int) -> dict[str, Any]:
     """`slot`: the relay's number; `zone`: the place of its zone."""
     told = settings_of(scenario, terms, slot, zone)
     classes = [
--- a/glenfold_lab/stand_ins/run.py
+++ b/glenfold_lab/stand_ins/run.py
@@ -19,7 +19,7 @@
 import trio
 
 from glenfold_lab.model.population import Population
-from glenfold_lab.model.world import no_collections
+from glenfold_lab.model.world import without_garbage_collection
 from glenfold_lab.observe import Watcher
 from glenfold_lab.results import Happened, RunResult
 from glenfold_lab.spec import Range, Scenario
@@ -107,7 +107,7 @@
     with (
         tempfile.TemporaryDirectory(prefix="glenfold-play-") as folder,
         ExitStack() as stack,
-        no_collections(),
+        without_garbage_collection(),
     ):
         try:
             trio.run(run.play, Path(folder), stack)
@@ -161,9 +161,9 @@
 
     @classmethod
     def of(cls, script: Script, seed: int) -> "_Load":
-        people = Population(script.scenario, script.fleet.terms, Streams(seed), 0)
-        coming = sum(len(drawn.at) for drawn in people.coming(SECOND_US))
-        return cls(len(people.standing().at), coming, people.usual)
+        people = Population(script.scenario, script.fleet.parameters, Streams(seed), 0)
+        coming = sum(len(drawn.at) for drawn in people.arrivals(SECOND_US))
+        return cls(len(people.standing().at), coming, people.mean_connections)
 
     def processes(self, length_s: float) -> int:
         per_s = self.coming / length_s + self.usual * LINES_PER_S * LINE_COST
@@ -249,7 +249,7 @@
     def _make_relays(self, folder: Path, places: Places, clock: MachineClock) -> list[RelayProcess]:
         told, network = self.scenario.relays, self._script.network
         sockets = told.sockets or resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        terms = self._script.fleet.terms
+        terms = self._script.fleet.parameters
         return [
             RelayProcess(
                 number,
--- a/glenfold_lab/stand_ins/script.py
+++ b/glenfold_lab/stand_ins/script.py
@@ -13,10 +13,10 @@
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.listing.feeds import Feed, RelayLists
 from glenfold_lab.model.listing.versions import Entry
-from glenfold_lab.model.machine_faults import PART, Due, MachineFaults
+from glenfold_lab.model.machine_faults import DEFAULT_PART, DrawnFault, MachineFaults
 from glenfold_lab.model.network import Network
 from glenfold_lab.model.servers.calls import PushServers
-from glenfold_lab.model.servers.lives import Lives
+from glenfold_lab.model.servers.lifecycle import ServerLifecycle
 from glenfold_lab.model.servers.server import Server
 from glenfold_lab.observe import Told, Watcher
 from glenfold_lab.results import Happened
@@ -132,8 +132,8 @@
         scenario, self._kernel = script.scenario, kernel
         servers = PushServers(scenario, streams, kernel, Watcher(), script.fleet, script.network)
         lists = _Lists(script, streams, kernel)
-        lives = _Lives(script, servers, lists.news)
-        lives.begin()
+        lives = _Lives(script, servers, lists.server_changed)
+        lives.start_all()
         MachineFaults(
             scenario, streams, kernel, servers, lives, lists, script.network, script.happened.append
         ).start()
@@ -142,7 +142,7 @@
         self._kernel.run(until)
 
 
-class _Lives(Lives):
+class _Lives(ServerLifecycle):
     """Notes what is done to which server."""
 
     def __init__(
@@ -169,22 +169,22 @@
         super().drain(server, over_us)
         self._deed(server, "send_away", over_us)
 
-    def turn_away(self, server: Server) -> bool:
-        turned = super().turn_away(server)
+    def start_drain(self, server: Server) -> bool:
+        turned = super().start_drain(server)
         if turned:
             self._deed(server, "drain")
         return turned
 
-    def take_again(self, server: Server, life: int) -> None:
-        super().take_again(server, life)
+    def cancel_drain(self, server: Server, life: int) -> None:
+        super().cancel_drain(server, life)
         self._deed(server, "undrain")
 
-    def _go_silent(self, server: Server) -> None:
-        super()._go_silent(server)
+    def _report_lost(self, server: Server) -> None:
+        super()._report_lost(server)
         self._deed(server, "cut", True, self._cut_from(server))
 
-    def _come_back(self, server: Server) -> None:
-        super()._come_back(server)
+    def _report_back(self, server: Server) -> None:
+        super()._report_back(server)
         self._deed(server, "come_back")
 
     def cut(self, zone: int, relays: bool) -> list[Server]:
@@ -213,8 +213,8 @@
         super().take_cores(server, share)
         self._deed(server, "take_away", share)
 
-    def jam(self, server: Server, jammed: bool) -> None:
-        super().jam(server, jammed)
+    def set_stalled(self, server: Server, jammed: bool) -> None:
+        super().set_stalled(server, jammed)
         self._deed(server, "jam", jammed)
 
 
@@ -236,7 +236,7 @@
         super()._count_as_told(version)
         self._due = False
 
-    def _tell_change(self, feed: Feed, version: int) -> None:
+    def _report_change(self, feed: Feed, version: int) -> None:
         news = self._news_of_version(feed, version)
         if not self._due:
             self._script.news.append(news)
@@ -275,11 +275,11 @@
         }
         for place, fault in enumerate(self._script.scenario.faults):
             if fault.kind in kinds:
-                due = Due(fault, place, self._streams)
+                due = DrawnFault(fault, place, self._streams)
                 until, struck = kinds[fault.kind](due)
                 self._script.happened.append(Happened(fault.kind, due.at, until, relays=struck))
 
-    def _chosen(self, due: Due) -> tuple[int, ...]:
+    def _chosen(self, due: DrawnFault) -> tuple[int, ...]:
         return tuple(due.choose(range(self._count), due.count_of(self._count)))
 
     def _add(self, at: int, relay: int, what: str, value: float = 0.0) -> None:
@@ -288,24 +288,24 @@
     def _down_us(self) -> float:
         return value(self._script.scenario.relays.restart_s, self._restarts) * SECOND_US
 
-    def _crash(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
+    def _crash(self, due: DrawnFault) -> tuple[int | None, tuple[int, ...]]:
         struck = self._chosen(due)
         for relay in struck:
             self._add(due.at, relay, "crash", self._down_us())
         return None, struck
 
-    def _restart(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
+    def _restart(self, due: DrawnFault) -> tuple[int | None, tuple[int, ...]]:
         struck = self._chosen(due)
         for turn, relay in enumerate(struck):
             self._add(due.at + due.over * turn // len(struck), relay, "restart", self._down_us())
         return due.at + due.over or None, struck
 
-    def _stall(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
+    def _stall(self, due: DrawnFault) -> tuple[int | None, tuple[int, ...]]:
         struck = self._chosen(due)
         for relay in struck:
             self._add(due.at, relay, "stall", due.length)
         return due.at + due.length, struck
 
-    def _reconnect(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
-        self._script.drops.append(Drop(due.at, due.drawn("size", PART), due.over))
+    def _reconnect(self, due: DrawnFault) -> tuple[int | None, tuple[int, ...]]:
+        self._script.drops.append(Drop(due.at, due.drawn("size", DEFAULT_PART), due.over))
         return due.at + due.over, ()
--- a/tests/glenfold_lab/modelled_machines.py
+++ b/tests/glenfold_lab/modelled_machines.py
@@ -58,7 +58,7 @@
         )
         self.kernel, self.seen = Kernel(), Recorder()
         self.machinery = Machinery(Scenario(**made | scenario), Streams(seed), self.kernel, self.seen)
-        self.servers, self.lives = self.machinery.servers, self.machinery.lives
+        self.servers, self.lifecycle = self.machinery.servers, self.machinery.lifecycle
         self.replies: dict[int, Over] = {}  # all by request
         self.took: dict[int, int] = {}
         self.ends: dict[int, End] = {}
--- a/tests/glenfold_lab/modelled_relays.py
+++ b/tests/glenfold_lab/modelled_relays.py
@@ -7,18 +7,18 @@
 from glenfold.request import RequestState
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.relay_settings import Costs
-from glenfold_lab.model.relays import Exchange, Relay, Surroundings
+from glenfold_lab.model.relays import Exchange, Relay, RelayContext
 from glenfold_lab.model.wire import Call
 from glenfold_lab.observe import End, Over, Recorder
-from linnetspread import interface as i
+from linnetspread import interface
 
 WAY_US = 500  # from the relay to a push server, or back
-SETTINGS = i.Settings(
+SETTINGS = interface.Settings(
     classes=(
-        i.RequestClass(
+        interface.RequestClass(
             aim_us=500_000,
             deadline_us=3 * SECOND_US,
-            semantics=i.Semantics.REPEATABLE,
+            semantics=interface.Semantics.REPEATABLE,
             message_aim_us=250_000.0,
         ),
     ),
@@ -83,17 +83,17 @@
     def next_line(self, client: int) -> int:
         return self.kernel.now + 300_000
 
-    def hears(self, exchange: Exchange) -> bool:
+    def is_reachable(self, exchange: Exchange) -> bool:
         return True
 
-    def up(self, exchange: Exchange) -> None:
+    def answered_up(self, exchange: Exchange) -> None:
         self._note("up", exchange)
 
-    def turned_away(self, exchange: Exchange, wait_us: int) -> None:
+    def refused_or_failed(self, exchange: Exchange, wait_us: int) -> None:
         self.waits.append(wait_us)
         self._note("turned away", exchange)
 
-    def over(self, exchange: Exchange, how: End) -> None:
+    def connection_ended(self, exchange: Exchange, how: End) -> None:
         self._note(how.name, exchange)
 
     def _note(self, what: str, exchange: Exchange) -> None:
@@ -107,18 +107,21 @@
     """One relay that has heard of servers 1 to `servers`, and has room for `taken` connections."""
 
     def __init__(
-        self, servers: int = 4, taken: int = 1000, settings: i.Settings = SETTINGS, step_us: int = 100
+        self, servers: int = 4, taken: int = 1000, settings: interface.Settings = SETTINGS, step_us: int = 100
     ) -> None:
         self.kernel, self.seen = Kernel(), Recorder()
         self.servers, self.clients = Servers(self.kernel), Callers(self.kernel)
         costs = Costs(step_us, step_us, step_us, step_us, Room(64, taken, 12))
-        around = Surroundings(self.kernel, self.servers, self.clients, self.seen, costs)
-        self.relay = Relay(0, settings, 1, around)
-        self.relay.heard(
-            i.ServerList(
-                i.ListKind.FULL,
+        context = RelayContext(self.kernel, self.servers, self.clients, self.seen, costs)
+        self.relay = Relay(0, settings, 1, context)
+        self.relay.receive_list(
+            interface.ServerList(
+                interface.ListKind.FULL,
                 1,
-                tuple(i.ListedServer(number, i.ServerState.READY) for number in range(1, servers + 1)),
+                tuple(
+                    interface.ListedServer(number, interface.ServerState.READY)
+                    for number in range(1, servers + 1)
+                ),
             )
         )
         self.run(0.01)  # the list has been read
@@ -129,7 +132,7 @@
 
     def exchange(self, client: int, mid_flow: bool = False) -> Exchange:
         number, expires = client + 1, 3 * SECOND_US
-        event = i.Request(number, expires, key=number * 7919, mid_flow=mid_flow)
+        event = interface.Request(number, expires, key=number * 7919, mid_flow=mid_flow)
         return Exchange(self.relay, client, 0, 0, event, RequestState(number, self.kernel.now + expires))
 
     def ask(self, *clients: int, mid_flow: bool = False) -> list[Exchange]:
--- a/tests/glenfold_lab/standing.py
+++ b/tests/glenfold_lab/standing.py
@@ -17,7 +17,7 @@
 from glenfold.destinations import DestinationSet, server_number
 from glenfold.net.discovery import Discovery
 from glenfold.net.inbound import Inbound, Relay
-from glenfold_lab.model.fleet import KindTerms, Machine
+from glenfold_lab.model.fleet import KindParameters, Machine
 from glenfold_lab.model.network import Network
 from glenfold_lab.model.servers.messages import Messages
 from glenfold_lab.model.servers.server import Server
@@ -76,7 +76,7 @@
 
 def holder(n: int, seen: Seen, cap: float = 3.0, group_load: float = 0.0, **more: Any) -> Holder:
     host = f"s-{n}"
-    kind = KindTerms(
+    kind = KindParameters(
         "m",
         cores=3,
         weight=3.0,
--- a/tests/glenfold_lab/test_machines_calls.py
+++ b/tests/glenfold_lab/test_machines_calls.py
@@ -18,10 +18,10 @@
     world = Fixed()
     stands, call = world.standing(9)[0], world.call()
     world.run(4 * WAY)
-    world.lives.jam(world.server(), True)
+    world.lifecycle.set_stalled(world.server(), True)
     world.run(2 * S)
     assert not world.replies and world.servers.answer_us(stands) is None and world.ends
-    world.lives.jam(world.server(), False)
+    world.lifecycle.set_stalled(world.server(), False)
     world.run(100 * MS)
     assert world.replies == {call.request: Over.UP}
 
@@ -69,7 +69,7 @@
     kept, moved, late = world.standing(3)
     for call in (kept, moved, late):
         world.servers.park(call)
-    world.lives.turn_away(world.server())  # draining bars new ones, not those it holds
+    world.lifecycle.start_drain(world.server())  # draining bars new ones, not those it holds
     again = world.call(connection=kept.connection, mid_flow=True)
     elsewhere = world.call(1, connection=moved.connection, mid_flow=True)
     world.run(4 * S)
@@ -97,7 +97,7 @@
     world = Fixed(kind={"buffer_s": 9.0})
     call = world.standing()[0]
     for _ in range(2):
-        world.server().piled = SILENT_US / S * 1.3e6
+        world.server().backlog = SILENT_US / S * 1.3e6
         world.run(1 * S)
         assert (world.servers.answer_us(call) or 0) < SILENT_US
     assert world.silent == [call.request] * 2
@@ -113,7 +113,7 @@
     stands, waits = world.standing()[0], world.call()
     world.run(4 * WAY + 123)
     for _ in range(2):  # whatever starts it again, it starts once
-        world.lives.restart(world.server(), 2 * S)
+        world.lifecycle.restart(world.server(), 2 * S)
     comes = world.call()
     world.run(1 * S)
     assert world.ends == {stands.request: End.BROKEN}
@@ -123,20 +123,20 @@
     (_, (_, again, capacity, cold)), started = world.observed("server_started"), world.server().started
     assert (again, cold, started % MS) == (world.server().machine.number, True, 0)
     assert world.server().warmth(started + 5 * S) == pytest.approx(0.6)
-    assert capacity.warm_per_s == pytest.approx(10 * S / world.machinery.terms.life_us)
+    assert capacity.warm_per_s == pytest.approx(10 * S / world.machinery.parameters.life_us)
 
 
 def test_a_machine_that_vanishes_says_nothing_until_it_is_back() -> None:
     world = Fixed()
     stands, waits = world.standing()[0], world.call()
     world.run(4 * WAY)
-    world.lives.vanish(world.server())
+    world.lifecycle.vanish(world.server())
     comes = world.call()
     world.run(2 * S)
     assert not world.replies and not world.ends and not comes.sent_at
     assert world.silent == [stands.request] and world.servers.answer_us(stands) is None
     world.servers.close(waits)
-    world.lives.appear(world.server(), world.server().life)
+    world.lifecycle.appear(world.server(), world.server().life)
     world.run(2 * S)
     assert stands.stands and world.servers.answer_us(stands) is not None and not world.replies
     assert [how for *_, how in world.observed("attempt_over")] == [Over.ABANDONED]
@@ -145,17 +145,17 @@
 def test_what_was_planned_for_one_process_does_not_happen_to_the_next() -> None:
     world = Fixed()
     server, life = world.server(), world.server().life
-    world.lives.drain(server, 2 * S)
-    world.lives.restart(server, 1 * S)
+    world.lifecycle.drain(server, 2 * S)
+    world.lifecycle.restart(server, 1 * S)
     world.run(3 * S)
     assert server.stage is Stage.RUNS
-    world.lives.turn_away(server)
-    world.lives.take_again(server, life)
+    world.lifecycle.start_drain(server)
+    world.lifecycle.cancel_drain(server, life)
     assert server.stage is Stage.DRAINS
-    world.lives.vanish(server)
-    world.lives.appear(server, life)
+    world.lifecycle.vanish(server)
+    world.lifecycle.appear(server, life)
     assert server.silent
-    world.lives.end(server)
+    world.lifecycle.end(server)
     assert len(world.observed("server_ended")) == 2  # its second end was seen when it vanished
 
 
@@ -164,7 +164,7 @@
     """A life is 1 s, so it takes 0.2 of 10 a second: 18 in 3 s at three times that, and some by chance."""
     world = Fixed(kind={"cap": 100.0, "queue": 100.0}, clients=Clients(life_s=1.0))
     if cold:
-        world.lives.restart(world.server(), 0)
+        world.lifecycle.restart(world.server(), 0)
         world.run(1 * MS)
     for _ in range(40):
         world.call(load=0.0)
@@ -201,7 +201,7 @@
 
 
 def _take(world: Fixed, calls: list[Call], what: str, which: int) -> None:
-    server, lives = world.server(which % 2), world.lives
+    server, lifecycle = world.server(which % 2), world.lifecycle
     if what == "call" or not calls:
         calls.append(world.call(which % 2, load=1000.1 * (which % 97), group=which % 4))
     call = calls[which % len(calls)]
@@ -213,15 +213,15 @@
         case "close" | "park":
             getattr(world.servers, what)(call)
         case "crash":
-            lives.restart(server, 100 * MS)
+            lifecycle.restart(server, 100 * MS)
         case "drain":
-            lives.drain(server, 400 * MS)
+            lifecycle.drain(server, 400 * MS)
         case "vanish":
-            lives.vanish(server)
+            lifecycle.vanish(server)
         case "appear":
-            lives.appear(server, server.life)
+            lifecycle.appear(server, server.life)
         case "jam":
-            lives.jam(server, which % 3 == 0)
+            lifecycle.set_stalled(server, which % 3 == 0)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -236,7 +236,7 @@
             assert list(server.standing.values()) == stands
             groups = {call.group for call in [*stands, *server.parked.values()]} - {0}
             assert server.demand == pytest.approx(sum(call.load for call in stands) + GROUP * len(groups))
-            assert server.piled >= 0 and server.held <= server.cap
+            assert server.backlog >= 0 and server.held <= server.cap
         assert world.servers.placed.table().sum() == sum(call.stands for call in calls)
     for call in calls:
         world.servers.close(call)
