--- a/tests/glenfold_lab/test_machines_listing.py
+++ b/tests/glenfold_lab/test_machines_listing.py
@@ -9,7 +9,7 @@
 
 from glenfold.destinations import BadList, DestinationSet
 from glenfold_lab.model.fleet import Fleet
-from glenfold_lab.model.listing.known import Known
+from glenfold_lab.model.listing.shared_destinations import SharedDestinations
 from glenfold_lab.model.listing.versions import Entry, Versions, names_of
 from glenfold_lab.observe import Told
 from glenfold_lab.spec import RequestClass, Scenario, Servers
@@ -38,7 +38,7 @@
         return {self.numbers.index(line.server): line.state for line in self.heard[which].servers}
 
     def drain(self, server: int) -> None:
-        self.world.lives.turn_away(self.world.server(server))
+        self.world.lifecycle.start_drain(self.world.server(server))
 
     def told(self, server: int) -> list[tuple[float, Told]]:
         """After its start, in seconds from the start of the history."""
@@ -65,7 +65,7 @@
 
 def test_a_restart_that_is_noticed_first_is_not_undone_by_the_end_before_it() -> None:
     relay = Told0()
-    relay.world.lives.restart(relay.world.server(0), 500 * MS)
+    relay.world.lifecycle.restart(relay.world.server(0), 500 * MS)
     relay.world.run(8 * S)
     started = relay.world.server(0).started
     assert [(one.state, one.started_us) for servers in relay.heard[1:] for one in servers.servers] == [
@@ -93,7 +93,7 @@
     relay = Told0(out_of_order=1.0, period_ms=100.0)
     relay.drain(0)
     relay.world.run(1500 * MS)  # to be back is noticed 1 s sooner than to be draining
-    relay.world.lives.take_again(relay.world.server(0), relay.world.server(0).life)
+    relay.world.lifecycle.cancel_drain(relay.world.server(0), relay.world.server(0).life)
     relay.world.run(6 * S)
     assert relay.kinds() == [ListKind.CACHED, ListKind.DELTA, ListKind.FULL]
     assert relay.states() == dict.fromkeys(range(3), ServerState.READY)
@@ -130,7 +130,7 @@
     relay.world.run(NOTICED)
     relay.world.machinery.listing.relay_down(0)
     relay.drain(1)
-    relay.world.lives.end(relay.world.server(0))
+    relay.world.lifecycle.end(relay.world.server(0))
     relay.world.run(4 * S)
     before = len(relay.told(1))
     relay.up()
@@ -163,7 +163,7 @@
     for change in changes:
         entries = {n: Entry(machines[n], state, started * S) for n, state, started in change}
         versions.add(list(entries.values()))
-    nothing = Known.nothing(names)
+    nothing = SharedDestinations.empty(names)
     shared, alone = [nothing] * 3, [DestinationSet(names) for _ in range(3)]
     for relay, number, whole, starts in reads:
         version = min(number, versions.last)
@@ -177,4 +177,4 @@
                 shared[relay].read(document, cached=starts)
         else:
             shared[relay] = shared[relay].read(document, cached=starts)
-            assert shared[relay].told == expected
+            assert shared[relay].server_list == expected
--- a/tests/glenfold_lab/test_machines_service.py
+++ b/tests/glenfold_lab/test_machines_service.py
@@ -100,8 +100,8 @@
         [server.machine for server in world.servers.all if (server.started > 0) is started]
         for started in (False, True)
     )
-    assert sorted((m.kind_place, m.zone) for m in new) == sorted(
-        (m.kind_place, m.zone) for m in old if m.number in happened.servers
+    assert sorted((m.kind_index, m.zone) for m in new) == sorted(
+        (m.kind_index, m.zone) for m in old if m.number in happened.servers
     )
     assert not {m.number for m in new} & set(heard)
     world.run(3 * S)
@@ -124,7 +124,7 @@
     ill = {
         server.machine.number
         for server in world.servers.all
-        if server.stage is Stage.DOWN or server.silent or server.jammed
+        if server.stage is Stage.DOWN or server.silent or server.is_stalled
     }
     assert len(happened.servers) == 2 and ill == (set() if length else set(happened.servers))
 
--- a/tests/glenfold_lab/test_model_follows_relay.py
+++ b/tests/glenfold_lab/test_model_follows_relay.py
@@ -14,7 +14,7 @@
 from glenfold.dispatch import Dispatch
 from glenfold.net import sockets
 from glenfold_lab.observe import End, Over
-from linnetspread import interface as i
+from linnetspread import interface
 
 Heard = list[tuple[object, ...]]
 LINES = {Over.UP: b"UP r1\r\nLOAD 40000.0\r\n", Over.BUSY: b"BUSY\r\n", Over.ERROR: b"ERR\r\n"}
@@ -44,9 +44,9 @@
 def listen(dispatch: Dispatch, heard: Heard) -> None:
     handle = dispatch.balancer.handle
 
-    def noting(now: int, event: i.Event) -> list[i.Action]:
+    def noting(now: int, event: interface.Event) -> list[interface.Action]:
         parts = [getattr(event, name, None) for name in ("attempt", "outcome", "done", "kind", "amount")]
-        if not isinstance(event, i.ServerList):
+        if not isinstance(event, interface.ServerList):
             heard.append((type(event).__name__, *parts))
         return handle(now, event)
 
--- a/tests/glenfold_lab/test_model_population.py
+++ b/tests/glenfold_lab/test_model_population.py
@@ -5,11 +5,11 @@
 import pytest
 
 from glenfold_lab import spec
-from glenfold_lab.model.fleet import Terms
+from glenfold_lab.model.fleet import HistoryParameters
 from glenfold_lab.model.population import Population
 from glenfold_lab.streams import Streams
 
-TERMS = Terms(
+PARAMETERS = HistoryParameters(
     life_us=20e6,
     mean_load=1000.0,
     class_load=(1400.0, 400.0, 400.0),
@@ -33,8 +33,8 @@
 
 
 def drawn(scenario: spec.Scenario = SCENARIO, seed: int = 1) -> dict[str, np.ndarray]:
-    population = Population(scenario, TERMS, Streams(seed), 0)
-    blocks = [population.standing(), *population.coming(250_000)]
+    population = Population(scenario, PARAMETERS, Streams(seed), 0)
+    blocks = [population.standing(), *population.arrivals(250_000)]
     return {
         name: np.concatenate([getattr(block, name) for block in blocks])
         for name in blocks[0].__dataclass_fields__
--- a/tests/glenfold_lab/test_model_relays.py
+++ b/tests/glenfold_lab/test_model_relays.py
@@ -129,7 +129,7 @@
     stage.ask(1)
     stage.run(0.1)
     standing, calling = stage.servers.calls
-    assert [exchange.client for exchange in stage.relay.die()] == [0, 1]
+    assert [exchange.client for exchange in stage.relay.terminate()] == [0, 1]
     assert stage.servers.parked == [standing] * pass_through
     assert stage.servers.closed == [standing] * (not pass_through) + [calling]
     calling.back.replied(calling, Over.UP)
--- a/tests/glenfold_lab/test_mutants.py
+++ b/tests/glenfold_lab/test_mutants.py
@@ -53,18 +53,18 @@
             self.late = [*getattr(self, "late", []), call]
             self._kernel.after(1, self._machines.call, call)
 
-    def die(self):
+    def terminate(self):
         for call in getattr(self, "late", []):  # else one under way is judged by the list of its next life
             self._machines.close(call)
-        return super().die()
+        return super().terminate()
 
 
 class HeedsTheListLate(Relay):
     """2.1 s after it was told."""
 
-    def heard(self, servers):
+    def receive_list(self, servers):
         started = bool(self.dispatch.balancer.servers)
-        self._kernel.after(2_100_000 if started else 0, super().heard, servers)
+        self._kernel.after(2_100_000 if started else 0, super().receive_list, servers)
 
 
 class CutsWithoutMove(Relay):
