--- a/glenfold_lab/model/__init__.py
+++ b/glenfold_lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The world in virtual time: discrete events, and one seed for one history."""
+"""A discrete-event model of the whole system in virtual time; one seed gives one history."""
--- a/glenfold_lab/model/actor_faults.py
+++ b/glenfold_lab/model/actor_faults.py
@@ -12,7 +12,10 @@
 
 
 class ActorFaults:
-    """Plans those faults of a scenario that are not the machines'. `note` gets each as it comes."""
+    """Schedules the faults of a scenario that strike relays and clients.
+
+    `note` is called with each fault when it happens.
+    """
 
     def __init__(
         self,
@@ -53,7 +56,7 @@
         return self._record(due, 0, struck)
 
     def _restart(self, due: DrawnFault) -> Happened:
-        """One by one."""
+        """Restarts the chosen relays one after the other, evenly over the given time."""
         struck = self._choose_targets(due)
         for turn, relay in enumerate(struck):
             self._kernel.after(due.over * turn // len(struck), self._relay_hosts.restart, relay)
--- a/glenfold_lab/model/anchors.py
+++ b/glenfold_lab/model/anchors.py
@@ -1,8 +1,9 @@
-"""One map for all relays that hold the same: a thousand of them, each with a map of its own, fill 20 GB.
+"""Consistent-hashing anchors that are shared by all relays with the same history of lists.
 
-An anchor depends on the list that it was built from and on each change since, in their order: relays with the
-same past share one plain `Anchor`, and one whose past differs gets a copy. A plain one does all the work, so
-the decisions are the same bit for bit.
+A thousand relays, each with an anchor of its own, would take 20 GB. An anchor depends only on the list that
+it was built from and on the order of all changes since, so relays with the same history share one plain
+`Anchor`, and a relay whose history differs gets a copy. A plain anchor does all lookups, so the decisions are
+the same bit for bit.
 """
 
 import copy
@@ -13,15 +14,15 @@
 
 from linnetspread import choice
 
-Change = tuple[int, int]  # server, and its buckets; 0: it is removed
+Change = tuple[int, int]  # The server and its number of buckets; 0 removes the server.
 
 PlainAnchor = (
     choice.Anchor
-)  # that of this program: the name in `choice` is another's for the time of a history
+)  # Bound at import, as `shared_anchors` replaces the name in `choice` during a history.
 
 
 class SharedEntry:
-    """One plain anchor, the past that made it, and by how many it is held."""
+    """A plain anchor, the digest of the history that produced it, and the number of its holders."""
 
     __slots__ = ("plain", "digest", "holders", "__weakref__")
 
@@ -30,7 +31,7 @@
 
 
 class Pool:
-    """The anchors of one history, by their past; those that nobody holds are gone."""
+    """The anchors of one run by the digest of their history. Anchors without a holder are freed."""
 
     def __init__(self) -> None:
         self._by_past: WeakValueDictionary[bytes, SharedEntry] = WeakValueDictionary()
@@ -41,11 +42,11 @@
         return self._hold(found or SharedEntry(PlainAnchor(servers), past))
 
     def get_changed(self, shared: SharedEntry, past: bytes, changes: Iterable[Change]) -> SharedEntry:
-        """The anchor with these changes; `shared` is let go."""
+        """Releases `shared` and returns the anchor with `changes` applied."""
         found = self._by_past.get(past)
         shared.holders -= 1
         if found is None:
-            # Nobody else's, it may be changed where it stands.
+            # Without another holder, the anchor can be changed in place.
             plain = _copy(shared.plain) if shared.holders else shared.plain
             found = SharedEntry(plain, past)
             for server, buckets in changes:
@@ -66,15 +67,21 @@
 
 
 def _copy(plain: PlainAnchor) -> PlainAnchor:
-    """Tables and lists are copied; what is inside them is replaced by an anchor, never changed."""
+    """Returns a copy with tables and lists of its own.
+
+    Their items are shared: an anchor replaces items and never changes them in place.
+    """
     new = object.__new__(type(plain))
     vars(new).update((name, copy.copy(value)) for name, value in vars(plain).items())
     return new
 
 
 class SharedAnchor(PlainAnchor):
-    """Behaves as a plain anchor of its own. Changes are only noted, and made when a key is looked up: so
-    relays that heard the same list need no steps between, which none of the others would find any more."""
+    """An anchor that behaves like a plain one but shares its tables with other relays.
+
+    Changes are recorded and applied at the next lookup. Relays that received the same lists thus agree on the
+    anchors to look up, without intermediate anchors that the other relays would no longer find in the pool.
+    """
 
     def __init__(self, servers: list[tuple[int, int]], pool: Pool) -> None:
         self._pool = pool
@@ -93,7 +100,8 @@
         self._note(server, 0)
 
     def _note(self, server: int, buckets: int) -> None:
-        # One by one, not list by list: who looked nothing up between two lists has the same past.
+        # The digest covers single changes instead of lists, so that a relay without a lookup between two
+        # lists has the same history as one that looked a key up.
         self._past = _next_digest(self._past, (server, buckets))
         self._noted.append((server, buckets))
         self._changes[server] = buckets
@@ -110,7 +118,7 @@
 
     @property
     def N(self) -> int:
-        """Of an anchor of older revisions, which experiments still play."""
+        """The attribute `N` of the anchors of older revisions, which experiments still run."""
         return int(vars(self.plain)["N"])
 
     @property
@@ -120,7 +128,7 @@
 
 
 class _Owners:
-    """The servers that own buckets, as they will be once the noted changes are made."""
+    """The servers that own buckets once the recorded changes have been applied."""
 
     def __init__(self, made: dict[int, list[int]], changes: dict[int, int]) -> None:
         self._made, self._changes = made, changes
@@ -135,7 +143,7 @@
 
 @contextmanager
 def shared_anchors() -> Iterator[Pool]:
-    """Within it, balancers that are made share their anchors."""
+    """Makes all balancers that are created in this context share their anchors."""
     pool, plain = Pool(), choice.Anchor
 
     def anchor(servers: list[tuple[int, int]]) -> SharedAnchor:
--- a/glenfold_lab/model/clients.py
+++ b/glenfold_lab/model/clients.py
@@ -1,7 +1,8 @@
-"""What clients do: ask, wait, try again, stand, change their load, go, and come again when they were cut off.
+"""Clients of the model: requests, retries, standing connections, load changes, departures and reconnections.
 
-A client is a place in some columns, with an `Exchange` while a relay has its request or connection. Whatever
-it draws it drew when it first came: what relays decide shifts nobody's day.
+A client is an index into columns, with an `Exchange` while a relay holds its request or connection. All
+random values of a client are drawn at its arrival, so that decisions of relays don't change what other
+clients do.
 """
 
 import math
@@ -29,40 +30,38 @@
 from glenfold_lab.streams import Streams
 from linnetspread import interface
 
-DRAW_AHEAD_US = SECOND_US // 4  # clients are drawn for so long ahead
-LINE_INTERVAL_US = 2 * SECOND_US  # between two lines that a client sends on a standing connection
-ANSWER_MARGIN_US = 100_000  # beyond its deadline and the slack: an answer may still be under way
-SYN_RETRY_US = SECOND_US  # TCP's first wait before it asks again for a connection
-REROUTED_PACKET_US = (
-    SECOND_US  # within which packets of a connection come after the front sends them elsewhere
-)
-INITIAL_RETRY_SPREAD_US = 3 * SECOND_US  # within which those come that nobody could hold at the start
-CHANGES_PER_DRAW = 4096  # drawn at once
+DRAW_AHEAD_US = SECOND_US // 4  # Arrivals are drawn for this interval at once.
+LINE_INTERVAL_US = 2 * SECOND_US  # Time between two lines of a client on a standing connection.
+ANSWER_MARGIN_US = 100_000  # An answer may still be on its way this long after deadline and slack.
+SYN_RETRY_US = SECOND_US  # TCP's first retransmission delay for a connection request.
+REROUTED_PACKET_US = SECOND_US  # Packets of a connection reach the new relay within this time.
+INITIAL_RETRY_SPREAD_US = 3 * SECOND_US  # Clients without a relay at the start ask within this time.
+CHANGES_PER_DRAW = 4096  # Load changes that are drawn at once.
 
-ASK_RELAY, LEAVE_SERVICE, CHANGE_LOAD, GIVE_UP = range(4)  # what is planned
+ASK_RELAY, LEAVE_SERVICE, CHANGE_LOAD, GIVE_UP = range(4)  # Kinds of planned actions.
 
 
-WAITING = 0  # to ask
+WAITING = 0  # The client waits for its next request.
 ASKING = 1
 STANDING = 2
-PARKED = 3  # its packets reach no relay until the front sends them elsewhere
-GAVE_UP = 4  # it has tried often enough, but still wants a connection
+PARKED = 3  # Its packets reach no relay until the front reroutes them.
+GAVE_UP = 4  # It has used all retries but still wants a connection.
 GONE = 5
 
 
 class Relays(Protocol):
-    """The relays' processes, by number."""
+    """The processes of the relays, by number."""
 
     def running(self, relay: int) -> Relay | None:
-        """None while its process is not there: connections to its machine are refused."""
+        """Returns the relay, or None while its process is down and its machine refuses connections."""
 
     def reachable(self, relay: int) -> bool:
-        """Whether packets pass between it and its clients."""
+        """Returns whether packets pass between the relay and its clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientBehavior:
-    """Drawn for all clients of a history; times in microseconds, by class where there are several."""
+    """Drawn behavior of all clients. Times are in microseconds; tuples have a value per class."""
 
     deadlines: tuple[int, ...]
     change_us: tuple[float, ...]
@@ -94,20 +93,25 @@
         )
 
     def reconnect_delay_us(self, moved: bool, place: float) -> int:
-        """How long a client stays away that was moved, or whose connection broke; `place` is its own."""
+        """Returns the delay before a client reconnects that was moved, or whose connection broke.
+
+        `place` is the client's position (0 to 1) in the range.
+        """
         least, most = self.move_us if moved else self.rejoin_us
         return int(least + (most - least) * place)
 
 
 def _around_mean(wanted: Pair, random: np.random.Generator) -> tuple[float, float]:
-    """Half to one and a half of the mean that is drawn, within the pair itself; milliseconds in, microseconds
-    out."""
+    """Returns a range of 0.5 to 1.5 times a drawn mean, limited to the pair itself.
+
+    The pair is in milliseconds, the result in microseconds.
+    """
     mean, (least, most) = value_by_ratio(wanted, random), wanted
     return max(least, mean / 2) * 1000, min(most, mean * 1.5) * 1000
 
 
 class Columns:
-    """What is known of each client, by its number; clients are only added."""
+    """The state of each client by its number. Clients are only added."""
 
     def __init__(self) -> None:
         self.first_ask, self.until, self.due = array("q"), array("q"), array("q")
@@ -117,7 +121,7 @@
         self.pace, self.rejoin = array("f"), array("f")
         self.honours, self.state, self.returning, self.mid_flow = (array("B") for _ in range(4))
         self.tries, self.turn = array("H"), array("I")
-        self.relay = array("h")  # that it asked last
+        self.relay = array("h")  # The relay of the last request.
         self.exchange: list[Exchange | None] = []
 
     def __len__(self) -> int:
@@ -182,13 +186,13 @@
         self._arrivals = population.arrivals(DRAW_AHEAD_US)
 
     def __len__(self) -> int:
-        """How many have come so far."""
+        """Returns the number of clients that have arrived so far."""
         return len(self._columns)
 
-    # ---- who comes ----
+    # ---- arrivals ----
 
     def start(self) -> None:
-        """Those who stand already, and then those who come."""
+        """Adds the clients with standing connections, and then the arriving ones."""
         now = self._kernel.now
         drawn = self._population.standing()
         refused = [client for client in self._add_clients(drawn) if not self._start_standing(client)]
@@ -201,7 +205,7 @@
         self._add_arrivals()
 
     def _start_standing(self, client: int) -> bool:
-        self._columns.turn[client] = 1  # it has asked, and is wanted
+        self._columns.turn[client] = 1  # Counts as a request, so that the demand is not counted again.
         relay = self._relay_for(client)
         running = None if relay is None else self._relays.running(relay)
         if running is None:
@@ -223,7 +227,7 @@
         self._kernel.after(DRAW_AHEAD_US, self._add_arrivals)
 
     def _add_clients(self, drawn: Drawn) -> range:
-        """Each has its end and its next change of load planned, whatever becomes of it."""
+        """Adds clients and plans the departure and the next load change of each."""
         clients = self._columns.add(drawn)
         add, columns = self._plan.add, self._habits.change_us
         for client, at, until, kind in zip(
@@ -233,10 +237,10 @@
             add(at + int(columns[kind] * next(self._changes)[1]), client, CHANGE_LOAD)
         return clients
 
-    # ---- asking ----
+    # ---- requests ----
 
     def _plan_first_ask(self, client: int, at: int) -> None:
-        """Of a connection that it wants anew."""
+        """Plans the first request for a new connection."""
         self._columns.first_ask[client] = at
         self._plan_ask(client, at)
 
@@ -246,7 +250,10 @@
         self._plan.add(at, client, ASK_RELAY)
 
     def _relay_for(self, client: int) -> int | None:
-        """A connection that goes on elsewhere leaves its relay; the front knows what runs only later."""
+        """Chooses a relay for a client.
+
+        A mid-flow connection avoids its former relay, as the front learns only later which relays run.
+        """
         columns = self._columns
         relay = self._front.relay_for(
             columns.zone[client],
@@ -258,7 +265,7 @@
         return relay
 
     def _ask(self, client: int, moment: int) -> None:
-        """Its first line reaches a relay's machine at this moment, or nobody."""
+        """Delivers a client's first line to a relay's machine, or to no one if none can be reached."""
         columns = self._columns
         if columns.due[client] != moment or columns.state[client] != WAITING:
             return
@@ -285,7 +292,7 @@
                 self._plan_ask(client, moment + SYN_RETRY_US)
 
     def _exchange(self, client: int, relay: Relay) -> Exchange:
-        """For the request that it has just begun."""
+        """Creates the exchange for the request that the client has just started."""
         columns = self._columns
         kind, scheme, group = columns.kind[client], columns.scheme[client], columns.group[client]
         deadline = self._habits.deadlines[kind]
@@ -323,7 +330,7 @@
             self._retry(client, 0)
 
     def _close(self, client: int) -> None:
-        """Its own side of whatever it has."""
+        """Closes the client's side of its request or connection, if it has one."""
         exchange, standing = self._columns.exchange[client], self._columns.state[client] == STANDING
         if exchange is None:
             return
@@ -335,7 +342,7 @@
         exchange.relay.client_left(exchange)
 
     def _retry(self, client: int, wait_us: int) -> None:
-        """After a try that came to nothing; `wait_us` is what BUSY advised."""
+        """Plans a retry after a failed attempt; `wait_us` is the wait that BUSY advised."""
         columns, habits = self._columns, self._habits
         columns.exchange[client] = None
         columns.tries[client] += 1
@@ -351,7 +358,7 @@
         self._plan_ask(client, self._kernel.now + ways + int(pause))
 
     def _reconnect(self, client: int, moved: bool = False) -> None:
-        """Its connection broke or was moved."""
+        """Plans a new connection after the client's connection broke or was moved."""
         columns = self._columns
         columns.exchange[client] = None
         columns.mid_flow[client] = False
@@ -360,7 +367,7 @@
             client, self._kernel.now + self._habits.reconnect_delay_us(moved, columns.rejoin[client])
         )
 
-    # ---- while it lives ----
+    # ---- departures and load changes ----
 
     def _leave(self, client: int, moment: int) -> None:
         columns = self._columns
@@ -383,7 +390,7 @@
         self._plan.add(moment + int(self._habits.change_us[kind] * interval), client, CHANGE_LOAD)
 
     def drop(self, part: float, over_us: int, random: np.random.Generator) -> None:
-        """So many of those that stand lose their connections at once, and come again within that time."""
+        """Closes a share `part` of the standing connections; their clients reconnect within `over_us`."""
         columns, struck = self._columns, np.flatnonzero(random.uniform(size=len(self._columns)) < part)
         waits = random.uniform(0, over_us, size=len(struck))
         for client, wait in zip(struck.tolist(), waits.tolist(), strict=True):
@@ -392,7 +399,7 @@
                 columns.returning[client] = self._options.marks_returning
                 self._plan_first_ask(client, self._kernel.now + int(wait))
 
-    # ---- what relays see and say: `Clientele` ----
+    # ---- interface for relays: `ClientSide` ----
 
     def load(self, client: int) -> float:
         return self._columns.load[client]
@@ -415,7 +422,7 @@
     def refused_or_failed(self, exchange: Exchange, wait_us: int) -> None:
         if not self.is_reachable(exchange):
             return
-        if self._columns.mid_flow[exchange.client]:  # it stood, and does no more
+        if self._columns.mid_flow[exchange.client]:  # Its standing connection has ended.
             self._reconnect(exchange.client)
         else:
             self._retry(exchange.client, wait_us)
@@ -450,7 +457,7 @@
         return False
 
     def move_to_other_relay(self, exchange: Exchange) -> None:
-        """The front sends the packets of a standing connection to another relay from now on."""
+        """Reroutes the packets of a standing connection to another relay from now on."""
         client = exchange.client
         if self._columns.exchange[client] is exchange and self._columns.state[client] == STANDING:
             self._watcher.ended(self._kernel.now, exchange.event.request, End.RELAY_DIED)
@@ -460,7 +467,7 @@
             self.reach_relays([client])
 
     def reach_relays(self, clients: Iterable[int]) -> None:
-        """Packets of these parked connections come to relays again, as each sends its next."""
+        """Lets packets of these parked connections reach relays again, as each client sends its next line."""
         columns = self._columns
         for client in clients:
             if columns.state[client] == PARKED:
@@ -471,7 +478,7 @@
 
 
 def _changes(streams: Streams) -> Iterator[tuple[float, float]]:
-    """For each change of a load: how far it swings, and when the next comes, in mean intervals."""
+    """Yields for each load change its normal deviate and the time to the next change, in mean intervals."""
     random = streams.of("clients", "changes")
     while True:
         yield from zip(
--- a/glenfold_lab/model/fleet.py
+++ b/glenfold_lab/model/fleet.py
@@ -1,4 +1,4 @@
-"""The machines of the push servers and what a history draws for them, before anything moves."""
+"""The machines of the push servers and the parameters that a history draws for them before it starts."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,20 +11,24 @@
 from glenfold_lab.spec import Range, Scenario, ServerKind
 from glenfold_lab.streams import Streams
 
-CORE_WORK_US_PER_S = 1_000_000.0  # microseconds of work that a standard core does in a second
-TABLE_CAPACITY_LOSS: Range = (0.2, 0.4)  # of the capacity, lost to a full table of connections
+CORE_WORK_US_PER_S = 1_000_000.0  # Work of a standard core in a second, in microseconds.
+TABLE_CAPACITY_LOSS: Range = (
+    0.2,
+    0.4,
+)  # The share of its capacity that a server loses when its connection table is full.
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryParameters:
-    """What one history drew that clients and machines have to agree on. Loads in microseconds a second on a
-    standard core; a class or scheme goes by its place in the scenario.
-
-    life_us: mean time for which a client wants its connection. mean_load: of a connection, over all classes;
-    class_load: of one of each class. capacity: of all push servers that the history starts with, warm, also
-    in loads. group_cost: of a group at each server that holds any of it, likewise; group_size: its mean, in
-    connections. new_per_us: clients that come, at the history's mean; full_per_us: that would keep all
-    servers full. quotas: connections of each scheme within its share.
+    """Drawn parameters of one history that clients and machines have to agree on.
+
+    Loads are microseconds of work per second on a standard core. Classes and schemes go by their index in the
+    scenario. `life_us` is the mean time for which a client wants its connection. `mean_load` is the load of a
+    connection over all classes, `class_load` that of a connection of each class. `capacity` is the capacity
+    of all push servers at the start of the history when they are warm, as a load. `group_cost` is the load of
+    a group at each server that holds any of its connections, and `group_size` the mean number of connections
+    of a group. `new_per_us` is the mean rate of arriving clients, and `full_per_us` the rate that would keep
+    all servers full. `quotas` are the connections of each scheme within its share.
     """
 
     life_us: float
@@ -40,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KindParameters:
-    """One kind of server, drawn. per_core: of connections of the mean load; times in microseconds."""
+    """Drawn parameters of one kind of server.
+
+    `per_core` is the number of connections of the mean load that a core carries. Times are in microseconds.
+    """
 
     name: str
     cores: int
@@ -59,7 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One push server, as it is and not as it is listed. capacity: of all its cores, warm, in loads."""
+    """The actual properties of one push server, which the list may not show yet.
+
+    `capacity` is that of all its cores when they are warm, as a load.
+    """
 
     index: int
     number: int
@@ -73,7 +83,7 @@
 
 
 class Fleet:
-    """All push servers of a history. New ones get numbers of their own and never those of earlier ones."""
+    """All push servers of a history. A new server never gets the number of an earlier one."""
 
     def __init__(self, scenario: Scenario, streams: Streams) -> None:
         self._scenario = scenario
@@ -94,23 +104,23 @@
         self.parameters = self._draw_parameters()
 
     def add(self, kind_index: int, zone: int) -> Machine:
-        """A machine more, that no list has named yet."""
+        """Adds and returns a machine that no list names yet."""
         kind, speed = self.kinds[kind_index], next(self._speeds[kind_index])
         index = len(self.machines)
         host, number = self._new_name()
-        # A core of a kind that carries more connections than one of the first does that much more work.
+        # The capacity of a core is in proportion to the connections that it carries, against the first kind.
         capacity = kind.cores * speed * CORE_WORK_US_PER_S * kind.per_core / self.kinds[0].per_core
         cell = index // self._scenario.servers.cell_size
         self.machines.append(Machine(index, number, host, kind, kind_index, zone, cell, speed, capacity))
         return self.machines[-1]
 
     def add_drawn(self) -> Machine:
-        """One of a kind and in a zone that the shares decide."""
+        """Adds a machine whose kind and zone are drawn by their shares."""
         random = self._streams.of("servers", "new")
         return self.add(_drawn(self._shares, random), _drawn(self._zone_shares, random))
 
     def warm_per_s(self, machine: Machine) -> float:
-        """New connections a second whose usual load fills all of its cores."""
+        """Returns the new connections per second whose usual load fills all cores of the machine."""
         return machine.capacity / self.parameters.mean_load / self.parameters.life_us * SECOND_US
 
     def _new_name(self) -> tuple[str, int]:
@@ -118,12 +128,12 @@
             self._hosts += 1
             host = f"s-{self._hosts:04}"
             number = server_number(host)
-            if number not in self._numbers:  # relays would leave out the second of two that are alike
+            if number not in self._numbers:  # Relays ignore the second of two servers with the same number.
                 self._numbers.add(number)
                 return host, number
 
     def _draw_kinds(self) -> list[KindParameters]:
-        # Kinds with the same range carry the same number: it is the connections' doing, not the servers'.
+        # Kinds with the same range get the same value, which depends on the connections, not on the server.
         place = float(self._streams.of("servers", "per_core").uniform())
         return [
             self._draw_kind(number, kind, interpolate(kind.per_core, place))
@@ -164,7 +174,7 @@
         life = value(clients.life_s, self._streams.of("clients", "life")) * SECOND_US
         group_cost = mean * value(servers.group_cost, self._streams.of("servers", "group_cost"))
         group_size = value_by_ratio(clients.group_size, self._streams.of("clients", "group_size"))
-        each = mean + (group_cost / group_size if clients.groups else 0.0)  # a group is at one server
+        each = mean + (group_cost / group_size if clients.groups else 0.0)  # A group is at one server.
         return HistoryParameters(
             life_us=life,
             mean_load=mean,
@@ -177,12 +187,12 @@
             quotas=tuple(scheme.share * capacity / mean for scheme in self._scenario.schemes),
         )
 
-    def _new_per_us(self, most: float, life_us: float) -> float:
-        """`most`: connections that all servers can do."""
+    def _new_per_us(self, max_connections: float, life_us: float) -> float:
+        """Returns the rate of new clients; `max_connections` is the number that all servers can carry."""
         clients = self._scenario.clients
         load = value(clients.load, self._streams.of("clients", "load"))
         if clients.connections is None:
-            return load * most / life_us
+            return load * max_connections / life_us
         length = self._scenario.length_s * SECOND_US
         return clients.connections / (length + (life_us if clients.standing else 0.0))
 
--- a/glenfold_lab/model/front.py
+++ b/glenfold_lab/model/front.py
@@ -1,4 +1,7 @@
-"""The front: spreads clients' connections over the relays of their zone, as far as it knows which run."""
+"""The front: a load balancer that spreads client connections over the relays of their zone.
+
+It uses the relays that it knows to be running.
+"""
 
 from collections.abc import Sequence
 
@@ -6,10 +9,10 @@
 
 
 class Front:
-    """`zones`: of each relay, by its number.
+    """Chooses a relay for each connection by a hash, as real fronts do.
 
-    It spreads by a hash of the connection, as fronts do. So a client's first relay depends on nothing that
-    relays did before, and two revisions meet the same days.
+    `zones` is the zone of each relay by its number. A client's first relay depends on nothing that relays did
+    before, so two revisions are run with the same arrivals.
     """
 
     def __init__(self, zones: Sequence[int]) -> None:
@@ -32,8 +35,11 @@
             self._all.remove(relay)
 
     def relay_for(self, zone: int, key: int, turn: int, other_than: int) -> int | None:
-        """Where a connection of this zone goes, by its client's key and how often that has asked; not to
-        `other_than` (-1: none) where there is another. A zone without a relay falls to the others."""
+        """Returns the relay for a connection of this zone, or None if no relay is admitted.
+
+        `key` is the client's key and `turn` the number of its earlier requests. `other_than` (-1 for none) is
+        a relay to avoid if the zone has another one. A zone without a relay uses those of the other zones.
+        """
         relays = self._admitted.get(zone) or self._all
         if not relays:
             return None
--- a/glenfold_lab/model/kernel.py
+++ b/glenfold_lab/model/kernel.py
@@ -1,4 +1,4 @@
-"""Virtual time: events in the order of their moments, and of their making where the moments are alike."""
+"""Virtual time: runs events by time, and events of the same time in scheduling order."""
 
 import heapq
 from collections.abc import Callable
@@ -8,7 +8,10 @@
 
 
 class Kernel:
-    """`now` is in microseconds. It starts late enough that "long ago" can be told from the start."""
+    """The event queue and the virtual clock `now`, in microseconds.
+
+    The clock starts well above 0, so that 0 can stand for a time long before the start.
+    """
 
     def __init__(self, start: int = 1_000 * SECOND_US) -> None:
         self.start = start
@@ -16,16 +19,19 @@
         self._sequence = 0
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
-    def at(self, moment: int, call: Callable[..., None], *values: Any) -> None:
-        """Calls at that moment, or now if it is past. What is made first at one moment is called first."""
+    def at(self, time: int, call: Callable[..., None], *values: Any) -> None:
+        """Schedules a call at `time`, or now if that is past.
+
+        Calls of the same time run in the order in which they were scheduled.
+        """
         self._sequence += 1
-        heapq.heappush(self._events, (max(moment, self.now), self._sequence, call, values))
+        heapq.heappush(self._events, (max(time, self.now), self._sequence, call, values))
 
     def after(self, us: int, call: Callable[..., None], *values: Any) -> None:
         self.at(self.now + us, call, *values)
 
     def run(self, until: int) -> None:
-        """Up to that moment and with all that falls on it; `now` is that moment when this returns."""
+        """Runs all events up to and including the time `until`, to which it then sets `now`."""
         events, pop = self._events, heapq.heappop
         while events and events[0][0] <= until:
             self.now, _, call, values = pop(events)
--- a/glenfold_lab/model/listing/__init__.py
+++ b/glenfold_lab/model/listing/__init__.py
@@ -1,1 +1,1 @@
-"""The server list: what discovery finds out, and how and when each relay hears of it."""
+"""The server list: what discovery knows, and how and when each relay receives it."""
--- a/glenfold_lab/model/listing/feeds.py
+++ b/glenfold_lab/model/listing/feeds.py
@@ -1,8 +1,8 @@
-"""From discovery to each relay: what it finds out, gathers and sends, and what is late or lost on the way.
+"""Distribution of the server list from discovery to each relay, with changes that are late or lost.
 
-Each relay's machine has an agent that holds the list as far as it has come; whatever the agent holds counts
-as told. The relay reads a watch on it, as `glenfold.net.discovery` does: a change that it can't place ends
-the watch, and the next one begins with a whole list.
+Each relay's machine has an agent that holds the list as far as the agent has received it; the relay counts as
+notified of whatever its agent holds. The relay reads a watch on the agent as `glenfold.net.discovery` does: a
+change that does not apply ends the watch, and the next watch starts with a full list.
 """
 
 from collections.abc import Callable
@@ -24,18 +24,19 @@
 
 RETRY_US = int(RETRY_DELAY_S * SECOND_US)
 MAX_SILENCE_US = int(MAX_WATCH_SILENCE_S * SECOND_US)
-HEARTBEAT_US = 2 * SECOND_US  # an agent finds out so much later at the most that a change is missing
-AGENT_ANSWER_US = 1_000  # an agent on the same machine answers at once
+HEARTBEAT_US = 2 * SECOND_US  # An agent detects a missing change after at most this time.
+AGENT_ANSWER_US = 1_000  # The agent runs on the relay's own machine, so that no network delay is added.
 
 ListCallback = Callable[[ServerList], None]
 
 
 class Feed:
-    """One relay's agent, and its relay while that is up.
+    """The state of one relay's agent, and of its relay while that is up.
 
-    held: the version that the agent has come to. missing: versions that it should have by now, each with
-    whether it counts as told all the same. last: the version that the relay heard last. reads: whether the
-    relay has a watch that works. free_at: nothing sent now arrives before that.
+    `held` is the newest version of the agent. `missing` are the versions that the agent should have by now,
+    each with whether the relay counts as notified anyway. `last` is the version that the relay received last.
+    `is_watching` is whether the relay has a working watch. `incarnation` counts starts and ends of the relay.
+    `free_at` is the earliest time at which anything sent now arrives.
     """
 
     __slots__ = (
@@ -61,8 +62,8 @@
         self.is_watching = False
         self.incarnation = 0
         self.free_at = 0
-        self.out_of_order: list[int] = []  # changes that come after the next one
-        self.silent_since = 0  # 0: the agent hears of discovery
+        self.out_of_order: list[int] = []  # Changes that arrive after their successor.
+        self.silent_since = 0  # 0 while the agent is connected to discovery.
 
 
 class RelayLists:
@@ -96,8 +97,8 @@
         first = [Entry(machine, Told.READY, 0) for machine in fleet.machines]
         self._versions = Versions(scenario.zones.names, first)
         self._feeds = [Feed(relay, 1) for relay in range(scenario.relays.count)]
-        self._events_of: dict[int, int] = {}  # how much has happened to each server
-        self._noticed_of: dict[int, int] = {}  # and how much of it is known
+        self._events_of: dict[int, int] = {}  # Number of changes of each server.
+        self._noticed_of: dict[int, int] = {}  # Number of these that discovery has noticed.
         self._gathered: dict[int, Entry] = {}
         self._silent_until = 0
         network.on_change.append(self._zone_changed)
@@ -105,7 +106,7 @@
     # ---- discovery ----
 
     def server_changed(self, machine: Machine, state: Told, started: int, silent: bool) -> None:
-        """Something has happened to a server, of which discovery finds out later."""
+        """Registers a change of a server, which discovery notices after a delay."""
         happened = self._events_of[machine.number] = self._events_of.get(machine.number, 0) + 1
         delay = self._silent_notice_us if silent else self._notice_us
         delay = self._add_us if state is Told.READY else delay
@@ -114,7 +115,7 @@
     def _notice(self, entry: Entry, happened: int) -> None:
         number = entry.machine.number
         if happened < self._noticed_of.get(number, 0):
-            return  # it has been seen to be otherwise since
+            return  # Discovery has noticed a later change of this server.
         self._noticed_of[number] = happened
         if not self._gathered:
             self._kernel.at((self._kernel.now // self._period_us + 1) * self._period_us, self._publish)
@@ -141,7 +142,7 @@
         return self._streams.of("list", purpose).uniform(size=count)
 
     def _send(self, feed: Feed, version: int, delay: int) -> None:
-        """What is late holds up what comes behind it: it is one stream."""
+        """Sends a version to an agent. All travel in one stream, so a late one delays those behind it."""
         feed.free_at = max(feed.free_at, self._kernel.now + delay)
         self._kernel.at(feed.free_at, self._receive_change, feed, version)
 
@@ -151,12 +152,12 @@
         return self._kernel.now >= self._silent_until and not self._network.relay_cut(feed.relay)
 
     def _receive_change(self, feed: Feed, version: int) -> None:
-        """A change has come to the agent."""
+        """Handles the arrival of a change at the agent."""
         if version not in feed.missing or not self._is_connected(feed):
             return
         if (
             min(feed.missing) < version and not feed.out_of_order
-        ):  # there is a gap: it asks for the whole list
+        ):  # After a gap, the agent asks for the full list.
             return self._advance(feed, version, True)
         if not feed.out_of_order and self._happens("out_of_order", self._spec.out_of_order):
             feed.out_of_order.append(version)
@@ -176,12 +177,12 @@
                 self._advance(feed, version, False)
 
     def _find_missing(self, feed: Feed, version: int) -> None:
-        """Nothing came behind the change that was lost."""
+        """Lets the agent catch up if no later change has revealed the lost one."""
         if version in feed.missing and self._is_connected(feed):
             self._advance(feed, self._versions.last, True)
 
     def _advance(self, feed: Feed, version: int, whole: bool) -> None:
-        """The agent holds this version now, or all versions up to it."""
+        """Gives the agent this version, or with `whole` all versions up to it."""
         feed.held = max(feed.held, version)
         come = [v for v in feed.missing if v <= version] if whole else [version]
         for one in come:
@@ -197,10 +198,10 @@
         feed.incarnation += 1
         cached, feed.is_watching = feed.last, True
         self._read(feed, self._versions.whole(cached), True)
-        if not self._is_connected(feed):  # its agent can't know either, until it is told again
+        if not self._is_connected(feed):  # The agent doesn't have these either until it is connected again.
             feed.missing |= {version: False for version in range(cached + 1, feed.held + 1)}
         self._report_start(feed, cached)
-        if feed.held != cached:  # else the watch would begin with the list that it has
+        if feed.held != cached:  # Otherwise the watch would start with the cached list.
             feed.is_watching = False
             self._kernel.after(AGENT_ANSWER_US, self._watch_again, feed, feed.incarnation)
 
@@ -226,12 +227,15 @@
         feed.on_list(feed.destinations.server_list)
 
     def _watch_again(self, feed: Feed, incarnation: int) -> None:
-        """A watch begins with a whole list. One that finds its agent silent begins when that speaks again."""
+        """Starts a new watch, with a full list.
+
+        If the agent is disconnected, the watch starts when it is connected again.
+        """
         if incarnation == feed.incarnation and not feed.is_watching and self._is_connected(feed):
             feed.is_watching = True
             self._write(feed, feed.held, True)
 
-    # ---- what counts as told ----
+    # ---- what a relay counts as notified of ----
 
     def _report_entry(self, feed: Feed, entry: Entry) -> None:
         self._watcher.told(self._kernel.now, feed.relay, entry.machine.number, entry.state, entry.started)
@@ -242,12 +246,14 @@
         for entry in self._versions.changed(version):
             latest = self._versions.changed_last(entry.machine.number)
             if latest == version or latest > feed.held or latest in feed.missing:
-                self._report_entry(feed, entry)  # else what it has been told is newer
+                self._report_entry(feed, entry)  # Otherwise the relay has been notified of a newer state.
 
     def _report_start(self, feed: Feed, cached: int) -> None:
-        """The list that it starts with, then what its agent holds beyond it or has to."""
+        """Reports a starting relay's cached list, then the changes that its agent has or should have."""
         now, told, relay = self._kernel.now, self._watcher.told, feed.relay
-        for entry in self._versions.entries(cached):  # thousands, at thousands of relays
+        for entry in self._versions.entries(
+            cached
+        ):  # The loop runs thousands of times at each of thousands of relays.
             told(now, relay, entry.machine.number, entry.state, entry.started)
         for version in range(1, self._versions.last + 1):
             due = feed.missing.get(version, version <= feed.held)
@@ -263,7 +269,7 @@
     # ---- silence ----
 
     def silence(self, us: int) -> None:
-        """Discovery and all agents say nothing for so long."""
+        """Stops discovery and all agents from sending for `us` microseconds."""
         self._silent_until = max(self._silent_until, self._kernel.now + us)
         self._mark_silent()
         self._kernel.at(self._silent_until, self._resume_feeds)
@@ -284,7 +290,11 @@
                 feed.silent_since = 0
 
     def _catch_up(self, feed: Feed, silent_us: int) -> None:
-        """A watch that said nothing for long was given up and begins anew; another just goes on."""
+        """Brings an agent up to date after a silence.
+
+        The relay has abandoned a watch that was silent for too long and starts a new one; after a shorter
+        silence the watch goes on.
+        """
         feed.held = self._versions.last
         for version in sorted(feed.missing):
             self._report_change(feed, version)
--- a/glenfold_lab/model/listing/shared_destinations.py
+++ b/glenfold_lab/model/listing/shared_destinations.py
@@ -1,4 +1,4 @@
-"""The real `DestinationSet` of each relay, held once for all relays that heard the same."""
+"""The real `DestinationSet`, shared by all relays that received the same lists."""
 
 import copy
 from weakref import WeakValueDictionary
@@ -8,24 +8,26 @@
 from glenfold_lab.model.listing.versions import Document
 from linnetspread.interface import ListKind, ServerList
 
-ReceivedList = tuple[int, bool, bool]  # version, whether whole, whether cached
+ReceivedList = tuple[int, bool, bool]  # Version, whether the list is full, and whether it is cached.
 
 
 class _ForkableSet(DestinationSet):
     def fork(self) -> "_ForkableSet":
-        """One that goes its own way from here. What a set knows is replaced with each list, never changed in
-        place, but for those that have left."""
+        """Returns an independent copy.
+
+        A set replaces its contents with each list; only its departed servers are changed in place.
+        """
         other = copy.copy(self)
         other._departed = dict(self._departed)
         return other
 
 
 class SharedDestinations:
-    """What relays know that heard the same lists in the same order, and the list that they heard last.
+    """The destinations of all relays that received the same lists in the same order.
 
-    10,000 servers told to 1,000 relays would be 10 million entries to read: so the first relay that hears a
-    list reads it, and those that come to the same knowledge by the same list share what came of it. It holds
-    only for as long as somebody keeps it.
+    `server_list` is the last of these lists. 10,000 servers at 1,000 relays would be 10 million entries to
+    read, so the first relay that receives a list reads it, and relays with the same destinations and the same
+    list share the result. A result is freed when no relay holds it.
     """
 
     __slots__ = ("_set", "_next", "server_list", "__weakref__")
@@ -37,12 +39,14 @@
 
     @classmethod
     def empty(cls, names: Names) -> "SharedDestinations":
-        """What a relay knows before it has heard any list."""
+        """Returns the destinations of a relay that has received no list."""
         return cls(_ForkableSet(names), ServerList(ListKind.CACHED))
 
     def read(self, document: Document, cached: bool = False) -> "SharedDestinations":
-        """The knowledge after this list; `BadList` as the set has it. The same version must be the same
-        document."""
+        """Returns the destinations after this list, or raises `BadList` as `DestinationSet` does.
+
+        A version must always come with the same document.
+        """
         received = document["seq"], document["whole"], cached
         known = self._next.get(received)
         if known is None:
--- a/glenfold_lab/model/listing/versions.py
+++ b/glenfold_lab/model/listing/versions.py
@@ -1,4 +1,4 @@
-"""What discovery knows of the push servers, version by version, as documents in its own form."""
+"""The versions of the server list at discovery, as documents in the format of discovery."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
 Document = dict[str, Any]
 
 PORT = 3000
-MAX_CACHED_FULL_LISTS = 8  # whole lists of so many versions are kept; others are put together again
+MAX_CACHED_FULL_LISTS = 8  # Full lists of older versions are assembled again when needed.
 HEALTH_WORDS = {Told[state.name]: word for word, state in STATES.items()}
 
 
 def names_of(scenario: Scenario) -> Names:
-    """Places as relays are told them by their settings."""
+    """Returns the indices of classes, schemes, zones and kinds, as in the settings of relays."""
 
     def places(parts: tuple[Any, ...]) -> dict[str, int]:
         return {part.name: place for place, part in enumerate(parts)}
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One server as the list has it; `started` in microseconds, 0 if long ago."""
+    """A server in the list. `started` is its start in microseconds, or 0 for long ago."""
 
     machine: Machine
     state: Told
@@ -50,7 +50,7 @@
 
 
 class Versions:
-    """Version 1 is the list that the history starts with; every change makes one more."""
+    """All versions of the list. Version 1 is the list at the start; every change adds a version."""
 
     def __init__(self, zones: tuple[str, ...], first: list[Entry]) -> None:
         self._zones = zones
@@ -63,7 +63,7 @@
         return len(self._changes) - 1
 
     def add(self, entries: list[Entry]) -> int | None:
-        """A version more, of those entries that say something new; None if none does."""
+        """Adds a version with the entries that differ from the known ones; returns None if none does."""
         new = [entry for entry in entries if self._is_news(entry)]
         if not new:
             return None
@@ -83,11 +83,11 @@
         return self._document(version, False, self._changes[version])
 
     def changed_last(self, server: int) -> int:
-        """The version in which this server changed last."""
+        """Returns the version in which this server changed last."""
         return self._latest[server][0]
 
     def entries(self, version: int) -> list[Entry]:
-        """All servers that were there in that version."""
+        """Returns all servers of a version that are not removed."""
         return self._whole_of(version)[0]
 
     def whole(self, version: int) -> Document:
--- a/glenfold_lab/model/machine_faults.py
+++ b/glenfold_lab/model/machine_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong with push servers and their list, as a scenario says; whom it strikes is drawn."""
+"""Faults of push servers and their list from a scenario; the servers that they strike are drawn."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeVar
@@ -18,14 +18,17 @@
 
 T = TypeVar("T")
 
-# Where a fault does not say it: the part of the servers that it strikes, the cores that a neighbour takes,
-# how many times smaller a fleet becomes, and how long a flapping server is away and back.
+# Defaults of a fault: the share of the servers that it strikes, the share of cores that a neighbour takes,
+# the factor by which a fleet shrinks, and the period of a flapping server in seconds.
 DEFAULT_PART, DEFAULT_CORE_SHARE, DEFAULT_SHRINK_FACTOR, DEFAULT_FLAP_S = 0.25, 0.5, 2.0, 4.0
 
 
 class DrawnFault:
-    """A fault of the scenario, drawn: times in microseconds, `at` from the start of the history. Its place in
-    the scenario decides its generators, so that one fault more shifts no other."""
+    """A fault of the scenario with drawn values.
+
+    Times are in microseconds, and `at` counts from the start of the history. The random generators depend on
+    the index of the fault in the scenario, so that an additional fault changes no other one.
+    """
 
     def __init__(self, fault: Fault, index: int, streams: Streams) -> None:
         self.fault = fault
@@ -54,7 +57,7 @@
 
 
 class MachineFaults:
-    """Each kind of fault is one method, called at its moment; it tells until when it lasts and of whom."""
+    """Schedules the faults of machines. Each kind is a method that returns what it struck and how long."""
 
     def __init__(
         self,
@@ -105,7 +108,7 @@
     def _record(
         self, due: DrawnFault, servers: Sequence[Server], us: int = 0, relays: tuple[int, ...] = ()
     ) -> Happened:
-        """us: for how long; 0 is for good."""
+        """Describes a fault; `us` is its length, or 0 if it is permanent."""
         now = self._kernel.now - self._kernel.start
         numbers = tuple(server.machine.number for server in servers)
         return Happened(due.fault.kind, now, now + us if us else None, numbers, relays)
@@ -122,7 +125,7 @@
     def _alternate_neighbour(
         self, server: Server, share: float, every: int, until: int, other_share: float = 0.0
     ) -> None:
-        """On for a while and off for a while."""
+        """Applies `share` now and alternates with `other_share` every `every` microseconds."""
         now = self._kernel.now
         self._lifecycle.take_cores(server, share if now < until else 0.0)
         if now < until:
--- a/glenfold_lab/model/machinery.py
+++ b/glenfold_lab/model/machinery.py
@@ -1,4 +1,4 @@
-"""The machines of a world, wired: network, push servers, the server list, and the service that they give."""
+"""Builds and connects the machines of a history: network, push servers, server list and service counts."""
 
 from glenfold_lab.model.fleet import Fleet
 from glenfold_lab.model.kernel import Kernel
@@ -15,11 +15,12 @@
 
 
 class Machinery:
-    """What relays and clients meet.
+    """The machines that relays and clients use.
 
-    terms: what the history drew that both sides have to agree on. servers, listing and service are as
-    `wire.Machines`, `wire.Listing` and `wire.Wanted` say. lives: how servers start and end. happened: the
-    faults of machines and what came of them, as they come, by microseconds from the start of the history.
+    `parameters` are the drawn values that clients and machines have to agree on. `servers`, `listing` and
+    `service` implement `wire.Machines`, `wire.Listing` and `wire.DemandCounter`. `lifecycle` starts and ends
+    servers. `happened` collects the faults of machines and their consequences in order, with times in
+    microseconds from the start of the history.
     """
 
     def __init__(self, scenario: Scenario, streams: Streams, kernel: Kernel, watcher: Watcher) -> None:
@@ -46,7 +47,7 @@
         )
 
     def start(self) -> None:
-        """Tells of the push servers that run and sets the clock going: before any call or `resume`."""
+        """Starts the push servers and the periodic tick. Must run before any call or `resume`."""
         self.lifecycle.start_all()
         self._faults.start()
         self._kernel.after(TICK_US, self._tick)
--- a/glenfold_lab/model/network.py
+++ b/glenfold_lab/model/network.py
@@ -1,4 +1,4 @@
-"""Zones, the delays between machines, and zones that are cut off."""
+"""Zones, network delays between machines, and network partitions of zones."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -11,11 +11,13 @@
 
 
 class Network:
-    """One-way delays in microseconds, drawn once a history for each pair of zones, each message's spread by
-    the jitter. Relays stand in the zones by turns.
+    """Network delays between zones, and zones that are cut off.
 
-    Cut off means: whatever is sent over the edge is lost and nothing is signalled. Of a zone it is the
-    servers that are cut off, or all its machines; those still reach each other.
+    One-way delays are microseconds, drawn once per history for each pair of zones; each message's delay
+    varies by the jitter. Relays are assigned to the zones in turn.
+
+    Messages across the border of a zone that is cut off are lost without any signal. Either the servers of
+    the zone or all its machines are cut off; these still reach each other.
     """
 
     def __init__(self, zones: Zones, streams: Streams) -> None:
@@ -36,29 +38,29 @@
         return relay % len(self.names)
 
     def round_trip_us(self, zone: int, server_zone: int) -> float:
-        """From a client through a relay of its zone to a push server and back, without jitter."""
+        """Returns the round trip from a client through a relay of its zone to a server, without jitter."""
         return 2 * (self._client_us + self._one_way[zone][server_zone])
 
     def delay_us(self, zone: int, other: int) -> int:
-        """Of one message between a relay and a push server."""
+        """Draws the delay of one message between a relay and a push server."""
         return math.ceil(self._one_way[zone][other] * next(self._server_spread))
 
     def client_us(self) -> int:
-        """Of one message between a client and a relay of its zone."""
+        """Draws the delay of one message between a client and a relay of its zone."""
         return math.ceil(self._client_us * next(self._client_spread))
 
     def passes(self, zone: int, server_zone: int) -> bool:
-        """Whether messages pass between the relays of a zone and the push servers of another."""
+        """Returns whether messages pass between the relays of `zone` and the servers of `server_zone`."""
         if zone == server_zone:
             return self._all_cut[zone] or not self._servers_cut[zone]
         return not (self._servers_cut[server_zone] or self._all_cut[zone])
 
     def relay_cut(self, relay: int) -> bool:
-        """Whether clients (and discovery) can't reach this relay's machine."""
+        """Returns whether the machine of this relay is cut off from clients and discovery."""
         return self._all_cut[self.zone_of(relay)]
 
     def cut(self, zone: int, relays: bool) -> None:
-        """Cuts off the push servers of a zone; with `relays`, all its machines."""
+        """Cuts off the push servers of a zone, or all its machines if `relays` is true."""
         self._servers_cut[zone], self._all_cut[zone] = True, relays
         self._notify(zone)
 
--- a/glenfold_lab/model/plan.py
+++ b/glenfold_lab/model/plan.py
@@ -1,7 +1,8 @@
-"""What clients will do: millions of moments ahead, at 8 bytes each.
+"""A compact store of millions of planned client actions, at 8 bytes each.
 
-In the kernel's queue each would be an event of 200 bytes, and every push would wade through all of them. Here
-moments lie in an array for each hundredth of a second, and reach the kernel when theirs begins.
+As an event of the kernel each action would take 200 bytes and slow down every push to the queue. The plan
+keeps one array per step of about a hundredth of a second, and hands its actions to the kernel when the step
+begins.
 """
 
 from array import array
@@ -9,7 +10,7 @@
 
 from glenfold_lab.model.kernel import Kernel
 
-STEP_BITS = 13  # moments of 8,192 microseconds lie together
+STEP_BITS = 13  # A step spans 8,192 microseconds.
 CLIENT_BITS = 26
 KIND_BITS = 2
 CLIENT_MASK = (1 << CLIENT_BITS) - 1
@@ -20,8 +21,10 @@
 
 
 class Plan:
-    """`kinds`: by the number of a kind, what is called when such a moment comes, with the client and the
-    moment. What lies beyond `until` never comes."""
+    """Planned actions of clients up to the time `until`; later ones are dropped.
+
+    `kinds` lists the functions to call by the number of a kind, with the client and the planned time.
+    """
 
     def __init__(self, kernel: Kernel, until: int, kinds: Sequence[PlannedCall]) -> None:
         self._kernel = kernel
@@ -29,7 +32,7 @@
         self._until = until
         self._kinds = kinds
         self._steps: dict[int, array[int]] = {}
-        self._open = -1  # the step under way: it is in the kernel's hands
+        self._open = -1  # The current step, whose actions are in the kernel's queue.
 
     def add(self, moment: int, client: int, kind: int) -> None:
         if moment > self._until:
--- a/glenfold_lab/model/population.py
+++ b/glenfold_lab/model/population.py
@@ -1,4 +1,4 @@
-"""Who the clients of a history are, and when each comes: drawn ahead, whatever the relays decide."""
+"""Draws the clients of a history and their arrival times, independently of what relays decide."""
 
 import math
 from collections.abc import Iterator
@@ -19,16 +19,19 @@
 Keys = NDArray[np.uint64]
 
 STANDING, ARRIVING = 0, 1
-SIZE_BIASED = 1.0  # a connection met at a random moment is longer than usual, in proportion to its length
+SIZE_BIASED = (
+    1.0  # A connection observed at a random time is longer than average, in proportion to its length.
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Drawn:
-    """Some clients, in the order in which they come; all columns are as long.
+    """Drawn clients in order of arrival, as columns of equal length.
 
-    at, until: microseconds, when each first asks and when it no longer wants its connection. request_class,
-    scheme, zone: places in the scenario. group: 0 for none. load: its usual one, microseconds a second.
-    pace, rejoin: its own place, 0 to 1, within the spread of backing off and of coming again.
+    `at` and `until` are the times in microseconds of the first request and of the end of the client's demand.
+    `request_class`, `scheme` and `zone` are indices in the scenario. `group` is 0 for none. `load` is the
+    usual load in microseconds per second. `pace` and `rejoin` are the client's positions (0 to 1) in the
+    ranges of the backoff and of the reconnection delay.
     """
 
     at: Integers
@@ -45,10 +48,10 @@
 
 
 class Population:
-    """Moments are of the kernel's clock; `start` is that of the history's start.
+    """The clients of a history. Times are those of the kernel's clock; the history starts at `start`.
 
-    The number of clients that want a connection stays about the same where `shape` is steady: those that
-    stand at the start and those that come follow from one rate and one spread of lives.
+    The number of clients that want a connection stays about the same if `shape` is steady: the connections at
+    the start and the arrivals follow from one arrival rate and one distribution of lifetimes.
     """
 
     def __init__(
@@ -87,7 +90,7 @@
 
     @property
     def mean_connections(self) -> float:
-        """How many want a connection at once."""
+        """The mean number of clients that want a connection at the same time."""
         return self._rate * self._parameters.life_us
 
     def _skewed_zones(self) -> Floats:
@@ -107,7 +110,7 @@
     # ---- the clients ----
 
     def standing(self) -> Drawn:
-        """Those whose connections stood before the history."""
+        """Draws the clients whose connections were established before the history."""
         count = round(self.mean_connections) if self._clients.standing else 0
         at = np.full(count, self._start)
         random = self._streams.of("clients", "lives", STANDING)
@@ -115,7 +118,7 @@
         return self._drawn(at, left, STANDING)
 
     def arrivals(self, step_us: int) -> Iterator[Drawn]:
-        """Those that come, a step's worth at a time."""
+        """Yields the arriving clients in steps of `step_us`."""
         arrivals = self._streams.of("clients", "arrivals")
         lives = self._streams.of("clients", "lives", ARRIVING)
         for begin in range(0, self._length, step_us):
@@ -126,7 +129,7 @@
             yield self._drawn(at, self._lives(lives, count, 0.0), ARRIVING)
 
     def _relative_rate(self, place: float) -> float:
-        """The rate at a place of the history (0 to 1), against its mean."""
+        """Returns the arrival rate, relative to its mean, at a position (0 to 1) within the history."""
         if self._clients.shape == "ramp":
             return 1 + self._swing * (2 * place - 1)
         return 1 + self._swing * math.sin(2 * math.pi * (place + self._swing_at))
@@ -161,7 +164,7 @@
 
 
 def _shares(weights: list[float] | NDArray[np.floating[Any]]) -> Floats:
-    """Sums of all shares up to each, the last being 1."""
+    """Returns the cumulative shares; the last one is 1."""
     sums = np.cumsum(weights)
     return np.asarray(sums / sums[-1])
 
@@ -171,5 +174,5 @@
 
 
 def _draw_keys(random: np.random.Generator, count: int) -> Keys:
-    """Never 0, which means that there is none."""
+    """Draws keys. 0 is excluded, as it stands for no key."""
     return random.integers(1, 1 << 64, size=count, dtype=np.uint64)
--- a/glenfold_lab/model/relay_hosts.py
+++ b/glenfold_lab/model/relay_hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of the relays: processes crash, restart, leave and stall, and the front notices with a delay."""
+"""The hosts of the relays: processes crash, restart, shut down and stall; the front notices after a delay."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -15,16 +15,20 @@
 from glenfold_lab.streams import Streams
 from linnetspread.choice import SEEDS, mix
 
-FRONT_REMOVAL_S = (0.2, 0.4)  # after SIGTERM new connections keep arriving for so long
-KILL_DELAY_S = 0.3  # SIGKILL, after the moment by which a relay leaves by itself
+FRONT_REMOVAL_S = (0.2, 0.4)  # New connections keep arriving for this time after SIGTERM.
+KILL_DELAY_S = 0.3  # SIGKILL follows this time after the relay's own deadline for its exit.
 
-MakeRelay = Callable[[int, int], Relay]  # its number, and the seed of this life
+MakeRelay = Callable[[int, int], Relay]  # Takes the relay's number and the seed of this process.
 
 
 @dataclass(slots=True, eq=False)
 class RelayHost:
-    """The host of one relay. relay: None while its process does not run. lives: how often the process has
-    started. leaving: the process was sent SIGTERM. lost: clients that reconnect when the front notices."""
+    """The host of one relay.
+
+    `relay` is None while its process does not run. `lives` counts the starts of the process. `leaving` is
+    whether the process was sent SIGTERM. `lost_clients` are those whose packets reach a relay again when the
+    front notices the end of the process.
+    """
 
     relay: Relay | None = None
     lives: int = 0
@@ -55,7 +59,7 @@
         self._seeds = [streams.of("relays", "seed", number) for number in range(len(self._hosts))]
         self._waits = streams.of("relays", "waits")
         self._reshuffle = value(scenario.front.reshuffle, streams.of("front", "reshuffle"))
-        self._changes = 0  # of the set of relays that the front knows
+        self._changes = 0  # Changes of the set of relays that the front knows.
         network.on_change.append(self._zone_changed)
 
     def __len__(self) -> int:
@@ -72,7 +76,7 @@
             self._boot(number, 0)
 
     def _boot(self, number: int, lives: int) -> None:
-        """Its process starts with the list that it had last, and answers PING at once."""
+        """Starts the process with its cached list; the process answers PING at once."""
         host = self._hosts[number]
         if host.lives != lives:
             return
@@ -80,7 +84,9 @@
         relay = host.relay = self._make(number, int(self._seeds[number].integers(1 << 63)))
         self._listing.relay_up(number, relay.receive_list)
         self._watcher.relay_up(self._kernel.now, number)
-        if self._front.admits(number):  # back before the front had noticed: its packets go there as before
+        if self._front.admits(
+            number
+        ):  # The front has not noticed the restart, so packets go to this relay as before.
             self._reach_relays(host)
         elif self.reachable(number):
             self._admit(number)
@@ -88,12 +94,12 @@
     # ---- how processes end ----
 
     def crash(self, number: int) -> None:
-        """Killed at once; starts again after a while."""
+        """Kills the process at once; it restarts after a delay."""
         self._hosts[number].leaving = False
         self._end(number, self._hosts[number].lives)
 
     def restart(self, number: int) -> None:
-        """SIGTERM: the front is told, and the process leaves when it has finished; then it starts again."""
+        """Sends SIGTERM: the front is notified, and the process shuts down and restarts."""
         host = self._hosts[number]
         if host.relay is None or host.leaving:
             return
@@ -122,14 +128,14 @@
             if self.clients.relay_lost(exchange, host.leaving)
         ]
         self._kernel.after(self._draw_us(self._scenario.relays.restart_s), self._boot, number, lives)
-        if host.leaving:  # the front knows
+        if host.leaving:  # The front has been notified.
             self._front.remove(number)
             self._reach_relays(host)
         else:
             self._kernel.after(self._notice_us(), self._notice_end, number, lives)
 
     def stall(self, number: int, until: int) -> None:
-        """Its process stops, and then goes on; its machine still takes connections."""
+        """Suspends the process until then; its machine still accepts connections."""
         relay = self._hosts[number].relay
         if relay is not None:
             relay.stall(until)
@@ -140,10 +146,10 @@
     def _draw_us(self, wanted: Range) -> int:
         return round(value(wanted, self._waits) * SECOND_US)
 
-    # ---- what the front hears ----
+    # ---- what the front is notified of ----
 
     def _notice_end(self, number: int, lives: int) -> None:
-        """That the process of this life is dead, unless another has started meanwhile."""
+        """Handles the front noticing the end of a process, unless a new one has started since."""
         host = self._hosts[number]
         if host.lives != lives or host.relay is not None:
             return
@@ -161,7 +167,7 @@
         self._reach_relays(self._hosts[number])
 
     def _set_changed(self, number: int) -> None:
-        """Part of the connections of the zone's other relays land elsewhere, where packets pass through."""
+        """In pass-through mode, moves part of the connections of the zone's other relays to other relays."""
         self._changes += 1
         if not self._scenario.relays.pass_through or self._kernel.now == self._kernel.start:
             return
@@ -186,7 +192,7 @@
         return self._hosts[number].relay is not None and not self._hosts[number].leaving
 
     def _cut_noticed(self, number: int) -> None:
-        """Its process runs on, but its clients' packets go elsewhere."""
+        """Handles the front noticing a cut-off relay, which runs on while its packets go elsewhere."""
         host = self._hosts[number]
         if self.reachable(number) or not self._front.admits(number):
             return
--- a/glenfold_lab/model/relay_settings.py
+++ b/glenfold_lab/model/relay_settings.py
@@ -1,4 +1,4 @@
-"""What the platform tells a relay, as its configuration would say it: its settings, its limits, its speed."""
+"""The configuration of a modelled relay: settings of its decisions, limits and speed."""
 
 import math
 from dataclasses import dataclass, fields
@@ -11,13 +11,16 @@
 from glenfold_lab.streams import Streams
 from linnetspread import interface
 
-UNLIMITED_SOCKETS = 1 << 30  # sockets
+UNLIMITED_SOCKETS = 1 << 30
 
 T = TypeVar("T")
 
 
 def with_known_fields(kind: type[T], **values: Any) -> T:
-    """Another revision's decisions may lack some of these settings: it is told what it knows."""
+    """Creates a `kind` from those values that it has fields for.
+
+    The decision package of another revision may lack some of the settings.
+    """
     known = {field.name for field in fields(kind)}  # type: ignore[arg-type]
     return kind(**{name: value for name, value in values.items() if name in known})
 
@@ -25,7 +28,10 @@
 def settings_of(
     scenario: Scenario, parameters: HistoryParameters, slot: int, zone: int
 ) -> interface.Settings:
-    """`tells_delay` stays off: no line of the protocol says what a message takes."""
+    """Returns the settings of one relay.
+
+    `tells_delay` stays off, as no line of the protocol reports the delay of a message.
+    """
     rules, park_s = scenario.rules, scenario.servers.park_s
     return with_known_fields(
         interface.Settings,
@@ -58,7 +64,7 @@
 
 
 def _class(kind: RequestClass) -> interface.RequestClass:
-    """Asking for a connection again harms nobody."""
+    """Returns the settings of a class. Its requests are repeatable: asking twice is harmless."""
     return interface.RequestClass(
         aim_us=_us(kind.aim_ms),
         deadline_us=_us(kind.deadline_ms),
@@ -69,7 +75,10 @@
 
 
 def _tenants(scenario: Scenario, parameters: HistoryParameters) -> tuple[interface.Tenant, ...]:
-    """A tenant within its share asks for as many connections a second as end of those it may have."""
+    """Returns a tenant per scheme.
+
+    Its request rate is that at which the connections of its quota end and are replaced.
+    """
     return tuple(
         interface.Tenant(scheme.share, quota / parameters.life_us * 1e6, quota)
         for scheme, quota in zip(scenario.schemes, parameters.quotas, strict=True)
@@ -78,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """What a relay's steps take of its one core, in microseconds, and its room for connections."""
+    """The CPU cost of each step of a relay on its one core, in microseconds, and its connection limits."""
 
     accept: int
     call: int
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -1,8 +1,8 @@
-"""Relays in virtual time: the real decisions and the real states of requests on one modelled core.
+"""Relays in virtual time: the real decisions and request states on one modelled core.
 
-A `Relay` is one life of a relay's process. What `glenfold.net.inbound`, `passing` and `outbound` do with
-sockets, it does with `Call`s: the effects of a `RequestState` are carried out in their order, and events
-reach the decisions one by one. Each step of work takes its time on the core; what comes meanwhile waits.
+A `Relay` is one process of a relay. It does with `Call`s what `glenfold.net.inbound`, `passing` and
+`outbound` do with sockets: it executes the effects of a `RequestState` in order and submits events to the
+decisions one by one. Each step takes its CPU cost on the core, and later steps wait for it.
 """
 
 import heapq
@@ -23,7 +23,7 @@
 from linnetspread import interface
 
 SERVER_SILENCE_US = round(SERVER_SILENCE_TIMEOUT_S * SECOND_US)
-LINE_DELAY_REPORT_US = SECOND_US  # a line that waits here for longer is worth a word
+LINE_DELAY_REPORT_US = SECOND_US  # A line that a relay delays for longer than this is reported.
 CALL_UP = request_state.CallUp(b"")
 CALL_ENDED = {
     Over.BUSY: request_state.CallEnded(interface.Outcome.FULL),
@@ -39,10 +39,9 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request from the moment at which the relay's machine has it to its end.
+    """One request, from its arrival at the relay's machine to its end.
 
-    client, scheme, group: the client's own, as `Call` has them. stands_at: the server of a connection that
-    stood before the history.
+    `client`, `scheme` and `group` are those of the client, as in `Call`.
     """
 
     relay: "Relay"
@@ -55,29 +54,29 @@
 
 
 class ClientSide(Protocol):
-    """The clients' ends of a relay's connections. All is told as it leaves the relay."""
+    """The clients' ends of a relay's connections. Methods are called as the information leaves the relay."""
 
     def load(self, client: int) -> float:
-        """Its load now, in microseconds a second."""
+        """Returns the client's current load, in microseconds of work per second."""
 
     def next_line(self, client: int) -> int:
-        """When it next sends a line on its standing connection."""
+        """Returns when the client sends its next line on its standing connection."""
 
     def is_reachable(self, exchange: Exchange) -> bool:
-        """Whether its client is still there, and packets pass between them."""
+        """Returns whether the client is still connected and packets pass between it and the relay."""
 
     def answered_up(self, exchange: Exchange) -> None: ...
 
     def refused_or_failed(self, exchange: Exchange, wait_us: int) -> None:
-        """BUSY with a wait, or (0) without one or failed."""
+        """Handles BUSY with a wait, or with `wait_us` 0 BUSY without a wait or a failure."""
 
     def connection_ended(self, exchange: Exchange, how: End) -> None:
-        """Its standing connection ended."""
+        """Handles the end of the client's standing connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayContext:
-    """What all relays of a history share."""
+    """Objects that all relays of a history share."""
 
     kernel: Kernel
     machines: Machines
@@ -92,7 +91,7 @@
         self.settings = settings
         self.alive = True
         self.dispatch = Dispatch(settings, seed, lambda text: None)
-        self.exchanges: dict[int, Exchange] = {}  # those accepted and not over, by request
+        self.exchanges: dict[int, Exchange] = {}  # Accepted and unfinished exchanges, by request.
         self._kernel = context.kernel
         self._machines = context.machines
         self._clients = context.clients
@@ -102,16 +101,18 @@
         self._is_submitting = False
         self._steps: deque[tuple[int, Callable[..., None], tuple[Any, ...]]] = deque()
         self._busy_until = self._stalled_until = 0
-        self._backlog: dict[int, Exchange] = {}  # accepted by its machine alone
+        self._backlog: dict[
+            int, Exchange
+        ] = {}  # Connections that the machine accepted and the process did not.
         self._last_arrival = 0
-        self._due: list[tuple[int, int, Exchange, Call | None]] = []  # when what must have its answer
+        self._due: list[tuple[int, int, Exchange, Call | None]] = []  # Deadlines of requests and calls.
         self._sequence = 0
         self._wakes_at: int | None = None
 
-    # ---- the core: one step after the other ----
+    # ---- steps on the core ----
 
     def _run_step(self, cost: int, call: Callable[..., None], *values: Any) -> None:
-        """At once where nothing else is under way: then the queue costs nothing."""
+        """Runs a step at once if the core is idle, which saves the queue, or queues it."""
         now = self._kernel.now
         if self._busy_until <= now and not self._steps:
             self._busy_until = now + cost
@@ -124,7 +125,7 @@
     def _next_step(self) -> None:
         if not self.alive:
             return
-        if self._busy_until <= self._kernel.now:  # else it was stalled meanwhile
+        if self._busy_until <= self._kernel.now:  # Otherwise the relay has been stalled since.
             cost, call, values = self._steps[0]
             self._busy_until = self._kernel.now + cost
             call(*values)
@@ -133,7 +134,7 @@
             self._kernel.at(self._busy_until, self._next_step)
 
     def stall(self, until: int) -> None:
-        """The process stops, and goes on then; what comes meanwhile its machine accepts."""
+        """Suspends the process until then; its machine still accepts connections."""
         self._stalled_until = max(self._stalled_until, until)
         self._busy_until = max(self._busy_until, until)
 
@@ -154,8 +155,10 @@
         ]
 
     def offer(self, exchange: Exchange, deadline: int) -> bool:
-        """A client's connection with its first line; False when its machine has too many not yet accepted.
-        `deadline` is the client's own."""
+        """Takes a client's connection with its first line; returns False if the accept backlog is full.
+
+        `deadline` is that of the client.
+        """
         if len(self._backlog) >= LISTEN_BACKLOG:
             return False
         event = exchange.event
@@ -170,7 +173,7 @@
         if len(self.exchanges) >= self._costs.room.taken:
             self._answer(exchange, Final.BUSY, self._max_retry_wait_us())
             return
-        # As the real relay counts: from when it reads the line, be that late.
+        # The real relay also counts from the time at which it reads the line, however late.
         exchange.state.deadline_us = self._kernel.now + exchange.event.expires_in_us
         self.exchanges[exchange.event.request] = exchange
         self._add_deadline(exchange.state.deadline_us, exchange, None)
@@ -180,12 +183,13 @@
         return self.settings.max_retry_after_us if self.settings.may_retry_after else 0
 
     def stand(self, exchange: Exchange) -> bool:
-        """A connection that stood before the relay did; False if it has no room for it, or no server that the
-        decisions name.
+        """Adds a connection that stood before the history.
 
-        It comes as a real relay's does, as one that already stands somewhere. The decisions are asked where
-        they would have placed it, as a fleet that has run for long is one that these decisions have filled:
-        each sees what it has placed before, so a full server has sent its share elsewhere."""
+        Returns False if the relay has no room for it or the decisions name no server. The connection enters
+        as an existing one, as in a real relay. The decisions choose its server, since a fleet that has run
+        for long has been filled by these decisions: each choice sees the earlier ones, so the share of a full
+        server has gone to other servers.
+        """
         if len(self.exchanges) >= self._costs.room.taken:
             return False
         now, event = self._kernel.now, exchange.event
@@ -209,7 +213,7 @@
     def _resume(self, exchange: Exchange, call: Call) -> None:
         now = self._kernel.now
         self.exchanges[exchange.event.request] = exchange
-        # Where packets pass through it comes as one that goes on: its time is no sign of what set-ups take.
+        # In pass-through mode the connection is mid-flow, so that its time is not taken for a set-up time.
         event = replace(exchange.event, mid_flow=self.settings.pass_through)
         self._submit(interface.Existing(event, call.server))
         exchange.state.resume(call.server, now)
@@ -220,7 +224,7 @@
         self._report_load(exchange, call.load)
 
     def client_left(self, exchange: Exchange) -> None:
-        """It closed its side, be it answered by now or not."""
+        """Handles that the client closed its side, before or after the answer."""
         if self.alive:
             self._run_step(self._costs.notice, self._client_left, exchange)
 
@@ -232,7 +236,7 @@
             self._on(exchange, CLIENT_DISCONNECTED)
 
     def move_to_other_relay(self, exchange: Exchange) -> None:
-        """The packets of a standing connection reach another relay from now on."""
+        """Handles that the packets of a standing connection reach another relay from now on."""
         if exchange.call is not None:
             self._machines.park(exchange.call)
             exchange.call = None
@@ -240,11 +244,11 @@
             self._run_step(self._costs.notice, self._on, exchange, CANCELLED)
 
     def load_changed(self, exchange: Exchange, load: float) -> None:
-        """Its server says so among its lines."""
+        """Handles a new load, which the server reports among its lines."""
         self._run_step(self._costs.notice, self._line_passed, exchange, load, self._kernel.now)
 
     def _line_passed(self, exchange: Exchange, load: float, since: int) -> None:
-        # A process that was stopped is not to blame.
+        # Time during which the process was suspended does not count.
         late = self._kernel.now - max(since, self._stalled_until)
         if late > LINE_DELAY_REPORT_US:
             self._watcher.held_back(self._kernel.now, exchange.event.request, late)
@@ -266,7 +270,7 @@
             return
         if over is Over.UP:
             self._on(exchange, CALL_UP)
-            self._report_load(exchange, call.load)  # right behind the receipt
+            self._report_load(exchange, call.load)  # The load follows the receipt directly.
         else:
             exchange.call = None
             self._on(exchange, CALL_ENDED[over])
@@ -282,7 +286,7 @@
             self._end(exchange, how, CANCELLED if how is End.MOVED else BROKEN)
 
     def _caller(self, call: Call) -> Exchange | None:
-        """Whose call it is; None once it has been closed."""
+        """Returns the exchange of a call, or None if the call has been closed."""
         exchange = self.exchanges.get(call.request)
         return exchange if exchange is not None and exchange.call is call else None
 
@@ -292,7 +296,7 @@
             self._kernel.at(self._clients.next_line(exchange.client), self._await_line_answer, call)
 
     def _await_line_answer(self, call: Call) -> None:
-        """The client has sent a line that may go unanswered."""
+        """Starts the wait for an answer to a line that the client has sent."""
         exchange = self._caller(call)
         if exchange is None or not self._clients.is_reachable(exchange):
             return
@@ -305,14 +309,14 @@
         if exchange is None:
             return
         if takes is None and self._machines.answer_us(call) is not None:
-            self.fell_silent(call)  # it is back, and has answered after all
+            self.fell_silent(call)  # The server is back and has answered.
         else:
             self._run_step(self._costs.notice, self._move, exchange, BROKEN)
 
     # ---- decisions and states ----
 
     def _submit(self, event: interface.Event) -> None:
-        """One after the other, as through the channel to the real task."""
+        """Submits events to the decisions one by one, as the channel to the real task does."""
         self._events.append(event)
         if self._is_submitting:
             return
@@ -352,7 +356,7 @@
             self.exchanges.pop(exchange.event.request, None)
 
     def _answer(self, exchange: Exchange, final: Final, wait_us: int) -> None:
-        number, wait = exchange.event.request, wait_us // 1000 * 1000  # the line has milliseconds
+        number, wait = exchange.event.request, wait_us // 1000 * 1000  # The protocol line holds milliseconds.
         if final is Final.UP:
             self._watcher.answered(self._kernel.now, number, final, exchange.state.server, 0)
             self._clients.answered_up(exchange)
@@ -452,8 +456,10 @@
     # ---- its end ----
 
     def terminate(self) -> list[Exchange]:
-        """Its process ends: its connections are reset, or wait at their servers where packets pass through.
-        Returns what it held, with what its machine had accepted for it."""
+        """Ends the process and returns its exchanges, including those that only its machine had accepted.
+
+        Its connections are reset, or parked at their servers in pass-through mode.
+        """
         self.alive = False
         held = [*self.exchanges.values(), *self._backlog.values()]
         for exchange in held:
@@ -469,12 +475,14 @@
         self._due.clear()
         return held
 
-    def leave(self, over: Callable[[], None]) -> int:
-        """SIGTERM: every request taken gets its answer, every standing connection's client is told to move;
-        `over` is called when the process exits, which is to be by the moment that is returned."""
+    def leave(self, on_exit: Callable[[], None]) -> int:
+        """Handles SIGTERM: answers all requests and sends MOVE to the clients of all standing connections.
+
+        `on_exit` is called when the process exits. Returns the deadline for this exit.
+        """
         leaving = ShutdownSchedule(self._kernel.now / SECOND_US, self.settings)
         begin = leaving.moves_start_at(len(self.standing))
-        self._kernel.at(round(begin * SECOND_US), self._leave, leaving, set(), [], over)
+        self._kernel.at(round(begin * SECOND_US), self._leave, leaving, set(), [], on_exit)
         return round(leaving.exit_at * SECOND_US)
 
     def _leave(
@@ -482,12 +490,12 @@
         leaving: ShutdownSchedule,
         notified: set[int],
         remaining: list[Exchange],
-        over: Callable[[], None],
+        on_exit: Callable[[], None],
     ) -> None:
         if not self.alive:
             return
         if self._stalled_until > self._kernel.now:
-            self._kernel.at(self._stalled_until, self._leave, leaving, notified, remaining, over)
+            self._kernel.at(self._stalled_until, self._leave, leaving, notified, remaining, on_exit)
             return
         now = self._kernel.now / SECOND_US
         while remaining and remaining[-1].state.phase is not request_state.Phase.STANDING:
@@ -501,11 +509,11 @@
             remaining = move_order(worths, leaving.is_short_of_time)[::-1]
         arriving = now < leaving.arrivals_end_at(self._last_arrival / SECOND_US)
         if now >= leaving.exit_at or not (remaining or arriving or self.exchanges or self._backlog):
-            over()
+            on_exit()
             return
         if arriving:
             self._kernel.after(
-                round(ANSWER_POLL_S * SECOND_US), self._leave, leaving, notified, remaining, over
+                round(ANSWER_POLL_S * SECOND_US), self._leave, leaving, notified, remaining, on_exit
             )
             return
         step = leaving.step(now, len(notified) * self._costs.notice / SECOND_US, len(remaining))
@@ -518,5 +526,5 @@
             leaving,
             notified,
             remaining,
-            over,
+            on_exit,
         )
--- a/glenfold_lab/model/servers/__init__.py
+++ b/glenfold_lab/model/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Push servers: what stands there, the work that piles up, and how they live and end."""
+"""Push servers: standing connections, backlog of work, and lifecycle."""
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -1,4 +1,4 @@
-"""Push servers as relays meet them: attempts, standing connections, and their ends."""
+"""Push servers as relays see them: attempts, standing connections and their ends."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -21,14 +21,14 @@
 from glenfold_lab.streams import Streams
 
 TICK_US = 250_000
-SET_UP_SIGMA = 0.9  # of the logarithm of a set-up's work
-SET_UP_SPREAD = 0.1  # of a set-up's own time, on the mean
+SET_UP_SIGMA = 0.9  # Standard deviation of the logarithm of a set-up's work.
+SET_UP_SPREAD = 0.1  # Mean random delay of a set-up, as a share of its own time.
 SILENT_US = SERVER_SILENCE_TIMEOUT_S * SECOND_US
-SHED_TARGET = 0.95  # of its capacity: what a server that sheds connections comes down to
+SHED_TARGET = 0.95  # A server sheds connections down to this share of its capacity.
 
 
 class PushServers:
-    """Implements `wire.Machines`. A server goes by its number outside and by its index in tables."""
+    """Implements `wire.Machines`. Servers go by their number, and by their index in tables."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
             self.add(machine)
 
     def add(self, machine: Machine) -> Server:
-        """A machine whose process does not run yet."""
+        """Adds a machine whose process does not run yet."""
         parameters = self.fleet.parameters
         server = Server(machine, parameters.mean_load, self.fleet.table_tax, parameters.group_cost)
         self.all.append(server)
@@ -110,7 +110,7 @@
             self._set_up(call, server)
 
     def _is_overloaded(self, server: Server) -> bool:
-        """Whether this new connection is beyond what a cold server survives."""
+        """Returns whether this new connection is more than a cold server survives."""
         now, arrivals, rules = self.kernel.now, server.arrivals, self._rules
         arrivals.append(now)
         while arrivals[0] <= now - rules.fall_s * SECOND_US:
@@ -125,7 +125,7 @@
             self._schedule_head(server)
 
     def _schedule_head(self, server: Server) -> None:
-        """When the head of the line will be done, if the capacity stays as it is."""
+        """Schedules the completion of the first queued set-up, at the current capacity."""
         if server.set_up_queue:
             capacity = server.capacity()
             wait = server.work_before_head() / capacity * 1e6 if capacity > 0 else TICK_US
@@ -138,7 +138,8 @@
         server.advance(self.kernel.now)
         capacity = server.capacity()
         for set_up in server.pop_finished():
-            # All cores work on it as the fluid has it, but in truth one does; and messages come between.
+            # The fluid model works on a set-up with all cores; a real server uses one core, and messages come
+            # between.
             own = set_up.work / server.machine.speed
             left = max(0.0, own - set_up.work / capacity * 1e6) if capacity > 0 else 0.0
             spread = next(self._spread) * (SET_UP_SPREAD * own + server.wait_us)
@@ -248,7 +249,7 @@
             self.kernel.after(self._delay_us(call, server), self._ended, call, how)
 
     def break_all(self, server: Server) -> None:
-        """The process dies: all it holds is reset, and whoever waits there as well."""
+        """Resets all standing connections and waiting attempts, as the process ends."""
         for set_up in list(server.waiting.values()):
             self._answer(set_up.call, server, Over.RESET)
         for call in list(server.standing.values()):
@@ -274,7 +275,7 @@
         zone = self.network.zone_of(call.relay)
         self.placed.count(server.machine.index, zone, call.request_class, call.scheme, change)
 
-    # ---- the way between ----
+    # ---- network ----
 
     def _is_reachable(self, call: Call, server: Server) -> bool:
         zone = self.network.zone_of(call.relay)
@@ -284,7 +285,7 @@
         return self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
 
     def notify_silent(self, server: Server) -> None:
-        """Its connections, that is to say those whose lines go unanswered now."""
+        """Notifies the relays of those connections whose lines now go unanswered."""
         for call in list(server.standing.values()):
             if server.is_unresponsive or not self._is_reachable(call, server):
                 call.back.fell_silent(call)
@@ -297,7 +298,7 @@
     # ---- every tick ----
 
     def tick(self) -> ServerSnapshot:
-        """Brings all servers up to now and gives them as tables; those that hold too much shed."""
+        """Advances all servers to now and returns their state; overloaded servers shed connections."""
         rows = [self._tick_one(server) for server in self.all]
         demand, capacity, set_ups, backlog_us = np.array(rows, dtype=np.float64).T
         used = np.divide(demand + set_ups, capacity, out=np.ones_like(demand), where=capacity > 0)
@@ -332,7 +333,10 @@
         return server.demand, server.capacity(), server.set_up_load, backlog_us
 
     def _shed(self, server: Server) -> None:
-        """More is piled up than it has room for: it drops the heaviest, one at least, until the rest fits."""
+        """Drops the heaviest connections, at least one, until the rest fits.
+
+        Called when the backlog exceeds the buffer.
+        """
         heaviest = sorted(server.standing.values(), key=lambda call: (-call.load, call.request))
         for turn, call in enumerate(heaviest):
             capacity = server.capacity()
--- a/glenfold_lab/model/servers/connection_counts.py
+++ b/glenfold_lab/model/servers/connection_counts.py
@@ -1,4 +1,4 @@
-"""How many connections stand at each server, by the relay's zone, class and scheme."""
+"""Counts of standing connections at each server, by the relay's zone, class and scheme."""
 
 from array import array
 
@@ -7,10 +7,10 @@
 
 
 class ConnectionCounts:
-    """Counted one by one as connections come and go, and read as a whole each tick."""
+    """Counts that change with each connection and are read as one table at each tick."""
 
     def __init__(self, zones: int, classes: int, schemes: int) -> None:
-        self._shape = zones, classes, max(1, schemes)  # where there are no schemes all go under one
+        self._shape = zones, classes, max(1, schemes)  # Without schemes, all connections count as one scheme.
         self._each = zones * classes * self._shape[2]
         self._counts = array("q")
 
@@ -23,5 +23,5 @@
         self._counts[place] += change
 
     def table(self) -> NDArray[np.int64]:
-        """A copy, of shape (servers, zones, classes, schemes)."""
+        """Returns a copy, of shape (servers, zones, classes, schemes)."""
         return np.array(self._counts, dtype=np.int64).reshape(-1, *self._shape)
--- a/glenfold_lab/model/servers/lifecycle.py
+++ b/glenfold_lab/model/servers/lifecycle.py
@@ -1,4 +1,4 @@
-"""How push servers start, drain, end, fall silent and come back, and who is told of it."""
+"""The lifecycle of push servers (start, drain, end, silence and return) and its notifications."""
 
 import math
 from collections.abc import Callable
@@ -11,16 +11,18 @@
 from glenfold_lab.results import Happened
 from glenfold_lab.spec import Rules
 
-DRAIN_STEP_US = 100_000  # a draining server asks some of its clients to leave every so often
-MILLISECOND_US = 1000  # lists tell the moment of a start in milliseconds: starts fall on whole ones
+DRAIN_STEP_US = 100_000  # Interval at which a draining server asks some clients to leave.
+MILLISECOND_US = 1000  # Lists state start times in milliseconds, so starts fall on whole milliseconds.
 
-# Machine, its new state, when it started, and whether it went without a word.
+# Takes the machine, its new state, its start time, and whether it disappeared silently.
 ServerChanged = Callable[[Machine, Told, int, bool], None]
 
 
 class ServerLifecycle:
-    """All changes of a server's stage are made here, once each; what is over for a server stays so until its
-    next process. `news` hears of what discovery has to find out."""
+    """Makes all changes of a server's stage, once each. The end of a process holds until the next one.
+
+    `on_change` is called with every change that discovery has to detect.
+    """
 
     def __init__(
         self, servers: PushServers, rules: Rules, on_change: ServerChanged, note: Callable[[Happened], None]
@@ -33,24 +35,24 @@
         servers.on_overload = self._fail_overloaded
 
     def start_all(self) -> None:
-        """All servers run, and have long been warm."""
+        """Starts all servers as long running and warm."""
         for server in self._servers.all:
             server.stage = Stage.RUNS
             server.refresh(self._kernel.now)
             self._report_started(server, False)
 
     def running(self) -> list[Server]:
-        """Ready ones that can be struck by something, in the order of their index."""
+        """Returns the ready and reachable servers, which faults can strike, in the order of their index."""
         return [s for s in self._servers.all if s.stage is Stage.RUNS and not s.silent]
 
     def add(self, machine: Machine) -> Server:
-        """A new machine, whose process starts cold."""
+        """Adds a new machine, whose process starts cold."""
         server = self._servers.add(machine)
         self.start(server)
         return server
 
     def start(self, server: Server) -> None:
-        """Cold, at the next whole millisecond."""
+        """Starts the process cold at the next whole millisecond."""
         self._kernel.at(-(-self._kernel.now // MILLISECOND_US) * MILLISECOND_US, self._start, server)
 
     def _start(self, server: Server) -> None:
@@ -71,7 +73,7 @@
         self._watcher.server_started(self._kernel.now, server.machine.number, capacity, cold)
 
     def end(self, server: Server) -> None:
-        """Its process dies: what it holds is reset, and what comes is refused."""
+        """Ends the process: its connections are reset, and new ones are refused."""
         if not server.running:
             return
         server.stage = Stage.DOWN
@@ -84,7 +86,7 @@
         self._watcher.server_ended(self._kernel.now, server.machine.number)
 
     def restart(self, server: Server, down_us: int) -> None:
-        """The process ends at once and a new one starts so much later."""
+        """Ends the process at once; a new one starts `down_us` later."""
         self.end(server)
         self._kernel.after(down_us, self.start, server)
 
@@ -96,13 +98,13 @@
     # ---- drains ----
 
     def drain(self, server: Server, over_us: int) -> None:
-        """Asks its clients to leave, evenly over that time, then ends; what is left is reset."""
+        """Asks the clients to leave, evenly over `over_us`, then ends and resets what remains."""
         if not self.start_drain(server):
             return
         self._ask_to_leave(server, server.life, len(server.standing), over_us, over_us)
 
     def start_drain(self, server: Server) -> bool:
-        """It drains: it takes nothing new. False if it already did, or does not run."""
+        """Starts a drain, so that the server refuses new connections. Returns False if it is not ready."""
         if server.stage is not Stage.RUNS:
             return False
         server.stage = Stage.DRAINS
@@ -111,14 +113,14 @@
         return True
 
     def cancel_drain(self, server: Server, life: int) -> None:
-        """A drain is called off, if that process still runs."""
+        """Cancels a drain if the process with this `life` still runs."""
         if server.stage is Stage.DRAINS and server.life == life:
             server.stage = Stage.RUNS
             self._report_started(server, False)
             self._on_change(server.machine, Told.READY, server.started, False)
 
     def _ask_to_leave(self, server: Server, life: int, count: int, over_us: int, left_us: int) -> None:
-        """So many of `count` may stay as there is time left."""
+        """Asks clients to leave so that the share of `count` that stays is the share of time that remains."""
         if server.life != life:
             return
         if left_us <= 0:
@@ -132,7 +134,7 @@
     # ---- silence ----
 
     def vanish(self, server: Server) -> None:
-        """Nothing reaches it any more and nothing comes from it; nobody is told."""
+        """Cuts the server off in both directions without any signal."""
         if not server.running or server.silent:
             return
         server.silent = True
@@ -140,13 +142,13 @@
         self._servers.notify_silent(server)
 
     def appear(self, server: Server, life: int) -> None:
-        """It is back as it went, if that process still runs."""
+        """Reconnects a vanished server, with its state, if the process with this `life` still runs."""
         if server.silent and server.life == life:
             server.silent = False
             self._report_back(server)
 
     def cut(self, zone: int, relays: bool) -> list[Server]:
-        """Cuts a zone off (`Network.cut`); gives the servers that were."""
+        """Cuts a zone off (`Network.cut`) and returns the servers that this silenced."""
         struck = [s for s in self._servers.all if s.machine.zone == zone and s.running and not s.silent]
         self._servers.network.cut(zone, relays)
         for server in struck:
@@ -171,11 +173,11 @@
     # ---- capacity ----
 
     def take_cores(self, server: Server, share: float) -> None:
-        """A neighbour has that share of its cores from now on."""
+        """Gives a neighbour that share of the server's cores from now on."""
         server.neighbour = share
         server.refresh(self._kernel.now)
 
     def set_stalled(self, server: Server, is_stalled: bool) -> None:
-        """While it is jammed nothing is done, and what comes piles up."""
+        """Stalls or resumes a server. A stalled server does no work, so its backlog grows."""
         server.is_stalled = is_stalled
         server.refresh(self._kernel.now)
--- a/glenfold_lab/model/servers/messages.py
+++ b/glenfold_lab/model/servers/messages.py
@@ -1,4 +1,4 @@
-"""How long messages take at all servers, and the share of them that come back within their class's aim."""
+"""The delay of messages at all servers, and the share that is answered within the aim of its class."""
 
 from dataclasses import dataclass
 
@@ -8,25 +8,28 @@
 from glenfold_lab.model.fleet import Machine
 from glenfold_lab.model.network import Network
 
-FULL = 0.995  # beyond this the wait is that of the work piled up
+FULL = 0.995  # Above this utilization the delay is that of the backlog.
 
 Floats = NDArray[np.float64]
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSnapshot:
-    """All servers at one moment, by their index. Loads as parts of standard cores; pile_us: how long the
-    work piled up takes, infinite where nothing is done; `answers`: by the relays' zone, whether it can."""
+    """The state of all servers at one time, by their index.
+
+    Loads are microseconds of work per second on a standard core. `backlog_us` is the time that the backlog
+    takes, infinite where no work is done. `answers` is whether a server can answer, by the zone of the relay.
+    """
 
     demand: Floats
     capacity: Floats
-    used: Floats  # of the capacity, with set-ups
+    used: Floats  # Utilization of the capacity, with set-ups.
     backlog_us: Floats
     answers: NDArray[np.bool_]
 
 
 class Messages:
-    """What does not change of each server's messages."""
+    """The fixed part of the message delays of each server."""
 
     def __init__(self, network: Network, aims_us: list[float]) -> None:
         self._network = network
@@ -45,17 +48,22 @@
         self._ways.append([self._network.round_trip_us(zone, machine.zone) for zone in zones])
 
     def waits(self, used: Floats) -> Floats:
-        """Mean wait behind other messages, microseconds: Sakasegawa's approximation of a queue with several
-        cores, times the bursts in which messages come."""
-        # Sums of loads that came and went may be a hair below 0.
+        """Returns the mean wait behind other messages, in microseconds.
+
+        This is Sakasegawa's approximation for a queue with several cores, times the burstiness of messages.
+        """
+        # Rounding may leave the sum of added and removed loads slightly below 0.
         cores, part = np.array(self._cores), np.clip(used, 0.0, FULL)
         queueing = part ** (np.sqrt(2 * (cores + 1)) - 1) / (cores * (1 - part))
         waits: Floats = np.array(self._own) * np.array(self._burst) * queueing
         return waits
 
     def share_within_aim(self, now: ServerSnapshot) -> Floats:
-        """Of shape (servers, zones, classes): of the messages of connections through that zone's relays. What
-        is fixed of their time is passed by all; the wait beyond it has an exponential tail."""
+        """Returns the share of messages within the aim, of shape (servers, zones, classes).
+
+        The zone is that of the relays. Every message takes the fixed time; the wait beyond it has an
+        exponential tail.
+        """
         fixed = (np.array(self._own) + now.backlog_us)[:, None] + np.array(self._ways)
         left = self._aims - fixed[:, :, None]
         tail = np.maximum(self.waits(now.used), 1.0)[:, None, None]
--- a/glenfold_lab/model/servers/server.py
+++ b/glenfold_lab/model/servers/server.py
@@ -1,4 +1,4 @@
-"""One push server as a fluid: work comes in, piles up and is done, in closed form between two events."""
+"""One push server as a fluid queue, whose backlog is computed in closed form between two events."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -16,8 +16,11 @@
 
 @dataclass(slots=True, eq=False)
 class SetUp:
-    """A set-up in the line. end: where it ends in all work that ever came; left_out: of its work, what will
-    not be done as its relay has gone."""
+    """A queued connection set-up.
+
+    `end` is the total work at which the set-up is finished. `left_out` is the part of its work that is
+    skipped because its relay closed the call.
+    """
 
     call: Call
     end: float
@@ -29,9 +32,9 @@
 class Server:
     """Times in microseconds; work in microseconds on a standard core, loads in such work a second.
 
-    All that changes the demand or the capacity comes after `advance`, so that both hold from one event to
-    the next. Work is done in the order in which it comes, whatever happens to the capacity meanwhile: a
-    set-up is done when `reached` has come to its end.
+    Every change of demand or capacity follows a call of `advance`, so that both are constant between two
+    events. Work is done in order of arrival, however the capacity changes: a set-up is finished when
+    `work_done` has reached its `end`.
     """
 
     __slots__ = (
@@ -72,36 +75,34 @@
         self.queue = max(1, int(machine.kind.queue * machine.kind.cores))
         self.table_tax, self.group_cost = table_tax, group_cost
         self.stage = Stage.DOWN
-        self.silent = False  # nothing reaches it, nothing leaves it
-        self.life = 0  # which of its processes this is
-        self.started = 0  # 0: long ago
-        self.neighbour = 0.0  # the share of its cores that others take
+        self.silent = False  # No packet reaches or leaves the server.
+        self.life = 0  # Number of the current process.
+        self.started = 0  # 0 for long ago.
+        self.neighbour = 0.0  # The share of its cores that neighbours take.
         self.is_stalled = False
         self.updated_at = 0
         self.clear()
 
     def clear(self) -> None:
-        """As a process begins: with nothing."""
+        """Resets all state of the process, for a new one."""
         self.life += 1
         self.cold = False
-        self.is_unresponsive = False  # its connections have been told that lines go unanswered
+        self.is_unresponsive = False  # The relays have been notified that lines go unanswered.
         self.base_capacity = self.capacity_per_connection = (
-            0.0  # capacity, and what each connection in the table takes of it
+            0.0  # Capacity, and the part of it that each connection takes.
         )
         self.demand = self.backlog = 0.0
-        self.total_work = 0.0  # all work so far, with what is piled up
-        self.left_out = 0.0  # of it, what is still in the line but will not be done
-        self.standing: dict[int, Call] = {}  # by request
-        self.waiting: dict[int, SetUp] = {}  # also; until answered
-        self.set_up_queue: deque[SetUp] = (
-            deque()
-        )  # those of them whose work is not done, and what is left out
-        self.parked: dict[int, Call] = {}  # by the client's number
+        self.total_work = 0.0  # All work so far, with the backlog.
+        self.left_out = 0.0  # Queued work that will be skipped.
+        self.standing: dict[int, Call] = {}  # By request.
+        self.waiting: dict[int, SetUp] = {}  # By request, until answered.
+        self.set_up_queue: deque[SetUp] = deque()  # Unfinished and skipped set-ups.
+        self.parked: dict[int, Call] = {}  # By the client's number.
         self.groups: dict[int, int] = {}
-        self.set_up_work = 0.0  # since the last tick
+        self.set_up_work = 0.0  # Since the last tick.
         self.set_up_load = 0.0
-        self.wait_us = 0.0  # mean wait of a message behind others, but for what is piled up
-        self.arrivals: deque[int] = deque()  # new connections, while it is cold
+        self.wait_us = 0.0  # Mean wait of a message behind others, without the backlog.
+        self.arrivals: deque[int] = deque()  # Times of new connections while the server is cold.
 
     @property
     def running(self) -> bool:
@@ -117,14 +118,14 @@
         )
 
     def warmth(self, now: int) -> float:
-        """The share of its capacity that it has by then; grows evenly from its start."""
+        """Returns the available share of the capacity at `now`, which grows linearly from the start."""
         if not self.cold:
             return 1.0
         first = self.machine.kind.cold_from
         return min(1.0, first + (1 - first) * (now - self.started) / max(1, self.machine.kind.cold_us))
 
     def refresh(self, now: int) -> None:
-        """Takes in what bears on the capacity: warmth, neighbours, a jam."""
+        """Updates the capacity for warmth, neighbours and a stall."""
         self.advance(now)
         warmth = self.warmth(now)
         self.cold = self.cold and warmth < 1
@@ -141,11 +142,11 @@
 
     @property
     def work_done(self) -> float:
-        """How much of all work that ever came is done."""
+        """The amount of work done so far."""
         return self.total_work - self.backlog - self.left_out
 
     def backlog_us(self) -> float:
-        """For how long it works on what is piled up."""
+        """Returns how long the backlog takes, in microseconds."""
         capacity = self.capacity()
         if capacity > 0:
             return self.backlog / capacity * 1e6
@@ -159,7 +160,7 @@
         self.set_up_queue.append(set_up)
 
     def abandon(self, call: Call) -> None:
-        """A set-up whose relay has gone: what is left of its work is not done."""
+        """Abandons a set-up whose relay closed the call: its remaining work is skipped."""
         set_up = self.waiting.pop(call.request)
         set_up.gone = True
         set_up.left_out = max(0.0, min(set_up.work, set_up.end - self.work_done, self.backlog))
@@ -167,12 +168,12 @@
         self.left_out += set_up.left_out
 
     def drop(self, work: float) -> None:
-        """The latest of what is piled up, for want of room."""
+        """Drops the latest work of the backlog, which exceeds the buffer."""
         self.backlog -= work
         self.total_work -= work
 
     def pop_finished(self) -> list[SetUp]:
-        """Set-ups whose work is done by now; what is left out is passed by in no time."""
+        """Removes and returns the finished set-ups. Skipped work takes no time."""
         done: list[SetUp] = []
         while self.set_up_queue and self.work_before_head() <= 1:
             head = self.set_up_queue.popleft()
@@ -182,7 +183,7 @@
         return done
 
     def work_before_head(self) -> float:
-        """The work before the head of the line is done, or passed by."""
+        """Returns the work that remains until the first queued set-up is finished or skipped."""
         head = self.set_up_queue[0]
         return head.end - head.left_out - self.work_done
 
@@ -197,7 +198,7 @@
         self._leave(call)
 
     def park(self, call: Call) -> None:
-        """Its packets stop, so that it brings no work; its place in the table and its group's work stay."""
+        """Parks a connection: its load ends, but its place in the table and its group's load remain."""
         del self.standing[call.request]
         self.demand -= call.load
         self.parked[call.connection] = call
@@ -222,4 +223,4 @@
                 del self.groups[call.group]
                 self.demand -= self.group_cost
         if not self.groups and not self.standing:
-            self.demand = 0.0  # what rounding has left
+            self.demand = 0.0  # Removes rounding errors.
--- a/glenfold_lab/model/servers/store.py
+++ b/glenfold_lab/model/servers/store.py
@@ -1,4 +1,4 @@
-"""The one store that every set-up asks once, whichever push server it is at."""
+"""The shared store that every connection set-up queries once, at any push server."""
 
 from glenfold_lab.model.draw import value
 from glenfold_lab.model.fleet import HistoryParameters
@@ -8,7 +8,10 @@
 
 
 class Store:
-    """Answers each call after `us`, and begins at most `per_s` a second: in a crowd calls wait in turn."""
+    """Answers each call after `us` microseconds and starts at most `per_s` calls per second.
+
+    Calls beyond this rate wait in order.
+    """
 
     def __init__(self, per_s: float, us: float) -> None:
         self._gap_us = SECOND_US / per_s
@@ -16,7 +19,7 @@
         self._free_at = 0.0
 
     def answer_us(self, now: int) -> int:
-        """How long the answer to a call that comes now will take, microseconds."""
+        """Returns how long the answer to a call at `now` takes, in microseconds."""
         begins = max(now, self._free_at)
         self._free_at = begins + self._gap_us
         return int(begins + self._us - now)
@@ -25,7 +28,10 @@
 def store_of(
     scenario: Scenario, streams: Streams, parameters: HistoryParameters, part: float = 1.0
 ) -> Store | None:
-    """None where set-ups ask none. A process that plays some of the push servers has that part of it."""
+    """Returns the store, or None if set-ups use none.
+
+    A process that runs a share `part` of the push servers has that share of the store's rate.
+    """
     headroom = value(scenario.servers.store_headroom, streams.of("servers", "store_headroom"))
     us = value(scenario.servers.store_ms, streams.of("servers", "store")) * 1000
     return Store(headroom * parameters.full_per_us * SECOND_US * part, us) if headroom and part else None
--- a/glenfold_lab/model/service.py
+++ b/glenfold_lab/model/service.py
@@ -1,4 +1,4 @@
-"""What the push servers' service was worth, against what clients wanted."""
+"""Measures the service of the push servers against the demand of clients."""
 
 import math
 
@@ -12,19 +12,19 @@
 from glenfold_lab.spec import Scenario
 
 WINDOW_US = 10 * SECOND_US
-MAX_SERIES_STEPS = 400  # of a series; a longer history has longer steps
-MAX_SERVER_SERIES = 50  # with a series of their own
-MAX_LOAD_RATIO = 100.0  # times the limit, where that is next to nothing
+MAX_SERIES_STEPS = 400  # A longer history has longer steps.
+MAX_SERVER_SERIES = 50  # Servers with a series of their own.
+MAX_LOAD_RATIO = 100.0  # Cap of the ratio of load to capacity when the capacity is near 0.
 PERCENTILES = (10, 50, 90, 100)
 GOAL_SERVICE, GOAL_WINDOW, GOAL_CLASS, GOAL_SCHEME = 0.35, 0.35, 0.2, 0.1
 
 
 class Service:
-    """Implements `wire.Wanted`. Every tick it adds what was served, and what was wanted.
+    """Counts the served and the wanted connections at every tick. Implements `wire.DemandCounter`.
 
-    Both count the worth of each connection's class. Of a scheme that wants more connections than its share
-    those beyond it count `Rules.over_share_worth`; of one connection that share of its messages counts as
-    served that comes back within the aim.
+    Both are weighted by the worth of each connection's class. Connections of a scheme beyond its share count
+    `Rules.over_share_worth`. A connection counts as served by the share of its messages that are answered
+    within the aim of its class.
     """
 
     def __init__(self, scenario: Scenario, kernel: Kernel, servers: PushServers) -> None:
@@ -38,19 +38,21 @@
         self._wants = [[0] * len(self._quotas) for _ in scenario.classes]
         ticks = math.ceil(scenario.length_s * SECOND_US / TICK_US)
         self._per_step = max(1, math.ceil(ticks / MAX_SERIES_STEPS))
-        # By tick: served and wanted, of shape (classes, schemes), and connections that stand.
+        # By tick: served and wanted, each of shape (classes, schemes), and standing connections.
         self._served: list[Floats] = []
         self._wanted: list[Floats] = []
-        self._counts: list[tuple[int, int]] = []  # wanted, and standing
+        self._counts: list[tuple[int, int]] = []  # Wanted and standing connections.
         self._counted: list[bool] = []
-        self._loads: list[Floats] = []  # by step: of each server, the sum of its ticks
+        self._loads: list[Floats] = []  # By step: the sum of each server's loads over the ticks.
 
     def wanted(self, request_class: int, scheme: int, change: int) -> None:
         self._wants[request_class][scheme] += change
 
     def tick(self) -> None:
-        """Brings the servers up to now, and adds what the tick that ends now gave. Beyond the length of the
-        history nothing is added: it may run on until all is answered."""
+        """Advances the servers and adds the results of the tick that ends now.
+
+        Nothing is added after the length of the history, which may run on until all requests are answered.
+        """
         moment = self._servers.tick()
         if self._kernel.now > self._end:
             return
@@ -66,7 +68,7 @@
         self._add_loads(moment.demand, moment.capacity)
 
     def _within_share(self, connections: Floats) -> Floats:
-        """The mean worth of a connection of each scheme, by how many it has."""
+        """Returns the mean worth of a connection of each scheme, by its number of connections."""
         within = np.minimum(connections, self._quotas)
         counted = within + self._over_worth * (connections - within)
         each: Floats = np.divide(counted, connections, out=np.ones_like(connections), where=connections > 0)
@@ -81,11 +83,15 @@
         before = self._loads[-1]
         self._loads[-1] = loads + np.pad(before, (0, len(loads) - len(before)))
 
-    # ---- what it comes to ----
+    # ---- results ----
 
     def figures(self) -> dict[str, float]:
-        """service: of the whole history; worst_window: of its worst 10 s; worst_class, worst_scheme; goal: a
-        mix of these; and one for each class and scheme. Shares of what was wanted, 1 where nothing was."""
+        """Returns the figures of the history, as shares of the demand (1 without demand).
+
+        `service` is that of the whole history, `worst_window` that of its worst 10 s, `worst_class` and
+        `worst_scheme` those of the worst class and scheme, and `goal` a weighted mean of these. There is one
+        more figure for each class and scheme.
+        """
         counted = np.array(self._counted, dtype=bool)
         shape = (len(self._worth), len(self._quotas))
         served, wanted = (
@@ -105,7 +111,7 @@
         return figures
 
     def series(self) -> dict[str, Series]:
-        """service: by step, of what was wanted; wanted and connections: how many, on the mean of a step."""
+        """Returns series by step: the service as a share of the demand, and mean counts."""
         served, wanted = (
             np.array([table.sum() for table in tables]) for tables in (self._served, self._wanted)
         )
@@ -117,8 +123,11 @@
         }
 
     def server_load(self) -> dict[str, Series]:
-        """By host: the load over the limit at that moment, 1 being all of its capacity. Of a large fleet the
-        percentiles of all servers, as "p50", and those servers with the highest mean."""
+        """Returns the load of each host relative to its capacity at that time (1 is full).
+
+        For a large fleet these are percentiles over all servers, such as "p50", and the servers with the
+        highest mean.
+        """
         machines = self._servers.fleet.machines
         rows = np.array([np.pad(row, (0, len(machines) - len(row))) for row in self._loads])
         rows = rows.reshape(-1, len(machines)) / self._lengths()[:, None]
@@ -132,7 +141,7 @@
         return found | {machines[n].host: self._series(rows[:, n], machines[n].host) for n in sorted(worst)}
 
     def _lengths(self) -> NDArray[np.int64]:
-        """Of the steps, in ticks; the last may be shorter."""
+        """Returns the lengths of the steps in ticks; the last one may be shorter."""
         ticks = np.arange(len(self._served))
         return np.bincount(ticks // self._per_step)
 
@@ -150,7 +159,10 @@
 
 
 def _shares(served: Floats, wanted: Floats) -> Floats:
-    """At most 1: a client may want no more while its server still has it."""
+    """Returns served over wanted, at most 1.
+
+    A server may still hold the connection of a client that no longer wants it.
+    """
     shares: Floats = np.divide(served, wanted, out=np.ones_like(wanted), where=wanted > 0)
     return np.minimum(shares, 1.0)
 
--- a/glenfold_lab/model/world.py
+++ b/glenfold_lab/model/world.py
@@ -1,4 +1,4 @@
-"""One history of a scenario: everything is built, played in virtual time, and judged from outside."""
+"""Builds one history of a scenario, plays it in virtual time and checks it from outside."""
 
 import gc
 import resource
@@ -23,19 +23,21 @@
 from glenfold_lab.spec import Scenario
 from glenfold_lab.streams import Streams
 
-PROGRESS_STEP_US = SECOND_US // 2  # of virtual time, between two words on the progress
-FINAL_ANSWER_MARGIN_US = 1_500_000  # beyond the longest deadline: by then the last requests are judged
-OVERLOADED = "fell_over"  # what happens to a cold push server that was sent too much
+PROGRESS_STEP_US = SECOND_US // 2  # Virtual time between two progress reports.
+FINAL_ANSWER_MARGIN_US = (
+    1_500_000  # The last requests are checked within this time after the longest deadline.
+)
+OVERLOADED = "fell_over"  # Recorded for a cold push server that failed under too many connections.
 
 Progress = Callable[[float], None]
 
 
 class Tally(Watcher):
-    """What goes between relays and push servers, over the whole history."""
+    """Counts of requests and attempts over the whole history."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
-        self._zones: dict[int, int] = {}  # of push servers
+        self._zones: dict[int, int] = {}  # By number of the push server.
         self.taken_in = self.attempts = self.cross_zone_attempts = 0
 
     def taken(self, at: int, request: int, relay: int, deadline: int, request_class: int) -> None:
@@ -51,7 +53,7 @@
         self.cross_zone_attempts += zone != self._world.machinery.network.zone_of(relay)
 
     def figures(self) -> dict[str, float]:
-        """requests taken; attempts_per_request; cross_zone: share of attempts between two zones."""
+        """Returns the taken requests, the attempts per request and the share of cross-zone attempts."""
         return {
             "requests": float(self.taken_in),
             "attempts_per_request": self.attempts / max(1, self.taken_in),
@@ -60,7 +62,7 @@
 
 
 class World:
-    """All parts of one history, wired; `run` plays it once."""
+    """All parts of one history, connected. `run` plays it once."""
 
     def __init__(self, scenario: Scenario, seed: int, watchers: Sequence[Watcher]) -> None:
         self.scenario, self.seed = scenario, seed
@@ -122,7 +124,7 @@
         return clients, relay_hosts
 
     def start(self) -> None:
-        """All processes run and have heard the list; nobody has a connection yet."""
+        """Starts all processes, which then have the list; no client has a connection yet."""
         self.machinery.start()
         self.relay_hosts.start()
 
@@ -180,10 +182,10 @@
 ) -> RunResult:
     """Plays one history. The same scenario, seed and decision package give the same `results.encode`.
 
-    watchers: see all observations besides the checker and the measures. progress: is told the part (0 to 1)
-    that has been played. `revision` is only noted: whoever calls sees to it that the `linnetspread` of that
-    revision was imported. `cost`: seconds in all, and build_s of these until the first connection; peak_mb
-    of the process so far.
+    `watchers` get all observations, as the checker and the measures do. `progress` is called with the share
+    (0 to 1) that has been played. `revision` is only recorded: the caller has to import the `linnetspread` of
+    that revision. The result's `cost` holds the total `seconds`, `build_s` of these until the first
+    connection, and `peak_mb` of the process so far.
     """
     started_at = time.perf_counter()
     with without_garbage_collection(), shared_anchors():
@@ -200,8 +202,11 @@
 
 @contextmanager
 def without_garbage_collection() -> Iterator[None]:
-    """What a history makes it lets go of without cycles; looking for them in a million objects costs. The
-    world itself is one: that of the history before is collected here."""
+    """Collects garbage once and disables the collector during a history.
+
+    Objects of a history are freed without cycles, and searching a million objects for cycles is slow. Only
+    the world itself is a cycle, so that of the previous history is collected here.
+    """
     gc.collect()
     was_on = gc.isenabled()
     gc.disable()
