--- a/glenfold_lab/model/anchors.py
+++ b/glenfold_lab/model/anchors.py
@@ -16,9 +16,8 @@
 
 Change = tuple[int, int]  # The server and its number of buckets; 0 removes the server.
 
-PlainAnchor = (
-    choice.Anchor
-)  # Bound at import, as `shared_anchors` replaces the name in `choice` during a history.
+# Bound at import, as `shared_anchors` replaces the name in `choice` during a history.
+PlainAnchor = choice.Anchor
 
 
 class SharedEntry:
--- a/glenfold_lab/model/clients.py
+++ b/glenfold_lab/model/clients.py
@@ -435,8 +435,10 @@
     # ---- where packets go ----
 
     def relay_lost(self, exchange: Exchange, planned: bool) -> bool:
-        """Its relay's process died, or ended as it was told to. True for one whose connection goes on when
-        its packets are sent to another; the others see theirs reset."""
+        """Handles the end of the relay's process, by a crash or as planned.
+
+        Returns True if the connection goes on once its packets reach another relay; otherwise it is reset.
+        """
         client, columns = exchange.client, self._columns
         if columns.exchange[client] is not exchange:
             return False
--- a/glenfold_lab/model/fleet.py
+++ b/glenfold_lab/model/fleet.py
@@ -12,10 +12,11 @@
 from glenfold_lab.streams import Streams
 
 CORE_WORK_US_PER_S = 1_000_000.0  # Work of a standard core in a second, in microseconds.
+# The share of its capacity that a server loses when its connection table is full.
 TABLE_CAPACITY_LOSS: Range = (
     0.2,
     0.4,
-)  # The share of its capacity that a server loses when its connection table is full.
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenfold_lab/model/listing/feeds.py
+++ b/glenfold_lab/model/listing/feeds.py
@@ -155,9 +155,8 @@
         """Handles the arrival of a change at the agent."""
         if version not in feed.missing or not self._is_connected(feed):
             return
-        if (
-            min(feed.missing) < version and not feed.out_of_order
-        ):  # After a gap, the agent asks for the full list.
+        # After a gap, the agent asks for the full list.
+        if min(feed.missing) < version and not feed.out_of_order:
             return self._advance(feed, version, True)
         if not feed.out_of_order and self._happens("out_of_order", self._spec.out_of_order):
             feed.out_of_order.append(version)
@@ -251,9 +250,8 @@
     def _report_start(self, feed: Feed, cached: int) -> None:
         """Reports a starting relay's cached list, then the changes that its agent has or should have."""
         now, told, relay = self._kernel.now, self._watcher.told, feed.relay
-        for entry in self._versions.entries(
-            cached
-        ):  # The loop runs thousands of times at each of thousands of relays.
+        # The loop runs thousands of times at each of thousands of relays.
+        for entry in self._versions.entries(cached):
             told(now, relay, entry.machine.number, entry.state, entry.started)
         for version in range(1, self._versions.last + 1):
             due = feed.missing.get(version, version <= feed.held)
--- a/glenfold_lab/model/listing/versions.py
+++ b/glenfold_lab/model/listing/versions.py
@@ -54,7 +54,7 @@
 
     def __init__(self, zones: tuple[str, ...], first: list[Entry]) -> None:
         self._zones = zones
-        self._changes: list[list[Entry]] = [[], first]  # by version
+        self._changes: list[list[Entry]] = [[], first]  # By version.
         self._latest: dict[int, tuple[int, Entry]] = {e.machine.number: (1, e) for e in first}
         self._whole: OrderedDict[int, tuple[list[Entry], Document]] = OrderedDict()
 
--- a/tests/glenfold_lab/modelled_machines.py
+++ b/tests/glenfold_lab/modelled_machines.py
@@ -1,4 +1,4 @@
-"""Machines of the model with every range a number, and a relay's end that only notes what it hears."""
+"""Machines of the model with fixed values instead of ranges, and a relay's end that records its calls."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 from glenfold_lab.streams import Streams
 
 S, MS = SECOND_US, 1000
-WAY = 1 * MS  # between a relay and a server of its zone
+ONE_WAY_US = 1 * MS  # Delay between a relay and a server of its zone.
 KIND = dict(
     name="m",
     cores=1,
@@ -30,8 +30,8 @@
 LIST = dict(notice_s=2.0, add_s=1.0, silent_notice_s=6.0, spread_ms=50.0, period_ms=500.0)
 
 
-class Fixed:
-    """`count` push servers, each of 1 core that carries 10 connections of the mean load."""
+class FixedMachines:
+    """`count` push servers, each with 1 core that carries 10 connections of the mean load."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         store: float = 0.0,
         **scenario: Any,
     ) -> None:
-        made = dict(
+        scenario_values = dict(
             format=1,
             name="test",
             guards_against="-",
@@ -57,31 +57,33 @@
             server_list=ServerList(**LIST | (listed or {})),
         )
         self.kernel, self.seen = Kernel(), Recorder()
-        self.machinery = Machinery(Scenario(**made | scenario), Streams(seed), self.kernel, self.seen)
+        self.machinery = Machinery(
+            Scenario(**scenario_values | scenario), Streams(seed), self.kernel, self.seen
+        )
         self.servers, self.lifecycle = self.machinery.servers, self.machinery.lifecycle
-        self.replies: dict[int, Over] = {}  # all by request
-        self.took: dict[int, int] = {}
+        self.replies: dict[int, Over] = {}  # By request, like the two below.
+        self.answer_times: dict[int, int] = {}
         self.ends: dict[int, End] = {}
         self.silent: list[int] = []
-        self.made = 0
+        self.call_count = 0
         self.machinery.start()
 
     def server(self, index: int = 0) -> Server:
         return self.servers.all[index]
 
-    def at(self, stage: Stage) -> set[int]:
+    def servers_at(self, stage: Stage) -> set[int]:
         return {server.machine.number for server in self.servers.all if server.stage is stage}
 
     def new_call(self, server: int = 0, load: float = 100_000.0, **changes: Any) -> Call:
-        self.made += 1
+        self.call_count += 1
         values = dict(
-            request=self.made,
+            request=self.call_count,
             relay=0,
             server=self.server(server).machine.number,
             request_class=0,
             scheme=0,
             group=0,
-            connection=self.made,
+            connection=self.call_count,
             load=load,
             deadline=self.kernel.now + 3 * S,
             mid_flow=False,
@@ -108,7 +110,7 @@
     def replied(self, call: Call, over: Over) -> None:
         assert call.request not in self.replies
         self.replies[call.request] = over
-        self.took[call.request] = self.kernel.now - call.sent_at
+        self.answer_times[call.request] = self.kernel.now - call.sent_at
 
     def ended(self, call: Call, how: End) -> None:
         self.ends[call.request] = how
--- a/tests/glenfold_lab/modelled_relays.py
+++ b/tests/glenfold_lab/modelled_relays.py
@@ -1,4 +1,4 @@
-"""A relay of the model with push servers and clients that a test scripts; all in memory."""
+"""A relay of the model in memory, with scripted push servers and clients."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 from glenfold_lab.observe import End, Over, Recorder
 from linnetspread import interface
 
-WAY_US = 500  # from the relay to a push server, or back
+WAY_US = 500  # One-way delay between the relay and a push server.
 SETTINGS = interface.Settings(
     classes=(
         interface.RequestClass(
@@ -31,7 +31,11 @@
 
 @dataclass
 class Servers:
-    """As `wire.Machines`. `answer`: what a server says to a call; None: nothing. `silent`: never come up."""
+    """Implements `wire.Machines`.
+
+    `answer` returns a server's answer to a call, or None for no answer. Connections to the servers in
+    `silent` never come up.
+    """
 
     kernel: Kernel
     answer: Callable[[Call], Over | None] = lambda call: Over.UP
@@ -70,11 +74,12 @@
 
 
 @dataclass
-class Callers:
-    """As `relays.Clientele`: what each client heard, and when."""
+class RecordingClients:
+    """Implements `relays.ClientSide` and records what each client received, and when."""
 
     kernel: Kernel
-    heard: list[tuple[str, int, int]] = field(default_factory=list)  # what, client, microseconds since start
+    # What, client, microseconds since start.
+    received: list[tuple[str, int, int]] = field(default_factory=list)
     waits: list[int] = field(default_factory=list)
 
     def load(self, client: int) -> float:
@@ -97,20 +102,20 @@
         self._note(how.name, exchange)
 
     def _note(self, what: str, exchange: Exchange) -> None:
-        self.heard.append((what, exchange.client, self.kernel.now - self.kernel.start))
+        self.received.append((what, exchange.client, self.kernel.now - self.kernel.start))
 
-    def told(self) -> list[str]:
-        return [what for what, _, _ in self.heard]
+    def received_names(self) -> list[str]:
+        return [what for what, _, _ in self.received]
 
 
-class Stage:
-    """One relay that has heard of servers 1 to `servers`, and has room for `taken` connections."""
+class RelayFixture:
+    """One relay that has received a list of servers 1 to `servers` and has room for `taken` connections."""
 
     def __init__(
         self, servers: int = 4, taken: int = 1000, settings: interface.Settings = SETTINGS, step_us: int = 100
     ) -> None:
         self.kernel, self.seen = Kernel(), Recorder()
-        self.servers, self.clients = Servers(self.kernel), Callers(self.kernel)
+        self.servers, self.clients = Servers(self.kernel), RecordingClients(self.kernel)
         costs = Costs(step_us, step_us, step_us, step_us, Room(64, taken, 12))
         context = RelayContext(self.kernel, self.servers, self.clients, self.seen, costs)
         self.relay = Relay(0, settings, 1, context)
@@ -124,7 +129,7 @@
                 ),
             )
         )
-        self.run(0.01)  # the list has been read
+        self.run(0.01)  # The relay reads the list.
         self.kernel.start = self.kernel.now
 
     def run(self, seconds: float) -> None:
@@ -136,9 +141,9 @@
         return Exchange(self.relay, client, 0, 0, event, RequestState(number, self.kernel.now + expires))
 
     def ask(self, *clients: int, mid_flow: bool = False) -> list[Exchange]:
-        asked = [self.exchange(client, mid_flow) for client in clients]
-        assert all(self.relay.offer(one, self.kernel.now + one.event.expires_in_us) for one in asked)
-        return asked
+        exchanges = [self.exchange(client, mid_flow) for client in clients]
+        assert all(self.relay.offer(one, self.kernel.now + one.event.expires_in_us) for one in exchanges)
+        return exchanges
 
     def observed(self, name: str) -> list[tuple[object, ...]]:
         return [values for kind, values in self.seen.records if kind == name]
--- a/tests/glenfold_lab/test_machines_calls.py
+++ b/tests/glenfold_lab/test_machines_calls.py
@@ -1,9 +1,9 @@
-"""Push servers of the model at their limits, and what their ends leave behind."""
+"""Limits of the model's push servers, and the state after a server ends."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from modelled_machines import MS, WAY, Fixed, S
+from modelled_machines import MS, ONE_WAY_US, FixedMachines, S
 
 from glenfold_lab.model.servers.calls import SILENT_US
 from glenfold_lab.model.servers.server import Stage
@@ -11,13 +11,13 @@
 from glenfold_lab.observe import End, Over
 from glenfold_lab.spec import Clients
 
-GROUP = 200_000.0  # what a group costs: 2 mean loads
+GROUP = 200_000.0  # Load of a group: 2 mean loads.
 
 
-def test_a_set_up_under_way_waits_for_a_jam_to_end_whatever_is_dropped_behind_it() -> None:
-    world = Fixed()
+def test_a_set_up_finishes_after_a_stall_even_if_later_work_is_dropped() -> None:
+    world = FixedMachines()
     stands, call = world.standing(9)[0], world.call()
-    world.run(4 * WAY)
+    world.run(4 * ONE_WAY_US)
     world.lifecycle.set_stalled(world.server(), True)
     world.run(2 * S)
     assert not world.replies and world.servers.answer_us(stands) is None and world.ends
@@ -26,66 +26,67 @@
     assert world.replies == {call.request: Over.UP}
 
 
-def test_full_tables_refuse_and_full_queues_turn_away() -> None:
-    world = Fixed()
+def test_a_full_table_refuses_connections_and_a_full_queue_answers_busy() -> None:
+    world = FixedMachines()
     world.standing(19, load=0.0)
     calls = [world.call() for _ in range(2)]
     world.run(100 * MS)
     assert [world.replies[call.request] for call in calls] == [Over.UP, Over.REFUSED]
-    assert len(world.observed("sent")) == 1  # a line to a refused connection never arrives
-    crowd = Fixed()
-    calls = [crowd.call() for _ in range(8)]
-    crowd.run(1 * S)
-    assert [crowd.replies[call.request] for call in calls] == [Over.UP] * 5 + [Over.BUSY] * 3
+    assert len(world.observed("sent")) == 1  # A line on a refused connection never arrives.
+    busy = FixedMachines()
+    calls = [busy.call() for _ in range(8)]
+    busy.run(1 * S)
+    assert [busy.replies[call.request] for call in calls] == [Over.UP] * 5 + [Over.BUSY] * 3
 
 
-@pytest.mark.parametrize("late", [2 * WAY, 20 * MS])  # by its arrival, or by the time it is its turn
-def test_a_line_whose_deadline_is_past_is_turned_away(late: int) -> None:
-    world = Fixed(kind={"queue": 50.0})
+# The deadline passes before the arrival, or while queued.
+@pytest.mark.parametrize("late", [2 * ONE_WAY_US, 20 * MS])
+def test_a_line_after_its_deadline_is_answered_busy(late: int) -> None:
+    world = FixedMachines(kind={"queue": 50.0})
     for _ in range(10):
         world.call()
     call = world.call(deadline=world.kernel.now + late)
     world.run(1 * S)
     assert world.replies[call.request] is Over.BUSY
-    assert world.took[call.request] == WAY * 2 or late > 2 * WAY
+    assert world.answer_times[call.request] == ONE_WAY_US * 2 or late > 2 * ONE_WAY_US
 
 
-def test_what_a_relay_abandons_takes_no_more_work_and_is_told_once() -> None:
-    world = Fixed(kind={"queue": 100.0})
+def test_abandoned_attempts_take_no_more_work_and_are_reported_once() -> None:
+    world = FixedMachines(kind={"queue": 100.0})
     calls = [world.call() for _ in range(20)]
-    world.run(4 * WAY)
+    world.run(4 * ONE_WAY_US)
     for call in calls[:19]:
         world.servers.close(call)
         world.servers.close(call)
     world.run(1 * S)
     assert list(world.replies) == [calls[19].request]
-    assert world.took[calls[19].request] < 50 * MS
+    assert world.answer_times[calls[19].request] < 50 * MS
     over = [how for _, _, _, how in world.observed("attempt_over")]
     assert over == [Over.ABANDONED] * 19 + [Over.UP]
 
 
-def test_a_parked_connection_goes_on_where_it_stands_and_nowhere_else() -> None:
-    world = Fixed(count=2)
+def test_a_parked_connection_resumes_only_at_its_own_server() -> None:
+    world = FixedMachines(count=2)
     kept, moved, late = world.standing(3)
     for call in (kept, moved, late):
         world.servers.park(call)
-    world.lifecycle.start_drain(world.server())  # draining bars new ones, not those it holds
+    world.lifecycle.start_drain(world.server())  # A draining server refuses new connections only.
     again = world.call(connection=kept.connection, mid_flow=True)
     elsewhere = world.call(1, connection=moved.connection, mid_flow=True)
     world.run(4 * S)
     world.servers.park(again)
     world.run(2 * S)
     too_late = world.call(connection=late.connection, mid_flow=True)
-    third = world.call(connection=kept.connection, mid_flow=True)  # it has its time again
+    third = world.call(connection=kept.connection, mid_flow=True)  # Parking again restarts the parking time.
     world.run(1 * S)
-    assert again.resumed and world.took[again.request] < 4 * WAY and third.resumed
+    assert again.resumed and world.answer_times[again.request] < 4 * ONE_WAY_US and third.resumed
     assert world.replies[elsewhere.request] is Over.UP and not elsewhere.resumed
     assert world.replies[too_late.request] is Over.BUSY
     assert not world.server().parked and world.server().demand == 100_000.0
 
 
-def test_too_much_piled_up_drops_the_heaviest_until_the_rest_fits() -> None:
-    world = Fixed()
+def test_a_full_backlog_drops_the_heaviest_connections_until_the_rest_fits() -> None:
+    world = FixedMachines()
     light = world.standing(8)
     heavy = world.standing(1, load=500_000.0)[0]
     world.run(10 * S)
@@ -93,8 +94,8 @@
     assert all(call.stands for call in light)
 
 
-def test_lines_that_wait_too_long_are_told_once_and_again_after_it_was_well() -> None:
-    world = Fixed(kind={"buffer_s": 9.0})
+def test_unanswered_lines_are_reported_once_per_period_of_silence() -> None:
+    world = FixedMachines(kind={"buffer_s": 9.0})
     call = world.standing()[0]
     for _ in range(2):
         world.server().backlog = SILENT_US / S * 1.3e6
@@ -108,17 +109,18 @@
     assert world.silent == [call.request] * 3 + [late.request]
 
 
-def test_a_crash_resets_what_stands_or_waits_and_refuses_what_comes() -> None:
-    world = Fixed()
+def test_a_crash_resets_connections_and_attempts_and_refuses_new_ones() -> None:
+    world = FixedMachines()
     stands, waits = world.standing()[0], world.call()
-    world.run(4 * WAY + 123)
-    for _ in range(2):  # whatever starts it again, it starts once
+    world.run(4 * ONE_WAY_US + 123)
+    for _ in range(2):  # Two restarts still start the server once.
         world.lifecycle.restart(world.server(), 2 * S)
     comes = world.call()
     world.run(1 * S)
     assert world.ends == {stands.request: End.BROKEN}
     assert world.replies == {waits.request: Over.RESET, comes.request: Over.REFUSED}
-    assert world.took[comes.request] == 0  # known as soon as a connection would have been up
+    # The refusal arrives when the connection would have been up.
+    assert world.answer_times[comes.request] == 0
     world.run(2 * S)
     (_, (_, again, capacity, cold)), started = world.observed("server_started"), world.server().started
     assert (again, cold, started % MS) == (world.server().machine.number, True, 0)
@@ -126,10 +128,10 @@
     assert capacity.warm_per_s == pytest.approx(10 * S / world.machinery.parameters.life_us)
 
 
-def test_a_machine_that_vanishes_says_nothing_until_it_is_back() -> None:
-    world = Fixed()
+def test_a_vanished_machine_sends_nothing_until_it_is_back() -> None:
+    world = FixedMachines()
     stands, waits = world.standing()[0], world.call()
-    world.run(4 * WAY)
+    world.run(4 * ONE_WAY_US)
     world.lifecycle.vanish(world.server())
     comes = world.call()
     world.run(2 * S)
@@ -142,8 +144,8 @@
     assert [how for *_, how in world.observed("attempt_over")] == [Over.ABANDONED]
 
 
-def test_what_was_planned_for_one_process_does_not_happen_to_the_next() -> None:
-    world = Fixed()
+def test_events_planned_for_one_process_do_not_apply_to_the_next() -> None:
+    world = FixedMachines()
     server, life = world.server(), world.server().life
     world.lifecycle.drain(server, 2 * S)
     world.lifecycle.restart(server, 1 * S)
@@ -156,13 +158,17 @@
     world.lifecycle.appear(server, life)
     assert server.silent
     world.lifecycle.end(server)
-    assert len(world.observed("server_ended")) == 2  # its second end was seen when it vanished
+    assert len(world.observed("server_ended")) == 2  # Its second end was reported when it vanished.
 
 
 @pytest.mark.parametrize("cold", [True, False])
-def test_only_a_cold_server_falls_over_when_pressed(cold: bool) -> None:
-    """A life is 1 s, so it takes 0.2 of 10 a second: 18 in 3 s at three times that, and some by chance."""
-    world = Fixed(kind={"cap": 100.0, "queue": 100.0}, clients=Clients(life_s=1.0))
+def test_only_a_cold_server_fails_when_overloaded(cold: bool) -> None:
+    """A cold server fails under too many connections.
+
+    With a lifetime of 1 s the server takes 0.2 of 10 connections per second. Three times that rate is 18 in 3
+    s, plus a margin for random variation.
+    """
+    world = FixedMachines(kind={"cap": 100.0, "queue": 100.0}, clients=Clients(life_s=1.0))
     if cold:
         world.lifecycle.restart(world.server(), 0)
         world.run(1 * MS)
@@ -200,7 +206,7 @@
 )
 
 
-def _take(world: Fixed, calls: list[Call], what: str, which: int) -> None:
+def _apply_step(world: FixedMachines, calls: list[Call], what: str, which: int) -> None:
     server, lifecycle = world.server(which % 2), world.lifecycle
     if what == "call" or not calls:
         calls.append(world.call(which % 2, load=1000.1 * (which % 97), group=which % 4))
@@ -226,10 +232,10 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(STEPS)
-def test_whatever_happens_a_server_holds_just_what_stands(steps: list[tuple[str, int, int]]) -> None:
-    world, calls = Fixed(count=2), list[Call]()
+def test_a_server_always_holds_exactly_the_standing_connections(steps: list[tuple[str, int, int]]) -> None:
+    world, calls = FixedMachines(count=2), list[Call]()
     for what, which, wait in steps:
-        _take(world, calls, what, which)
+        _apply_step(world, calls, what, which)
         world.run(wait * MS)
         for server in world.servers.all:
             stands = [call for call in calls if call.stands and call.server == server.machine.number]
--- a/tests/glenfold_lab/test_machines_listing.py
+++ b/tests/glenfold_lab/test_machines_listing.py
@@ -1,11 +1,11 @@
-"""What each relay of the model hears of the push servers, and when it counts as told."""
+"""The lists that each relay of the model receives, and when the relay counts as notified."""
 
 from typing import Any
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from modelled_machines import MS, Fixed, S
+from modelled_machines import MS, FixedMachines, S
 
 from glenfold.destinations import BadList, DestinationSet
 from glenfold_lab.model.fleet import Fleet
@@ -16,32 +16,32 @@
 from glenfold_lab.streams import Streams
 from linnetspread.interface import ListKind, ServerList, ServerState
 
-NOTICED = 2500 * MS + 50 * MS  # noticed, gathered and spread, at the latest
+NOTICE_US = 2500 * MS + 50 * MS  # Latest time until a change is noticed, gathered and sent.
 
 
-class Told0:
-    """Relay 0 of a world, and what it hears."""
+class RelayZero:
+    """Relay 0 of a model and the lists that it receives."""
 
     def __init__(self, seed: int = 1, **listed: Any) -> None:
-        self.world = Fixed(count=3, seed=seed, listed=listed)
+        self.world = FixedMachines(count=3, seed=seed, listed=listed)
         self.numbers = [server.machine.number for server in self.world.servers.all]
         self.up()
 
     def up(self) -> None:
-        self.heard: list[ServerList] = []
-        self.world.machinery.listing.relay_up(0, self.heard.append)
+        self.received: list[ServerList] = []
+        self.world.machinery.listing.relay_up(0, self.received.append)
 
     def kinds(self) -> list[ListKind]:
-        return [servers.kind for servers in self.heard]
+        return [servers.kind for servers in self.received]
 
     def states(self, which: int = -1) -> dict[int, ServerState]:
-        return {self.numbers.index(line.server): line.state for line in self.heard[which].servers}
+        return {self.numbers.index(line.server): line.state for line in self.received[which].servers}
 
     def drain(self, server: int) -> None:
         self.world.lifecycle.start_drain(self.world.server(server))
 
-    def told(self, server: int) -> list[tuple[float, Told]]:
-        """After its start, in seconds from the start of the history."""
+    def notified(self, server: int) -> list[tuple[float, Told]]:
+        """Returns the notifications after the start, in seconds from the start of the history."""
         return [
             ((at - self.world.kernel.start) / S, state)
             for at, _, number, state, _ in self.world.observed("told")
@@ -49,71 +49,71 @@
         ]
 
 
-def test_news_is_noticed_gathered_and_told_when_it_is_heard() -> None:
-    relay = Told0(doubled=1.0)
-    assert relay.kinds() == [ListKind.CACHED] and len(relay.heard[0].servers) == 3
+def test_changes_are_noticed_gathered_and_reported_on_arrival() -> None:
+    relay = RelayZero(doubled=1.0)
+    assert relay.kinds() == [ListKind.CACHED] and len(relay.received[0].servers) == 3
     relay.world.run(100 * MS)
     relay.drain(0)
     relay.world.run(300 * MS)
     relay.drain(1)
-    relay.world.run(NOTICED)
-    assert relay.kinds() == [ListKind.CACHED, ListKind.DELTA, ListKind.DELTA]  # it is told all twice
+    relay.world.run(NOTICE_US)
+    assert relay.kinds() == [ListKind.CACHED, ListKind.DELTA, ListKind.DELTA]  # Every change arrives twice.
     assert relay.states() == {0: ServerState.DRAINING, 1: ServerState.DRAINING}
-    ((at, state),) = relay.told(0)
+    ((at, state),) = relay.notified(0)
     assert state is Told.DRAINING and 2.5 <= at <= 2.55
 
 
-def test_a_restart_that_is_noticed_first_is_not_undone_by_the_end_before_it() -> None:
-    relay = Told0()
+def test_a_restart_noticed_first_is_not_undone_by_the_earlier_end() -> None:
+    relay = RelayZero()
     relay.world.lifecycle.restart(relay.world.server(0), 500 * MS)
     relay.world.run(8 * S)
     started = relay.world.server(0).started
-    assert [(one.state, one.started_us) for servers in relay.heard[1:] for one in servers.servers] == [
+    assert [(one.state, one.started_us) for servers in relay.received[1:] for one in servers.servers] == [
         (ServerState.READY, started)
     ]
 
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("fault", [{"lost": 0.5}, {"late": 0.5, "late_s": 1.0}])
-def test_no_change_is_heard_before_those_that_were_lost_or_late(seed: int, fault: dict[str, float]) -> None:
-    """What is lost is found by the next change, or else by the next sign of life of discovery."""
-    relay = Told0(seed, period_ms=100.0, **fault)
+def test_no_change_arrives_before_earlier_lost_or_late_changes(seed: int, fault: dict[str, float]) -> None:
+    """A lost change is detected by the next change, or by the next heartbeat of discovery."""
+    relay = RelayZero(seed, period_ms=100.0, **fault)
     relay.drain(0)
     relay.world.run(500 * MS)
     relay.drain(1)
     relay.world.run(6 * S)
-    known: set[int] = set()
-    for which in range(1, len(relay.heard)):
-        known |= {n for n, state in relay.states(which).items() if state is ServerState.DRAINING}
-        assert known != {1}
-    assert known == {0, 1} and ("lost" in fault or ListKind.FULL not in relay.kinds())
+    draining: set[int] = set()
+    for which in range(1, len(relay.received)):
+        draining |= {n for n, state in relay.states(which).items() if state is ServerState.DRAINING}
+        assert draining != {1}
+    assert draining == {0, 1} and ("lost" in fault or ListKind.FULL not in relay.kinds())
 
 
-def test_a_change_behind_a_later_one_ends_the_watch_and_a_whole_list_follows() -> None:
-    relay = Told0(out_of_order=1.0, period_ms=100.0)
+def test_a_change_out_of_order_ends_the_watch_and_a_full_list_follows() -> None:
+    relay = RelayZero(out_of_order=1.0, period_ms=100.0)
     relay.drain(0)
-    relay.world.run(1500 * MS)  # to be back is noticed 1 s sooner than to be draining
+    relay.world.run(1500 * MS)  # A return is noticed 1 s sooner than a drain.
     relay.world.lifecycle.cancel_drain(relay.world.server(0), relay.world.server(0).life)
     relay.world.run(6 * S)
     assert relay.kinds() == [ListKind.CACHED, ListKind.DELTA, ListKind.FULL]
     assert relay.states() == dict.fromkeys(range(3), ServerState.READY)
-    assert [state for _, state in relay.told(0)] == [Told.READY]
+    assert [state for _, state in relay.notified(0)] == [Told.READY]
 
 
-def test_what_comes_too_late_counts_as_told_all_the_same() -> None:
-    relay = Told0(late=1.0, late_s=9.0)
+def test_a_relay_counts_as_notified_of_a_change_that_arrives_too_late() -> None:
+    relay = RelayZero(late=1.0, late_s=9.0)
     relay.drain(0)
     relay.world.run(10 * S)
     relay.world.machinery.listing.relay_down(0)
-    relay.up()  # with a list that does not say so
+    relay.up()  # The cached list does not contain the drain.
     relay.world.run(10 * S)
-    moments = [at for at, state in relay.told(0) if state is Told.DRAINING]
-    assert moments[:2] == [8.5, 10.0] and 11 <= moments[2] <= 11.6
+    times = [at for at, state in relay.notified(0) if state is Told.DRAINING]
+    assert times[:2] == [8.5, 10.0] and 11 <= times[2] <= 11.6
 
 
-def test_a_list_gone_quiet_for_long_begins_anew_and_for_a_moment_goes_on() -> None:
+def test_a_watch_restarts_after_a_long_silence_and_continues_after_a_short_one() -> None:
     for before, silent, kind in ((1 * S, 2 * S, ListKind.DELTA), (0, 9 * S, ListKind.FULL)):
-        relay = Told0()
+        relay = RelayZero()
         relay.drain(0)
         relay.world.run(before)
         relay.world.machinery.listing.silence(silent)
@@ -121,23 +121,24 @@
         assert relay.kinds() == [ListKind.CACHED]
         relay.world.run(1 * S)
         assert relay.kinds() == [ListKind.CACHED, kind]
-        assert relay.told(0)[0][0] == (3.0 if before else 8.5)
+        assert relay.notified(0)[0][0] == (3.0 if before else 8.5)
 
 
-def test_a_relay_starts_with_its_last_list_and_hears_what_its_agent_holds() -> None:
-    relay = Told0()
+def test_a_relay_starts_with_its_cached_list_and_receives_what_its_agent_holds() -> None:
+    relay = RelayZero()
     relay.drain(0)
-    relay.world.run(NOTICED)
+    relay.world.run(NOTICE_US)
     relay.world.machinery.listing.relay_down(0)
     relay.drain(1)
     relay.world.lifecycle.end(relay.world.server(0))
     relay.world.run(4 * S)
-    before = len(relay.told(1))
+    before = len(relay.notified(1))
     relay.up()
     assert relay.kinds() == [ListKind.CACHED]
     assert relay.states() == {0: ServerState.DRAINING, 1: ServerState.READY, 2: ServerState.READY}
-    assert before == 0 and relay.told(1)[-1][1] is Told.DRAINING  # the agent held it: that counts
-    assert relay.told(0)[-1][1] is Told.GONE
+    # The agent held the change, so the relay counts as notified.
+    assert before == 0 and relay.notified(1)[-1][1] is Told.DRAINING
+    assert relay.notified(0)[-1][1] is Told.GONE
     relay.world.run(10 * MS)
     assert relay.kinds() == [ListKind.CACHED, ListKind.FULL]
     assert relay.states() == {1: ServerState.DRAINING, 2: ServerState.READY}
@@ -151,10 +152,10 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(ENTRIES, min_size=7, max_size=7), READS)
-def test_relays_that_share_what_they_know_hear_what_each_would_alone(
+def test_relays_with_shared_destinations_receive_the_same_lists_as_alone(
     changes: list[list[tuple[int, Told, int]]], reads: list[tuple[int, int, bool, bool]]
 ) -> None:
-    """Whatever lists come to whom in whatever order, stale ones and starts with old ones among them."""
+    """Holds for any lists in any order, including stale lists and starts from old lists."""
     scenario = Scenario(
         format=1, name="t", guards_against="-", classes=(RequestClass(name="c"),), servers=Servers(count=5)
     )
@@ -163,12 +164,12 @@
     for change in changes:
         entries = {n: Entry(machines[n], state, started * S) for n, state, started in change}
         versions.add(list(entries.values()))
-    nothing = SharedDestinations.empty(names)
-    shared, alone = [nothing] * 3, [DestinationSet(names) for _ in range(3)]
+    no_lists = SharedDestinations.empty(names)
+    shared, alone = [no_lists] * 3, [DestinationSet(names) for _ in range(3)]
     for relay, number, whole, starts in reads:
         version = min(number, versions.last)
         if starts:
-            shared[relay], alone[relay] = nothing, DestinationSet(names)
+            shared[relay], alone[relay] = no_lists, DestinationSet(names)
         document = versions.whole(version) if whole or version == 1 else versions.change(version)
         try:
             expected = alone[relay].read(document, cached=starts)
--- a/tests/glenfold_lab/test_machines_store.py
+++ b/tests/glenfold_lab/test_machines_store.py
@@ -1,23 +1,23 @@
-"""The store that every set-up asks: in a crowd calls wait in turn, whichever push server they are from."""
+"""The store that every set-up queries: in a burst, calls from all push servers wait in order."""
 
-from modelled_machines import Fixed, S
+from modelled_machines import FixedMachines, S
 
 
-def test_a_crowd_of_set_ups_is_late_by_the_one_store_though_each_server_has_room() -> None:
+def test_a_burst_of_set_ups_is_delayed_by_the_shared_store() -> None:
     def slowest(headroom: float) -> int:
-        world = Fixed(count=10, store=headroom)
+        world = FixedMachines(count=10, store=headroom)
         calls = [world.call(place % 10) for place in range(40)]
         world.run(5 * S)
         assert len(world.replies) == len(calls)
-        return max(world.took.values())
+        return max(world.answer_times.values())
 
     assert slowest(40.0) > 3 * slowest(0.0)
 
 
-def test_loads_that_came_and_went_leave_no_time_that_is_not_a_number() -> None:
-    world = Fixed()
+def test_rounding_of_removed_loads_does_not_yield_nan_waits() -> None:
+    world = FixedMachines()
     calls = [world.standing(load=load)[0] for load in (0.7, 0.1, 0.3)]
-    for call in calls:  # 0.7 + 0.1 + 0.3 less each of them is a hair below 0
+    for call in calls:  # Rounding leaves the sum less each of its terms slightly below 0.
         world.servers.park(call)
     assert world.server().demand < 0
     world.run(S)
--- a/tests/glenfold_lab/test_model_follows_relay.py
+++ b/tests/glenfold_lab/test_model_follows_relay.py
@@ -1,5 +1,5 @@
-"""What the decisions hear in the model is what they hear in a real relay on sockets, event by event, for the
-same doings of clients and push servers."""
+"""Checks that the decisions receive the same events in the model as in a real relay on sockets, for the same
+actions of clients and push servers."""
 
 from contextlib import suppress
 from dataclasses import dataclass, replace
@@ -9,21 +9,24 @@
 import relaying
 import trio
 import trio.testing
-from modelled_relays import SETTINGS, Stage
+from modelled_relays import SETTINGS, RelayFixture
 
 from glenfold.dispatch import Dispatch
 from glenfold.net import sockets
 from glenfold_lab.observe import End, Over
 from linnetspread import interface
 
-Heard = list[tuple[object, ...]]
+Events = list[tuple[object, ...]]
 LINES = {Over.UP: b"UP r1\r\nLOAD 40000.0\r\n", Over.BUSY: b"BUSY\r\n", Over.ERROR: b"ERR\r\n"}
 
 
 @dataclass(frozen=True)
 class Script:
-    """answers: of the servers to each attempt; None: nothing, until half of the time that is left has passed.
-    end: who ends it then, the client ("client") or its server, and how."""
+    """The actions of a client and its servers.
+
+    `answers` are the servers' answers to each attempt; None is no answer until half of the remaining time has
+    passed. `end` is how the connection ends then: by the client ("client") or by its server.
+    """
 
     name: str
     answers: tuple[Over | None, ...]
@@ -41,59 +44,63 @@
 ]
 
 
-def listen(dispatch: Dispatch, heard: Heard) -> None:
+def record_events(dispatch: Dispatch, received: Events) -> None:
     handle = dispatch.balancer.handle
 
-    def noting(now: int, event: interface.Event) -> list[interface.Action]:
+    def recording_handle(now: int, event: interface.Event) -> list[interface.Action]:
         parts = [getattr(event, name, None) for name in ("attempt", "outcome", "done", "kind", "amount")]
         if not isinstance(event, interface.ServerList):
-            heard.append((type(event).__name__, *parts))
+            received.append((type(event).__name__, *parts))
         return handle(now, event)
 
-    dispatch.balancer.handle = noting  # type: ignore[method-assign]
+    dispatch.balancer.handle = recording_handle  # type: ignore[method-assign]
+
 
+def without_late_timers(received: Events) -> Events:
+    """Removes timers after a request is up or finished.
 
-def without_late_timers(heard: Heard) -> Heard:
-    """Those of a request that is up or over change nothing, and the clock of the sockets stands still."""
-    names = [event[0] for event in heard]
+    They change nothing, and the mock clock of the sockets does not advance.
+    """
+    names = [event[0] for event in received]
     up = names.index("Established") if "Established" in names else len(names)
     last = max(place for place, name in enumerate(names) if name != "Timer")
-    return [event for place, event in enumerate(heard) if event[0] != "Timer" or place < min(up, last)]
+    return [event for place, event in enumerate(received) if event[0] != "Timer" or place < min(up, last)]
 
 
-def in_the_model(script: Script) -> Heard:
-    heard: Heard = []
-    stage = Stage(settings=replace(SETTINGS, max_attempts=2))
+def in_the_model(script: Script) -> Events:
+    received: Events = []
+    fixture = RelayFixture(settings=replace(SETTINGS, max_attempts=2))
     answers = list(script.answers)
-    stage.servers.answer = lambda call: answers.pop(0)
-    listen(stage.relay.dispatch, heard)
-    (exchange,) = stage.ask(0)
-    stage.run(0.5)
+    fixture.servers.answer = lambda call: answers.pop(0)
+    record_events(fixture.relay.dispatch, received)
+    (exchange,) = fixture.ask(0)
+    fixture.run(0.5)
     if len(script.answers) == 2 and script.answers[0] is None:
-        stage.run(3)
+        fixture.run(3)
     if script.end == "client":
-        stage.relay.client_left(exchange)
+        fixture.relay.client_left(exchange)
     elif isinstance(script.end, End):
-        stage.relay.ended(stage.servers.calls[-1], script.end)
-    stage.run(5)
-    return without_late_timers(heard)
+        fixture.relay.ended(fixture.servers.calls[-1], script.end)
+    fixture.run(5)
+    return without_late_timers(received)
 
 
-def on_sockets(script: Script, folder: Path) -> Heard:
-    heard: Heard = []
+def on_sockets(script: Script, folder: Path) -> Events:
+    received: Events = []
     clock = trio.testing.MockClock()
     answers = list(script.answers)
-    silent = 0
+    unanswered = 0
     up_or_over = trio.Event()
 
     async def server(stream: trio.SocketStream) -> None:
-        nonlocal silent
+        nonlocal unanswered
         await relaying.read_line(stream)
         answer = answers.pop(0)
         if answer is None:
-            silent += 1
+            unanswered += 1
             if len(script.answers) == 2:
-                clock.jump(0.9995 if silent == 2 else 1.0)  # before the attempt's own end, and after it
+                # Just before, or after, the attempt's own deadline.
+                clock.jump(0.9995 if unanswered == 2 else 1.0)
             else:
                 up_or_over.set()
             await stream.receive_some()
@@ -123,16 +130,18 @@
     async def main() -> None:
         conf = relaying.config(folder)
         async with relaying.relay(conf, server, hosts=4) as (shared, inbound, port):
-            listen(shared.decisions.dispatch, heard)
+            record_events(shared.decisions.dispatch, received)
             with suppress(trio.BrokenResourceError):
                 await client(port)
             while inbound._taken:
                 await trio.sleep(0)
 
     trio.run(main, clock=clock)
-    return without_late_timers(heard)
+    return without_late_timers(received)
 
 
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.name)
-def test_the_decisions_hear_the_same_in_the_model_as_on_sockets(script: Script, tmp_path: Path) -> None:
+def test_the_decisions_receive_the_same_events_in_the_model_as_on_sockets(
+    script: Script, tmp_path: Path
+) -> None:
     assert in_the_model(script) == on_sockets(script, tmp_path)
--- a/tests/glenfold_lab/test_model_population.py
+++ b/tests/glenfold_lab/test_model_population.py
@@ -1,4 +1,4 @@
-"""Who comes, drawn ahead: as many as the load says at every moment, and the same whatever else changes."""
+"""Drawn clients: their number follows the load at all times, and other parameters don't change them."""
 
 import msgspec
 import numpy as np
@@ -41,22 +41,22 @@
     }
 
 
-def wanting(clients: dict[str, np.ndarray], second: float) -> int:
+def count_wanting(clients: dict[str, np.ndarray], second: float) -> int:
     at = second * 1e6
     return int(((clients["at"] <= at) & (clients["until"] > at)).sum())
 
 
-def test_as_many_want_a_connection_at_every_moment_as_the_load_says() -> None:
-    """Those that stand at the start are longer than usual, and partly over."""
+def test_the_number_of_wanted_connections_follows_the_load_at_all_times() -> None:
+    """Connections at the start are longer than average and partly over."""
     clients = drawn()
-    assert [wanting(clients, second) for second in (0.001, 5, 20, 40, 59)] == [
+    assert [count_wanting(clients, second) for second in (0.001, 5, 20, 40, 59)] == [
         pytest.approx(8000, rel=0.04)
     ] * 5
     usual = clients["load"][clients["at"] > 0]
     assert usual.mean() == pytest.approx(1400 * 0.75 + 400 * 0.25, rel=0.05)
 
 
-def test_a_class_more_shifts_neither_moments_nor_lives_nor_keys() -> None:
+def test_an_additional_class_changes_no_arrivals_lifetimes_or_keys() -> None:
     more = (*SCENARIO.classes, spec.RequestClass(name="c"))
     one = drawn()
     other = drawn(msgspec.structs.replace(SCENARIO, classes=more, schemes=SCENARIO.schemes[:1]))
--- a/tests/glenfold_lab/test_model_world.py
+++ b/tests/glenfold_lab/test_model_world.py
@@ -1,5 +1,5 @@
-"""Whole histories: the same bytes everywhere, what relays decide shifts nobody's day, and what befalls relays
-and clients comes out as it should."""
+"""Whole histories: results are reproducible, decisions of relays don't change the arrivals, and faults of
+relays and clients have the expected effects."""
 
 import os
 import subprocess
@@ -32,21 +32,21 @@
 )
 
 
-def changed(**changes: object) -> spec.Scenario:
+def scenario_with(**changes: object) -> spec.Scenario:
     return msgspec.structs.replace(SMALL, **changes)
 
 
-def played(of: spec.Scenario, seed: int = 1) -> tuple[RunResult, Recorder]:
+def play_recorded(of: spec.Scenario, seed: int = 1) -> tuple[RunResult, Recorder]:
     seen = Recorder()
     return play(of, seed, watchers=[seen]), seen
 
 
-def ends(seen: Recorder) -> Counter[str]:
+def count_ends(seen: Recorder) -> Counter[str]:
     return Counter(End(values[2]).name for kind, values in seen.records if kind == "ended")
 
 
-def asks(seen: Recorder) -> dict[int, list[int]]:
-    """By connection, the moments at which it asked."""
+def request_times(seen: Recorder) -> dict[int, list[int]]:
+    """Returns the times of the requests of each connection."""
     found: defaultdict[int, list[int]] = defaultdict(list)
     for kind, values in seen.records:
         if kind == "asked":
@@ -54,12 +54,12 @@
     return found
 
 
-def broken(result: RunResult) -> set[str]:
+def broken_rules(result: RunResult) -> set[str]:
     return {verdict.rule for verdict in result.verdicts}
 
 
-def fault(kind: str, at_s: float = 8.0, **terms: object) -> tuple[spec.Fault, ...]:
-    return (msgspec.convert({"kind": kind, "at_s": at_s, **terms}, spec.Fault),)
+def make_faults(kind: str, at_s: float = 8.0, **values: object) -> tuple[spec.Fault, ...]:
+    return (msgspec.convert({"kind": kind, "at_s": at_s, **values}, spec.Fault),)
 
 
 def test_the_same_seed_gives_the_same_bytes_in_every_process() -> None:
@@ -78,79 +78,80 @@
     assert first != encode(play(scenario.load("relay-crash"), 4))
 
 
-def test_what_befalls_relays_shifts_no_clients_day() -> None:
-    struck = (*fault("relay_crash", part=0.5), *fault("reconnect", 4.0, size=0.5, over_s=1.0))
-    (calm, calm_seen), (rough, rough_seen) = played(SMALL), played(changed(faults=struck))
+def test_faults_of_relays_do_not_change_arrivals() -> None:
+    faults = (*make_faults("relay_crash", part=0.5), *make_faults("reconnect", 4.0, size=0.5, over_s=1.0))
+    (calm, calm_seen), (rough, rough_seen) = play_recorded(SMALL), play_recorded(scenario_with(faults=faults))
     firsts = [
-        {client: moments[0] for client, moments in asks(seen).items()} for seen in (calm_seen, rough_seen)
+        {client: times[0] for client, times in request_times(seen).items()}
+        for seen in (calm_seen, rough_seen)
     ]
-    coming = [client for client, at in firsts[0].items() if client in firsts[1]]
-    assert len(coming) > 50 and encode(calm) != encode(rough)
+    common = [client for client, at in firsts[0].items() if client in firsts[1]]
+    assert len(common) > 50 and encode(calm) != encode(rough)
     standing = calm.figures["clients"] - len(firsts[0])
-    assert all(firsts[0][client] == firsts[1][client] for client in coming if client >= standing)
+    assert all(firsts[0][client] == firsts[1][client] for client in common if client >= standing)
 
 
-def test_connections_outlive_a_crash_where_packets_pass_through() -> None:
-    result, seen = played(changed(faults=fault("relay_crash", part=0.5)))
+def test_connections_survive_a_crash_in_pass_through_mode() -> None:
+    result, seen = play_recorded(scenario_with(faults=make_faults("relay_crash", part=0.5)))
     mid_flow = sum(1 for kind, values in seen.records if kind == "ended" and values[2] == End.RELAY_DIED)
     crashed = [values for kind, values in seen.records if kind == "relay_down"]
     assert len(crashed) == 2 and result.figures["relays_down_s"] == pytest.approx(4.0)
-    assert mid_flow > 20 and ends(seen)["BROKEN"] == 0 and not broken(result)
+    assert mid_flow > 20 and count_ends(seen)["BROKEN"] == 0 and not broken_rules(result)
 
-    _, seen = played(
-        changed(
-            faults=fault("relay_crash", part=0.5),
+    _, seen = play_recorded(
+        scenario_with(
+            faults=make_faults("relay_crash", part=0.5),
             relays=spec.Relays(count=4, restart_s=2.0, pass_through=False),
         )
     )
-    assert ends(seen)["RELAY_DIED"] < mid_flow  # no others land elsewhere when the set of relays changes
+    assert count_ends(seen)["RELAY_DIED"] < mid_flow  # No other connections are rerouted when relays change.
 
 
-def test_a_leaving_relay_that_is_stopped_until_it_is_killed_has_lost_what_it_held() -> None:
-    stopped = fault("relay_restart", count=4) + fault("relay_stall", 8.1, count=4, len_s=9.0)
-    result, seen = played(
-        changed(
+def test_a_relay_suspended_during_shutdown_loses_its_connections_when_killed() -> None:
+    stopped = make_faults("relay_restart", count=4) + make_faults("relay_stall", 8.1, count=4, len_s=9.0)
+    result, seen = play_recorded(
+        scenario_with(
             faults=stopped,
             clients=spec.Clients(load=0.3, life_s=4.0),
             relays=spec.Relays(count=4, restart_s=2.0, pass_through=False),
         )
     )
-    assert broken(result) == {"answer", "move"} and ends(seen)["CUT"] > 20
+    assert broken_rules(result) == {"answer", "move"} and count_ends(seen)["CUT"] > 20
 
 
 @pytest.mark.parametrize("relays", [True, False])
-def test_a_zone_that_is_cut_off_falls_to_the_other_and_comes_back(relays: bool) -> None:
-    lost = fault("zone_loss", 5.0, zone="cardiff", len_s=6.0, relays=relays)
-    result, seen = played(changed(faults=lost, clients=spec.Clients(load=0.15, life_s=30.0)))
+def test_clients_of_a_zone_that_is_cut_off_use_the_other_until_it_is_back(relays: bool) -> None:
+    lost = make_faults("zone_loss", 5.0, zone="cardiff", len_s=6.0, relays=relays)
+    result, seen = play_recorded(scenario_with(faults=lost, clients=spec.Clients(load=0.15, life_s=30.0)))
     start = 1_000_000_000
     while_cut = {
         values[2] for kind, values in seen.records if kind == "taken" and 9e6 < values[0] - start < 11e6
     }
     later = {values[2] for kind, values in seen.records if kind == "taken" and values[0] - start > 14e6}
     assert while_cut == ({1, 3} if relays else {0, 1, 2, 3}) and later == {0, 1, 2, 3}
-    assert not broken(result) and result.figures["service"] > 0.5
+    assert not broken_rules(result) and result.figures["service"] > 0.5
 
 
-CROWDED = spec.Relays(count=4, sockets=32)  # room for three connections each
+FULL_RELAYS = spec.Relays(count=4, sockets=32)  # Room for three connections each.
 
 
 @pytest.mark.parametrize("honour", [0.0, 1.0])
-def test_refused_clients_wait_longer_each_time_and_as_long_as_advised_if_they_heed_it(honour: float) -> None:
-    _, seen = played(
-        changed(
-            relays=CROWDED,
+def test_refused_clients_back_off_and_honour_the_advised_wait(honour: float) -> None:
+    _, seen = play_recorded(
+        scenario_with(
+            relays=FULL_RELAYS,
             clients=spec.Clients(
                 load=0.3, life_s=300.0, honour=honour, backoff_ms=100.0, backoff_most_ms=1600.0
             ),
         )
     )
     waits = [
-        [after - before for before, after in zip(moments, moments[1:], strict=False)]
-        for moments in asks(seen).values()
-        if len(moments) > 6
+        [after - before for before, after in zip(times, times[1:], strict=False)]
+        for times in request_times(seen).values()
+        if len(times) > 6
     ]
     assert len(waits) > 50
     first, later = ([row[place] for row in waits] for place in (0, 5))
-    least = 1_500_000 if honour else 50_000
-    assert min(first) >= least and min(later) >= max(800_000, least) and max(later) < 2_500_000
+    min_wait_us = 1_500_000 if honour else 50_000
+    assert min(first) >= min_wait_us and min(later) >= max(800_000, min_wait_us) and max(later) < 2_500_000
     assert honour or max(first) < 200_000
--- a/tests/glenfold_lab/test_mutants.py
+++ b/tests/glenfold_lab/test_mutants.py
@@ -1,5 +1,5 @@
-"""Relays and decisions that break a rule in the model, and breaks that stand-ins saw: each is caught, and
-what is sound passes."""
+"""Checks that the rules catch faulty relays and decisions, in the model and in records of stand-ins, and that
+sound ones pass."""
 
 import pytest
 
@@ -39,7 +39,7 @@
         balancer = self.dispatch.balancer
         tried = balancer.connections[exchange.event.request].tried
         if tried == [server]:
-            ready = [number for number, one in balancer.servers.items() if one.listed.ready]
+            ready = [number for number, record in balancer.servers.items() if record.listed.ready]
             tried.append(ready[ready[0] == server])
             self._machines.call(self._new_call(exchange, tried[1], deadline_us))
 
@@ -48,19 +48,22 @@
     def _answer(self, exchange, final, wait_us):
         super()._answer(exchange, final, wait_us)
         if final is Final.BUSY:
-            again = next(number for number, one in self.dispatch.balancer.servers.items() if one.listed.ready)
+            again = next(
+                number for number, record in self.dispatch.balancer.servers.items() if record.listed.ready
+            )
             call = self._new_call(exchange, again, exchange.state.deadline_us)
             self.late = [*getattr(self, "late", []), call]
             self._kernel.after(1, self._machines.call, call)
 
     def terminate(self):
-        for call in getattr(self, "late", []):  # else one under way is judged by the list of its next life
+        # An open call would be checked against the list of the relay's next process.
+        for call in getattr(self, "late", []):
             self._machines.close(call)
         return super().terminate()
 
 
 class HeedsTheListLate(Relay):
-    """2.1 s after it was told."""
+    """Applies a list 2.1 s after its arrival."""
 
     def receive_list(self, servers):
         started = bool(self.dispatch.balancer.servers)
@@ -74,7 +77,7 @@
 
 
 class LeavesAtOnce(Relay):
-    """When it is told to stop, with all that it holds."""
+    """Exits at once on SIGTERM, with all its connections."""
 
     def leave(self, over):
         self._kernel.after(0, over)
@@ -86,9 +89,13 @@
         return True
 
 
-TERMS = {"format": 1, "guards_against": "a checker that can't fail", "classes": (RequestClass(name="watch"),)}
+COMMON = {
+    "format": 1,
+    "guards_against": "a checker that can't fail",
+    "classes": (RequestClass(name="watch"),),
+}
 ROUGH = Scenario(
-    **TERMS,
+    **COMMON,
     name="rough",
     length_s=14.0,
     servers=Servers(count=10),
@@ -101,7 +108,7 @@
     ),
 )
 COLD = Scenario(
-    **TERMS,
+    **COMMON,
     name="cold",
     length_s=10.0,
     servers=Servers(count=10),
@@ -124,27 +131,27 @@
 ]
 
 
-def rules(scenario):
+def broken_rules(scenario):
     return {verdict.rule for verdict in world.play(scenario, SEED).verdicts}
 
 
 @pytest.mark.parametrize("scenario", [ROUGH, COLD], ids=lambda scenario: scenario.name)
 def test_sound_relays_pass(scenario):
-    assert rules(scenario) == set()
+    assert broken_rules(scenario) == set()
 
 
 @pytest.mark.parametrize(("mutant", "rule"), RELAYS, ids=lambda value: getattr(value, "__name__", value))
 def test_a_relay_that_breaks_a_rule_is_caught(mutant, rule, monkeypatch):
     monkeypatch.setattr(world, "Relay", mutant)
-    assert rules(ROUGH) == {rule}
+    assert broken_rules(ROUGH) == {rule}
 
 
 def test_decisions_that_ignore_the_cold_ramp_are_caught(monkeypatch):
     monkeypatch.setattr("glenfold.dispatch.Balancer", IgnoresTheColdRamp)
-    assert rules(COLD) == {"cold"}
+    assert broken_rules(COLD) == {"cold"}
 
 
-# ---- what stand-ins saw: their records are settled, and judged with the slack of sockets ----
+# ---- records of stand-ins, checked with the time slack for sockets ----
 
 S = 1_000_000
 SERVER, STOOD, ASKED = 100, 1, 2
@@ -155,11 +162,11 @@
     ("attempt_over", (1_006_000, STOOD, SERVER, Over.UP)),
     ("answered", (1_007_000, STOOD, Final.UP, SERVER, 0)),
 ]
-UNSAID = ("unsaid", (9 * S, STOOD))
+UNSENT = ("unsaid", (9 * S, STOOD))
 STOPS = [("stopping", (8 * S, 0)), ("relay_down", (9 * S, 0))]
 
 
-def asks(sent: int, *answers: Record) -> list[Record]:
+def request_records(sent: int, *answers: Record) -> list[Record]:
     return [
         ("taken", (sent - 2000, ASKED, 0, sent + 3 * S, 0)),
         ("sent", (sent + 500, ASKED, 0, SERVER, sent)),
@@ -174,32 +181,32 @@
 
 DRAINS = ("due", (10 * S, 0, SERVER, Told.DRAINING, 0))
 SOUND: dict[str, list[Record]] = {
-    "its server broke it": [("broke", (8_100_000, STOOD, SERVER, False)), UNSAID],
-    "its server fell silent": [("broke", (2 * S, STOOD, SERVER, True)), UNSAID],
+    "its server broke it": [("broke", (8_100_000, STOOD, SERVER, False)), UNSENT],
+    "its server fell silent": [("broke", (2 * S, STOOD, SERVER, True)), UNSENT],
     "moved before a planned restart": [("ended", (8_500_000, STOOD, End.MOVED)), *STOPS],
-    "its relay was killed": [("relay_down", (8_999_000, 0)), UNSAID],
-    "sent just after a drain was due": [DRAINS, *asks(12_040_000, refused(12_040_000))],
-    "answered just in time": asks(10 * S, refused(10 * S, 3_090_000)),
+    "its relay was killed": [("relay_down", (8_999_000, 0)), UNSENT],
+    "sent just after a drain was due": [DRAINS, *request_records(12_040_000, refused(12_040_000))],
+    "answered just in time": request_records(10 * S, refused(10 * S, 3_090_000)),
 }
 BROKEN: dict[str, tuple[str, list[Record]]] = {
-    "cut": ("move", [UNSAID]),
-    "its server's end passed on late": ("move", [("broke", (7_900_000, STOOD, SERVER, False)), UNSAID]),
+    "cut": ("move", [UNSENT]),
+    "its server's end passed on late": ("move", [("broke", (7_900_000, STOOD, SERVER, False)), UNSENT]),
     "its server's end never passed on": ("move", [("broke", (2 * S, STOOD, SERVER, True))]),
-    "cut by a planned restart": ("move", [UNSAID, *STOPS]),
+    "cut by a planned restart": ("move", [UNSENT, *STOPS]),
     "closed before its relay was killed": (
         "answer",
         [
-            *asks(8_990_000, ("answered", (8_998_000, ASKED, Final.CLOSED, None, 0))),
+            *request_records(8_990_000, ("answered", (8_998_000, ASKED, Final.CLOSED, None, 0))),
             ("relay_down", (9 * S, 0)),
             ("ended", (9 * S, STOOD, End.RELAY_DIED)),
         ],
     ),
-    "sent long after a drain was due": ("drain", [DRAINS, *asks(12_100_000, refused(12_100_000))]),
-    "answered late": ("answer", asks(10 * S, refused(10 * S, 3_110_000))),
+    "sent long after a drain was due": ("drain", [DRAINS, *request_records(12_100_000, refused(12_100_000))]),
+    "answered late": ("answer", request_records(10 * S, refused(10 * S, 3_110_000))),
 }
 
 
-def judged(more: list[Record]) -> list[str]:
+def judge_records(more: list[Record]) -> list[str]:
     judge, checker = Judge(1, [SERVER], pass_through=False), Checker(Rules(), SLACK_US)
     replay(judge.settle([*CONNECTION, *more], 20 * S), checker)
     checker.finish(20 * S)
@@ -207,11 +214,11 @@
 
 
 @pytest.mark.parametrize("name", SOUND)
-def test_what_stand_ins_saw_of_a_sound_relay_passes(name):
-    assert judged(SOUND[name]) == []
+def test_stand_in_records_of_a_sound_relay_pass(name):
+    assert judge_records(SOUND[name]) == []
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_a_break_that_stand_ins_saw_is_caught(name):
+def test_a_violation_in_stand_in_records_is_caught(name):
     rule, more = BROKEN[name]
-    assert judged(more) == [rule]
+    assert judge_records(more) == [rule]
