--- a/glenfold_lab/model/actor_faults.py
+++ b/glenfold_lab/model/actor_faults.py
@@ -36,38 +36,40 @@
         }
         for index, fault in enumerate(faults):
             if fault.kind in kinds:
-                due = DrawnFault(fault, index, streams)
-                kernel.at(kernel.start + due.at, self._strike, kinds[fault.kind], due)
+                drawn_fault = DrawnFault(fault, index, streams)
+                kernel.at(kernel.start + drawn_fault.at, self._inject, kinds[fault.kind], drawn_fault)
 
-    def _strike(self, happen: Callable[[DrawnFault], Happened], due: DrawnFault) -> None:
-        self._note(happen(due))
+    def _inject(self, inject: Callable[[DrawnFault], Happened], drawn_fault: DrawnFault) -> None:
+        self._note(inject(drawn_fault))
 
-    def _choose_targets(self, due: DrawnFault) -> list[int]:
-        return due.choose(range(len(self._relay_hosts)), due.count_of(len(self._relay_hosts)))
+    def _choose_targets(self, drawn_fault: DrawnFault) -> list[int]:
+        return drawn_fault.choose(range(len(self._relay_hosts)), drawn_fault.count_of(len(self._relay_hosts)))
 
-    def _record(self, due: DrawnFault, us: int, relays: Sequence[int] = ()) -> Happened:
+    def _record(self, drawn_fault: DrawnFault, us: int, relays: Sequence[int] = ()) -> Happened:
         at = self._kernel.now - self._kernel.start
-        return Happened(due.fault.kind, at, at + us if us else None, relays=tuple(relays))
+        return Happened(drawn_fault.fault.kind, at, at + us if us else None, relays=tuple(relays))
 
-    def _crash(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        for relay in struck:
+    def _crash(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        for relay in targets:
             self._relay_hosts.crash(relay)
-        return self._record(due, 0, struck)
+        return self._record(drawn_fault, 0, targets)
 
-    def _restart(self, due: DrawnFault) -> Happened:
+    def _restart(self, drawn_fault: DrawnFault) -> Happened:
         """Restarts the chosen relays one after the other, evenly over the given time."""
-        struck = self._choose_targets(due)
-        for turn, relay in enumerate(struck):
-            self._kernel.after(due.over * turn // len(struck), self._relay_hosts.restart, relay)
-        return self._record(due, due.over, struck)
+        targets = self._choose_targets(drawn_fault)
+        for turn, relay in enumerate(targets):
+            self._kernel.after(drawn_fault.over * turn // len(targets), self._relay_hosts.restart, relay)
+        return self._record(drawn_fault, drawn_fault.over, targets)
 
-    def _stall(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        for relay in struck:
-            self._relay_hosts.stall(relay, self._kernel.now + due.length)
-        return self._record(due, due.length, struck)
+    def _stall(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        for relay in targets:
+            self._relay_hosts.stall(relay, self._kernel.now + drawn_fault.length)
+        return self._record(drawn_fault, drawn_fault.length, targets)
 
-    def _reconnect(self, due: DrawnFault) -> Happened:
-        self._clients.drop(due.drawn("size", DEFAULT_PART), due.over, due.random("clients"))
-        return self._record(due, due.over)
+    def _reconnect(self, drawn_fault: DrawnFault) -> Happened:
+        self._clients.drop(
+            drawn_fault.drawn("size", DEFAULT_PART), drawn_fault.over, drawn_fault.random("clients")
+        )
+        return self._record(drawn_fault, drawn_fault.over)
--- a/glenfold_lab/model/clients.py
+++ b/glenfold_lab/model/clients.py
@@ -95,7 +95,7 @@
     def reconnect_delay_us(self, moved: bool, place: float) -> int:
         """Returns the delay before a client reconnects that was moved, or whose connection broke.
 
-        `place` is the client's position (0 to 1) in the range.
+        `position` is the client's position (0 to 1) in the range.
         """
         least, most = self.move_us if moved else self.rejoin_us
         return int(least + (most - least) * place)
@@ -172,7 +172,7 @@
         relays: Relays,
     ) -> None:
         self._options: ClientOptions = scenario.clients
-        self._habits = ClientBehavior.of(scenario, streams)
+        self._behavior = ClientBehavior.of(scenario, streams)
         self._pass_through = scenario.relays.pass_through
         self._kernel, self._network, self._machines = kernel, network, machines
         self._service, self._watcher = service, watcher
@@ -229,7 +229,7 @@
     def _add_clients(self, drawn: Drawn) -> range:
         """Adds clients and plans the departure and the next load change of each."""
         clients = self._columns.add(drawn)
-        add, columns = self._plan.add, self._habits.change_us
+        add, columns = self._plan.add, self._behavior.change_us
         for client, at, until, kind in zip(
             clients, drawn.at.tolist(), drawn.until.tolist(), drawn.request_class.tolist(), strict=True
         ):
@@ -264,19 +264,19 @@
         columns.relay[client] = -1 if relay is None else relay
         return relay
 
-    def _ask(self, client: int, moment: int) -> None:
+    def _ask(self, client: int, time_us: int) -> None:
         """Delivers a client's first line to a relay's machine, or to no one if none can be reached."""
         columns = self._columns
-        if columns.due[client] != moment or columns.state[client] != WAITING:
+        if columns.due[client] != time_us or columns.state[client] != WAITING:
             return
         kind = columns.kind[client]
-        sent = moment - self._network.client_us()
+        sent = time_us - self._network.client_us()
         if not columns.turn[client]:
             self._service.wanted(kind, columns.scheme[client], 1)
-        if columns.first_ask[client] == moment:
+        if columns.first_ask[client] == time_us:
             columns.first_ask[client] = sent
         self._requests += 1
-        self._watcher.asked(moment, self._requests, client, kind, columns.first_ask[client])
+        self._watcher.asked(time_us, self._requests, client, kind, columns.first_ask[client])
         relay = self._relay_for(client)
         columns.turn[client] += 1
         running = None if relay is None else self._relays.running(relay)
@@ -287,15 +287,15 @@
         else:
             exchange = self._exchange(client, running)
             self._await_answer(client, sent, exchange)
-            if not running.offer(exchange, sent + self._habits.deadlines[kind]):
+            if not running.offer(exchange, sent + self._behavior.deadlines[kind]):
                 columns.exchange[client] = None
-                self._plan_ask(client, moment + SYN_RETRY_US)
+                self._plan_ask(client, time_us + SYN_RETRY_US)
 
     def _exchange(self, client: int, relay: Relay) -> Exchange:
         """Creates the exchange for the request that the client has just started."""
         columns = self._columns
         kind, scheme, group = columns.kind[client], columns.scheme[client], columns.group[client]
-        deadline = self._habits.deadlines[kind]
+        deadline = self._behavior.deadlines[kind]
         event = interface.Request(
             self._requests,
             deadline,
@@ -312,16 +312,16 @@
         return Exchange(relay, client, scheme, group, event, state)
 
     def _await_answer(self, client: int, sent: int, exchange: Exchange | None) -> None:
-        columns, habits = self._columns, self._habits
+        columns, behavior = self._columns, self._behavior
         columns.state[client] = ASKING
         columns.exchange[client] = exchange
-        due = sent + habits.deadlines[columns.kind[client]] + habits.slack_us + ANSWER_MARGIN_US
+        due = sent + behavior.deadlines[columns.kind[client]] + behavior.slack_us + ANSWER_MARGIN_US
         columns.due[client] = due
         self._plan.add(due, client, GIVE_UP)
 
-    def _give_up(self, client: int, moment: int) -> None:
+    def _give_up(self, client: int, time_us: int) -> None:
         columns = self._columns
-        if columns.due[client] != moment or columns.state[client] != ASKING:
+        if columns.due[client] != time_us or columns.state[client] != ASKING:
             return
         self._close(client)
         if columns.mid_flow[client]:
@@ -343,19 +343,19 @@
 
     def _retry(self, client: int, wait_us: int) -> None:
         """Plans a retry after a failed attempt; `wait_us` is the wait that BUSY advised."""
-        columns, habits = self._columns, self._habits
+        columns, behavior = self._columns, self._behavior
         columns.exchange[client] = None
         columns.tries[client] += 1
         tries = columns.tries[client]
         if tries > self._options.retries:
             columns.state[client] = GAVE_UP
             return
-        pause = min(habits.backoff_us * 2 ** min(tries - 1, 20), habits.max_backoff_us)
+        pause = min(behavior.backoff_us * 2 ** min(tries - 1, 20), behavior.max_backoff_us)
         pause *= 0.5 + columns.pace[client]
         if columns.honours[client]:
             pause = max(pause, wait_us)
-        ways = self._network.client_us() + self._network.client_us()
-        self._plan_ask(client, self._kernel.now + ways + int(pause))
+        delay_us = self._network.client_us() + self._network.client_us()
+        self._plan_ask(client, self._kernel.now + delay_us + int(pause))
 
     def _reconnect(self, client: int, moved: bool = False) -> None:
         """Plans a new connection after the client's connection broke or was moved."""
@@ -364,36 +364,36 @@
         columns.mid_flow[client] = False
         columns.returning[client] = self._options.marks_returning
         self._plan_first_ask(
-            client, self._kernel.now + self._habits.reconnect_delay_us(moved, columns.rejoin[client])
+            client, self._kernel.now + self._behavior.reconnect_delay_us(moved, columns.rejoin[client])
         )
 
     # ---- departures and load changes ----
 
-    def _leave(self, client: int, moment: int) -> None:
+    def _leave(self, client: int, time_us: int) -> None:
         columns = self._columns
         self._close(client)
         columns.state[client] = GONE
         self._service.wanted(columns.kind[client], columns.scheme[client], -1)
 
-    def _change_load(self, client: int, moment: int) -> None:
+    def _change_load(self, client: int, time_us: int) -> None:
         columns = self._columns
         if columns.state[client] == GONE:
             return
         kind, (place, interval) = columns.kind[client], next(self._changes)
-        swing = self._habits.swing[kind]
+        swing = self._behavior.swing[kind]
         load = columns.load[client] = columns.usual[client] * math.exp(swing * place - swing * swing / 2)
         exchange = columns.exchange[client]
         if exchange is not None and exchange.call is not None and columns.state[client] == STANDING:
             self._machines.change_load(exchange.call, load)
             if self._machines.answer_us(exchange.call) is not None:
                 exchange.relay.load_changed(exchange, load)
-        self._plan.add(moment + int(self._habits.change_us[kind] * interval), client, CHANGE_LOAD)
+        self._plan.add(time_us + int(self._behavior.change_us[kind] * interval), client, CHANGE_LOAD)
 
     def drop(self, part: float, over_us: int, random: np.random.Generator) -> None:
         """Closes a share `part` of the standing connections; their clients reconnect within `over_us`."""
-        columns, struck = self._columns, np.flatnonzero(random.uniform(size=len(self._columns)) < part)
-        waits = random.uniform(0, over_us, size=len(struck))
-        for client, wait in zip(struck.tolist(), waits.tolist(), strict=True):
+        columns, dropped = self._columns, np.flatnonzero(random.uniform(size=len(self._columns)) < part)
+        waits = random.uniform(0, over_us, size=len(dropped))
+        for client, wait in zip(dropped.tolist(), waits.tolist(), strict=True):
             if columns.state[client] == STANDING:
                 self._close(client)
                 columns.returning[client] = self._options.marks_returning
--- a/glenfold_lab/model/draw.py
+++ b/glenfold_lab/model/draw.py
@@ -27,7 +27,7 @@
 
 
 def interpolate(wanted: Range, place: float) -> float:
-    """Returns the value at `place` (0 to 1) of a range, for values that share one draw."""
+    """Returns the value at `position` (0 to 1) of a range, for values that share one draw."""
     if isinstance(wanted, tuple):
         low, high = wanted
         return low + (high - low) * place
--- a/glenfold_lab/model/fleet.py
+++ b/glenfold_lab/model/fleet.py
@@ -95,7 +95,7 @@
         self._numbers: set[int] = set()
         self.kinds = self._draw_kinds()
         self.table_tax = value(TABLE_CAPACITY_LOSS, streams.of("servers", "table"))
-        self._speeds = [self._speeds_of(place, kind) for place, kind in enumerate(self.kinds)]
+        self._speeds = [self._speeds_of(kind_index, kind) for kind_index, kind in enumerate(self.kinds)]
         self.machines: list[Machine] = []
         count = scenario.servers.count
         kinds = assign_by_shares(count, self._shares, streams.of("servers", "kinds"))
@@ -135,9 +135,9 @@
 
     def _draw_kinds(self) -> list[KindParameters]:
         # Kinds with the same range get the same value, which depends on the connections, not on the server.
-        place = float(self._streams.of("servers", "per_core").uniform())
+        position = float(self._streams.of("servers", "per_core").uniform())
         return [
-            self._draw_kind(number, kind, interpolate(kind.per_core, place))
+            self._draw_kind(number, kind, interpolate(kind.per_core, position))
             for number, kind in enumerate(self._scenario.servers.kinds)
         ]
 
@@ -161,8 +161,8 @@
             burst=drawn("burst"),
         )
 
-    def _speeds_of(self, place: int, kind: KindParameters) -> Iterator[float]:
-        return lognormals(kind.speed, kind.speed_cv, self._streams.of("servers", "speeds", place))
+    def _speeds_of(self, kind_index: int, kind: KindParameters) -> Iterator[float]:
+        return lognormals(kind.speed, kind.speed_cv, self._streams.of("servers", "speeds", kind_index))
 
     def _draw_parameters(self) -> HistoryParameters:
         mean = CORE_WORK_US_PER_S / self.kinds[0].per_core
@@ -199,5 +199,5 @@
 
 
 def _drawn(shares: list[float], random: np.random.Generator) -> int:
-    place = random.uniform() * sum(shares)
-    return min(int(np.searchsorted(np.cumsum(shares), place, side="right")), len(shares) - 1)
+    position = random.uniform() * sum(shares)
+    return min(int(np.searchsorted(np.cumsum(shares), position, side="right")), len(shares) - 1)
--- a/glenfold_lab/model/listing/feeds.py
+++ b/glenfold_lab/model/listing/feeds.py
@@ -91,7 +91,7 @@
         self._spread_us = micros(spec.spread_ms, 1000, "spread")
         self._period_us = max(1000, micros(spec.period_ms, 1000, "period"))
         self._late_us = micros(spec.late_s, SECOND_US, "late")
-        self._told_within_us = int(spec.told_within_s * SECOND_US)
+        self._notify_within_us = int(spec.told_within_s * SECOND_US)
         self._streams = streams
         self._empty = SharedDestinations.empty(names_of(scenario))
         first = [Entry(machine, Told.READY, 0) for machine in fleet.machines]
@@ -107,16 +107,16 @@
 
     def server_changed(self, machine: Machine, state: Told, started: int, silent: bool) -> None:
         """Registers a change of a server, which discovery notices after a delay."""
-        happened = self._events_of[machine.number] = self._events_of.get(machine.number, 0) + 1
+        change_number = self._events_of[machine.number] = self._events_of.get(machine.number, 0) + 1
         delay = self._silent_notice_us if silent else self._notice_us
         delay = self._add_us if state is Told.READY else delay
-        self._kernel.after(delay, self._notice, Entry(machine, state, started), happened)
+        self._kernel.after(delay, self._notice, Entry(machine, state, started), change_number)
 
-    def _notice(self, entry: Entry, happened: int) -> None:
+    def _notice(self, entry: Entry, change_number: int) -> None:
         number = entry.machine.number
-        if happened < self._noticed_of.get(number, 0):
+        if change_number < self._noticed_of.get(number, 0):
             return  # Discovery has noticed a later change of this server.
-        self._noticed_of[number] = happened
+        self._noticed_of[number] = change_number
         if not self._gathered:
             self._kernel.at((self._kernel.now // self._period_us + 1) * self._period_us, self._publish)
         self._gathered[number] = entry
@@ -136,7 +136,7 @@
                 self._kernel.after(int(delay) + HEARTBEAT_US, self._find_missing, feed, version)
             else:
                 self._send(feed, version, int(delay) + (self._late_us if is_late else 0))
-        self._kernel.after(self._told_within_us, self._count_as_told, version)
+        self._kernel.after(self._notify_within_us, self._count_as_notified, version)
 
     def _draw(self, purpose: str, count: int) -> np.ndarray[tuple[int], np.dtype[np.float64]]:
         return self._streams.of("list", purpose).uniform(size=count)
@@ -180,14 +180,14 @@
         if version in feed.missing and self._is_connected(feed):
             self._advance(feed, self._versions.last, True)
 
-    def _advance(self, feed: Feed, version: int, whole: bool) -> None:
-        """Gives the agent this version, or with `whole` all versions up to it."""
+    def _advance(self, feed: Feed, version: int, is_full: bool) -> None:
+        """Gives the agent this version, or with `is_full` all versions up to it."""
         feed.held = max(feed.held, version)
-        come = [v for v in feed.missing if v <= version] if whole else [version]
-        for one in come:
+        versions = [v for v in feed.missing if v <= version] if is_full else [version]
+        for one in versions:
             self._report_change(feed, one)
             del feed.missing[one]
-        self._write(feed, version, whole)
+        self._write(feed, version, is_full)
 
     # ---- a relay ----
 
@@ -196,7 +196,7 @@
         feed.on_list, feed.destinations = on_list, self._empty
         feed.incarnation += 1
         cached, feed.is_watching = feed.last, True
-        self._read(feed, self._versions.whole(cached), True)
+        self._read(feed, self._versions.full_list(cached), True)
         if not self._is_connected(feed):  # The agent doesn't have these either until it is connected again.
             feed.missing |= {version: False for version in range(cached + 1, feed.held + 1)}
         self._report_start(feed, cached)
@@ -209,10 +209,10 @@
         feed.on_list, feed.destinations, feed.is_watching = None, None, False
         feed.incarnation += 1
 
-    def _write(self, feed: Feed, version: int, whole: bool) -> None:
+    def _write(self, feed: Feed, version: int, is_full: bool) -> None:
         if feed.is_watching:
             versions = self._versions
-            self._read(feed, versions.whole(version) if whole else versions.change(version))
+            self._read(feed, versions.full_list(version) if is_full else versions.change(version))
 
     def _read(self, feed: Feed, document: Document, cached: bool = False) -> None:
         if feed.on_list is None or feed.destinations is None:
@@ -249,16 +249,16 @@
 
     def _report_start(self, feed: Feed, cached: int) -> None:
         """Reports a starting relay's cached list, then the changes that its agent has or should have."""
-        now, told, relay = self._kernel.now, self._watcher.told, feed.relay
+        now, report, relay = self._kernel.now, self._watcher.told, feed.relay
         # The loop runs thousands of times at each of thousands of relays.
         for entry in self._versions.entries(cached):
-            told(now, relay, entry.machine.number, entry.state, entry.started)
+            report(now, relay, entry.machine.number, entry.state, entry.started)
         for version in range(1, self._versions.last + 1):
             due = feed.missing.get(version, version <= feed.held)
             if due and (version > cached or version in feed.missing):
                 self._report_change(feed, version)
 
-    def _count_as_told(self, version: int) -> None:
+    def _count_as_notified(self, version: int) -> None:
         for feed in self._feeds:
             if version in feed.missing:
                 feed.missing[version] = True
--- a/glenfold_lab/model/listing/versions.py
+++ b/glenfold_lab/model/listing/versions.py
@@ -56,7 +56,7 @@
         self._zones = zones
         self._changes: list[list[Entry]] = [[], first]  # By version.
         self._latest: dict[int, tuple[int, Entry]] = {e.machine.number: (1, e) for e in first}
-        self._whole: OrderedDict[int, tuple[list[Entry], Document]] = OrderedDict()
+        self._full_lists: OrderedDict[int, tuple[list[Entry], Document]] = OrderedDict()
 
     @property
     def last(self) -> int:
@@ -88,19 +88,19 @@
 
     def entries(self, version: int) -> list[Entry]:
         """Returns all servers of a version that are not removed."""
-        return self._whole_of(version)[0]
+        return self._full_list_of(version)[0]
 
-    def whole(self, version: int) -> Document:
-        return self._whole_of(version)[1]
+    def full_list(self, version: int) -> Document:
+        return self._full_list_of(version)[1]
 
-    def _whole_of(self, version: int) -> tuple[list[Entry], Document]:
-        if version not in self._whole:
+    def _full_list_of(self, version: int) -> tuple[list[Entry], Document]:
+        if version not in self._full_lists:
             by_server = {e.machine.number: e for step in self._changes[: version + 1] for e in step}
             entries = [entry for entry in by_server.values() if entry.state is not Told.GONE]
-            self._whole[version] = entries, self._document(version, True, entries)
-            if len(self._whole) > MAX_CACHED_FULL_LISTS:
-                self._whole.popitem(last=False)
-        return self._whole[version]
+            self._full_lists[version] = entries, self._document(version, True, entries)
+            if len(self._full_lists) > MAX_CACHED_FULL_LISTS:
+                self._full_lists.popitem(last=False)
+        return self._full_lists[version]
 
-    def _document(self, version: int, whole: bool, entries: list[Entry]) -> Document:
-        return {"seq": version, "whole": whole, "hosts": [entry.document(self._zones) for entry in entries]}
+    def _document(self, version: int, is_full: bool, entries: list[Entry]) -> Document:
+        return {"seq": version, "whole": is_full, "hosts": [entry.document(self._zones) for entry in entries]}
--- a/glenfold_lab/model/machine_faults.py
+++ b/glenfold_lab/model/machine_faults.py
@@ -95,32 +95,35 @@
         ]
 
     def start(self) -> None:
-        for due in self._due:
-            self._kernel.at(self._kernel.start + due.at, self._strike, due)
+        for drawn_fault in self._due:
+            self._kernel.at(self._kernel.start + drawn_fault.at, self._inject, drawn_fault)
 
-    def _strike(self, due: DrawnFault) -> None:
-        self._note(self._kinds[due.fault.kind](due))
+    def _inject(self, drawn_fault: DrawnFault) -> None:
+        self._note(self._kinds[drawn_fault.fault.kind](drawn_fault))
 
-    def _choose_targets(self, due: DrawnFault) -> list[Server]:
+    def _choose_targets(self, drawn_fault: DrawnFault) -> list[Server]:
         running = self._lifecycle.running()
-        return due.choose(running, due.count_of(len(running)))
+        return drawn_fault.choose(running, drawn_fault.count_of(len(running)))
 
     def _record(
-        self, due: DrawnFault, servers: Sequence[Server], us: int = 0, relays: tuple[int, ...] = ()
+        self, drawn_fault: DrawnFault, servers: Sequence[Server], us: int = 0, relays: tuple[int, ...] = ()
     ) -> Happened:
         """Describes a fault; `us` is its length, or 0 if it is permanent."""
         now = self._kernel.now - self._kernel.start
         numbers = tuple(server.machine.number for server in servers)
-        return Happened(due.fault.kind, now, now + us if us else None, numbers, relays)
+        return Happened(drawn_fault.fault.kind, now, now + us if us else None, numbers, relays)
 
     # ---- capacity ----
 
-    def _neighbour(self, due: DrawnFault) -> Happened:
-        struck, share = self._choose_targets(due), min(1.0, due.drawn("size", DEFAULT_CORE_SHARE))
-        until = self._kernel.now + due.length if due.length else self._end
-        for server in struck:
-            self._alternate_neighbour(server, share, due.every or until, until)
-        return self._record(due, struck, due.length)
+    def _neighbour(self, drawn_fault: DrawnFault) -> Happened:
+        targets, share = (
+            self._choose_targets(drawn_fault),
+            min(1.0, drawn_fault.drawn("size", DEFAULT_CORE_SHARE)),
+        )
+        until = self._kernel.now + drawn_fault.length if drawn_fault.length else self._end
+        for server in targets:
+            self._alternate_neighbour(server, share, drawn_fault.every or until, until)
+        return self._record(drawn_fault, targets, drawn_fault.length)
 
     def _alternate_neighbour(
         self, server: Server, share: float, every: int, until: int, other_share: float = 0.0
@@ -133,91 +136,97 @@
                 min(now + every, until), self._alternate_neighbour, server, other_share, every, until, share
             )
 
-    def _stall(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        for server in struck:
+    def _stall(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        for server in targets:
             self._lifecycle.set_stalled(server, True)
-            if due.length:
-                self._kernel.after(due.length, self._lifecycle.set_stalled, server, False)
-        return self._record(due, struck, due.length)
+            if drawn_fault.length:
+                self._kernel.after(drawn_fault.length, self._lifecycle.set_stalled, server, False)
+        return self._record(drawn_fault, targets, drawn_fault.length)
 
     # ---- the fleet ----
 
-    def _shrink(self, due: DrawnFault) -> Happened:
+    def _shrink(self, drawn_fault: DrawnFault) -> Happened:
         running = self._lifecycle.running()
-        left = max(1, round(len(running) / max(1.0, due.drawn("size", DEFAULT_SHRINK_FACTOR))))
-        return self._drain_all(due, due.choose(running, len(running) - left))
+        remaining = max(1, round(len(running) / max(1.0, drawn_fault.drawn("size", DEFAULT_SHRINK_FACTOR))))
+        return self._drain_all(drawn_fault, drawn_fault.choose(running, len(running) - remaining))
 
-    def _drain(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        happened = self._drain_all(due, struck)
-        for server in struck if due.fault.replace else ():
+    def _drain(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        happened = self._drain_all(drawn_fault, targets)
+        for server in targets if drawn_fault.fault.replace else ():
             machine = server.machine
             self._lifecycle.add(self._servers.fleet.add(machine.kind_index, machine.zone))
         return happened
 
-    def _drain_all(self, due: DrawnFault, struck: list[Server]) -> Happened:
-        for server in struck:
-            self._lifecycle.drain(server, due.over)
-        return self._record(due, struck, due.over)
+    def _drain_all(self, drawn_fault: DrawnFault, targets: list[Server]) -> Happened:
+        for server in targets:
+            self._lifecycle.drain(server, drawn_fault.over)
+        return self._record(drawn_fault, targets, drawn_fault.over)
 
-    def _restart(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        for turn, server in enumerate(struck):
-            self._kernel.after(due.over * turn // len(struck), self._lifecycle.restart, server, due.length)
-        return self._record(due, struck, due.over + due.length)
+    def _restart(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        for turn, server in enumerate(targets):
+            self._kernel.after(
+                drawn_fault.over * turn // len(targets), self._lifecycle.restart, server, drawn_fault.length
+            )
+        return self._record(drawn_fault, targets, drawn_fault.over + drawn_fault.length)
 
-    def _start_new(self, due: DrawnFault) -> Happened:
-        count = due.fault.count or due.count_of(len(self._lifecycle.running()))
+    def _start_new(self, drawn_fault: DrawnFault) -> Happened:
+        count = drawn_fault.fault.count or drawn_fault.count_of(len(self._lifecycle.running()))
         for turn in range(count):
-            self._kernel.after(due.over * turn // count, self._add_one)
-        return self._record(due, (), due.over)
+            self._kernel.after(drawn_fault.over * turn // count, self._add_one)
+        return self._record(drawn_fault, (), drawn_fault.over)
 
     def _add_one(self) -> None:
         self._lifecycle.add(self._servers.fleet.add_drawn())
 
-    def _crash(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        for server in struck:
-            if due.length:
-                self._lifecycle.restart(server, due.length)
+    def _crash(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        for server in targets:
+            if drawn_fault.length:
+                self._lifecycle.restart(server, drawn_fault.length)
             else:
                 self._lifecycle.end(server)
-        return self._record(due, struck, due.length)
+        return self._record(drawn_fault, targets, drawn_fault.length)
 
     # ---- silence ----
 
-    def _vanish(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        for server in struck:
+    def _vanish(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        for server in targets:
             self._lifecycle.vanish(server)
-            if due.length:
-                self._kernel.after(due.length, self._lifecycle.appear, server, server.life)
-        return self._record(due, struck, due.length)
+            if drawn_fault.length:
+                self._kernel.after(drawn_fault.length, self._lifecycle.appear, server, server.life)
+        return self._record(drawn_fault, targets, drawn_fault.length)
 
-    def _zone_loss(self, due: DrawnFault) -> Happened:
+    def _zone_loss(self, drawn_fault: DrawnFault) -> Happened:
         names = self._network.names
-        zone = names.index(due.fault.zone) if due.fault.zone else due.draw_index(len(names))
-        struck = self._lifecycle.cut(zone, due.fault.relays)
-        if due.length:
-            self._kernel.after(due.length, self._lifecycle.restore, zone)
-        relays = range(self._relays) if due.fault.relays else ()
+        zone = (
+            names.index(drawn_fault.fault.zone)
+            if drawn_fault.fault.zone
+            else drawn_fault.draw_index(len(names))
+        )
+        targets = self._lifecycle.cut(zone, drawn_fault.fault.relays)
+        if drawn_fault.length:
+            self._kernel.after(drawn_fault.length, self._lifecycle.restore, zone)
+        relays = range(self._relays) if drawn_fault.fault.relays else ()
         cut_off = tuple(relay for relay in relays if self._network.zone_of(relay) == zone)
-        return self._record(due, struck, due.length, cut_off)
+        return self._record(drawn_fault, targets, drawn_fault.length, cut_off)
 
     # ---- the list ----
 
-    def _list_silent(self, due: DrawnFault) -> Happened:
-        self._lists.silence(due.length or self._end - self._kernel.now)
-        return self._record(due, (), due.length)
+    def _list_silent(self, drawn_fault: DrawnFault) -> Happened:
+        self._lists.silence(drawn_fault.length or self._end - self._kernel.now)
+        return self._record(drawn_fault, (), drawn_fault.length)
 
-    def _flap(self, due: DrawnFault) -> Happened:
-        struck = self._choose_targets(due)
-        until = self._kernel.now + due.length if due.length else self._end
-        half = (due.every or int(DEFAULT_FLAP_S * SECOND_US)) // 2
-        for server in struck:
+    def _flap(self, drawn_fault: DrawnFault) -> Happened:
+        targets = self._choose_targets(drawn_fault)
+        until = self._kernel.now + drawn_fault.length if drawn_fault.length else self._end
+        half = (drawn_fault.every or int(DEFAULT_FLAP_S * SECOND_US)) // 2
+        for server in targets:
             self._flap_out(server, server.life, half, until)
-        return self._record(due, struck, due.length)
+        return self._record(drawn_fault, targets, drawn_fault.length)
 
     def _flap_out(self, server: Server, life: int, half: int, until: int) -> None:
         if self._kernel.now < until and server.life == life and self._lifecycle.start_drain(server):
--- a/glenfold_lab/model/plan.py
+++ b/glenfold_lab/model/plan.py
@@ -34,13 +34,13 @@
         self._steps: dict[int, array[int]] = {}
         self._open = -1  # The current step, whose actions are in the kernel's queue.
 
-    def add(self, moment: int, client: int, kind: int) -> None:
-        if moment > self._until:
+    def add(self, time_us: int, client: int, kind: int) -> None:
+        if time_us > self._until:
             return
-        after = max(0, moment - self._start)
+        after = max(0, time_us - self._start)
         step = after >> STEP_BITS
         if step <= self._open:
-            self._kernel.at(moment, self._kinds[kind], client, moment)
+            self._kernel.at(time_us, self._kinds[kind], client, time_us)
             return
         codes = self._steps.get(step)
         if codes is None:
@@ -52,5 +52,5 @@
         self._open = step
         at, start, kinds = self._kernel.at, self._start, self._kinds
         for code in sorted(self._steps.pop(step)):
-            client, moment = code >> KIND_BITS & CLIENT_MASK, start + (code >> KIND_BITS + CLIENT_BITS)
-            at(moment, kinds[code & KIND_MASK], client, moment)
+            client, time_us = code >> KIND_BITS & CLIENT_MASK, start + (code >> KIND_BITS + CLIENT_BITS)
+            at(time_us, kinds[code & KIND_MASK], client, time_us)
--- a/glenfold_lab/model/population.py
+++ b/glenfold_lab/model/population.py
@@ -114,8 +114,8 @@
         count = round(self.mean_connections) if self._clients.standing else 0
         at = np.full(count, self._start)
         random = self._streams.of("clients", "lives", STANDING)
-        left = random.uniform(size=count) * self._lives(random, count, SIZE_BIASED)
-        return self._drawn(at, left, STANDING)
+        remaining_life = random.uniform(size=count) * self._lives(random, count, SIZE_BIASED)
+        return self._drawn(at, remaining_life, STANDING)
 
     def arrivals(self, step_us: int) -> Iterator[Drawn]:
         """Yields the arriving clients in steps of `step_us`."""
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -101,9 +101,8 @@
         self._is_submitting = False
         self._steps: deque[tuple[int, Callable[..., None], tuple[Any, ...]]] = deque()
         self._busy_until = self._stalled_until = 0
-        self._backlog: dict[
-            int, Exchange
-        ] = {}  # Connections that the machine accepted and the process did not.
+        # Connections that the machine accepted and the process did not.
+        self._backlog: dict[int, Exchange] = {}
         self._last_arrival = 0
         self._due: list[tuple[int, int, Exchange, Call | None]] = []  # Deadlines of requests and calls.
         self._sequence = 0
@@ -300,15 +299,15 @@
         exchange = self._caller(call)
         if exchange is None or not self._clients.is_reachable(exchange):
             return
-        takes = self._machines.answer_us(call)
-        if takes is None or takes >= SERVER_SILENCE_US:
-            self._kernel.after(SERVER_SILENCE_US, self._handle_silence, call, takes)
+        answer_time_us = self._machines.answer_us(call)
+        if answer_time_us is None or answer_time_us >= SERVER_SILENCE_US:
+            self._kernel.after(SERVER_SILENCE_US, self._handle_silence, call, answer_time_us)
 
-    def _handle_silence(self, call: Call, takes: int | None) -> None:
+    def _handle_silence(self, call: Call, answer_time_us: int | None) -> None:
         exchange = self._caller(call)
         if exchange is None:
             return
-        if takes is None and self._machines.answer_us(call) is not None:
+        if answer_time_us is None and self._machines.answer_us(call) is not None:
             self.fell_silent(call)  # The server is back and has answered.
         else:
             self._run_step(self._costs.notice, self._move, exchange, BROKEN)
@@ -395,10 +394,10 @@
         self._busy_until += self._costs.call
         call = exchange.call = self._new_call(exchange, server, deadline_us)
         self._machines.call(call)
-        waits = deadline_us - self._kernel.now
+        wait_us = deadline_us - self._kernel.now
         if not call.sent_at:
-            waits = min(waits, self.settings.connect_timeout_us)
-        self._add_deadline(self._kernel.now + waits, exchange, call)
+            wait_us = min(wait_us, self.settings.connect_timeout_us)
+        self._add_deadline(self._kernel.now + wait_us, exchange, call)
 
     def _drop_call(self, exchange: Exchange) -> None:
         if exchange.call is not None:
@@ -407,18 +406,18 @@
 
     # ---- deadlines ----
 
-    def _add_deadline(self, moment: int, exchange: Exchange, call: Call | None) -> None:
+    def _add_deadline(self, deadline: int, exchange: Exchange, call: Call | None) -> None:
         self._sequence += 1
-        heapq.heappush(self._due, (moment, self._sequence, exchange, call))
-        self._wake_at(moment)
+        heapq.heappush(self._due, (deadline, self._sequence, exchange, call))
+        self._wake_at(deadline)
 
-    def _wake_at(self, moment: int) -> None:
-        if self._wakes_at is None or moment < self._wakes_at:
-            self._wakes_at = moment
-            self._kernel.at(moment, self._wake, moment)
+    def _wake_at(self, deadline: int) -> None:
+        if self._wakes_at is None or deadline < self._wakes_at:
+            self._wakes_at = deadline
+            self._kernel.at(deadline, self._wake, deadline)
 
-    def _wake(self, moment: int) -> None:
-        if self.alive and moment == self._wakes_at:
+    def _wake(self, deadline: int) -> None:
+        if self.alive and deadline == self._wakes_at:
             self._wakes_at = None
             self._run_step(0, self._fire)
 
@@ -429,12 +428,12 @@
             _, _, exchange, call = heapq.heappop(due)
             if self._is_awaited(exchange, call):
                 self._handle_deadline(exchange, call)
-        moments = [due[0][0]] if due else []
+        deadlines = [due[0][0]] if due else []
         timer = self.dispatch.next_timer_us
         if timer is not None:
-            moments.append(timer)
-        if moments:
-            self._wake_at(min(moments))
+            deadlines.append(timer)
+        if deadlines:
+            self._wake_at(min(deadlines))
 
     @staticmethod
     def _is_awaited(exchange: Exchange, call: Call | None) -> bool:
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -80,12 +80,12 @@
         server = self._by_number[call.server]
         if not self._is_reachable(call, server):
             return
-        way = self._delay_us(call, server)
-        call.sent_at = self.kernel.now + 2 * way
+        delay_us = self._delay_us(call, server)
+        call.sent_at = self.kernel.now + 2 * delay_us
         if server.running:
-            self.kernel.after(3 * way, self._arrive, call, server)
+            self.kernel.after(3 * delay_us, self._arrive, call, server)
         else:
-            self.kernel.after(way, self._refuse, call, server)
+            self.kernel.after(delay_us, self._refuse, call, server)
 
     def _arrive(self, call: Call, server: Server) -> None:
         if call.dropped or not self._is_reachable(call, server):
@@ -141,19 +141,19 @@
             # The fluid model works on a set-up with all cores; a real server uses one core, and messages come
             # between.
             own = set_up.work / server.machine.speed
-            left = max(0.0, own - set_up.work / capacity * 1e6) if capacity > 0 else 0.0
+            remaining = max(0.0, own - set_up.work / capacity * 1e6) if capacity > 0 else 0.0
             spread = next(self._spread) * (SET_UP_SPREAD * own + server.wait_us)
-            self.kernel.after(int(left + spread), self._ask_store, set_up.call, server)
+            self.kernel.after(int(remaining + spread), self._ask_store, set_up.call, server)
         self._schedule_head(server)
 
     def _ask_store(self, call: Call, server: Server) -> None:
-        if call.over or call.dropped:
+        if call.is_answered or call.dropped:
             return
-        takes = self._store.answer_us(self.kernel.now) if self._store is not None else 0
-        self.kernel.after(takes, self._finish, call, server)
+        answer_us = self._store.answer_us(self.kernel.now) if self._store is not None else 0
+        self.kernel.after(answer_us, self._finish, call, server)
 
     def _finish(self, call: Call, server: Server) -> None:
-        if call.over or call.dropped or not self._is_reachable(call, server):
+        if call.is_answered or call.dropped or not self._is_reachable(call, server):
             return
         server.advance(self.kernel.now)
         del server.waiting[call.request]
@@ -173,7 +173,7 @@
             self._answer(call, server, Over.REFUSED)
 
     def _answer(self, call: Call, server: Server, over: Over) -> None:
-        call.over = True
+        call.is_answered = True
         self.watcher.attempt_over(self.kernel.now, call.request, call.server, over)
         if self._is_reachable(call, server):
             self.kernel.after(self._delay_us(call, server), self._replied, call, server, over)
@@ -181,9 +181,9 @@
     def _replied(self, call: Call, server: Server, over: Over) -> None:
         if call.dropped:
             return
-        call.back.replied(call, over)
-        if call.stands and (server.is_unresponsive or not self._is_reachable(call, server)):
-            call.back.fell_silent(call)
+        call.caller.replied(call, over)
+        if call.is_standing and (server.is_unresponsive or not self._is_reachable(call, server)):
+            call.caller.fell_silent(call)
 
     # ---- standing connections ----
 
@@ -192,7 +192,7 @@
         if not server.running or server.held >= server.cap:
             return False
         server.advance(self.kernel.now)
-        call.arrived = call.over = True
+        call.arrived = call.is_answered = True
         self._put(call, server)
         return True
 
@@ -201,21 +201,21 @@
             return
         call.dropped = True
         server = self._by_number[call.server]
-        if call.stands:
+        if call.is_standing:
             self._take_off(call, server)
-        elif call.arrived and not call.over:
+        elif call.arrived and not call.is_answered:
             server.advance(self.kernel.now)
             server.abandon(call)
             self.watcher.attempt_over(self.kernel.now, call.request, call.server, Over.ABANDONED)
 
     def park(self, call: Call) -> None:
-        if not call.stands:
+        if not call.is_standing:
             return self.close(call)
         server = self._by_number[call.server]
         server.advance(self.kernel.now)
         server.park(call)
         self._count(call, server, -1)
-        call.stands = False
+        call.is_standing = False
         self.kernel.after(self._park_us, self._forget_parked, call, server)
 
     def _forget_parked(self, call: Call, server: Server) -> None:
@@ -224,7 +224,7 @@
             server.unpark(call)
 
     def change_load(self, call: Call, load: float) -> None:
-        if call.stands:
+        if call.is_standing:
             server = self._by_number[call.server]
             server.advance(self.kernel.now)
             server.demand += load - call.load
@@ -235,12 +235,12 @@
 
     def answer_us(self, call: Call) -> int | None:
         server = self._by_number[call.server]
-        if not call.stands or not self._is_reachable(call, server):
+        if not call.is_standing or not self._is_reachable(call, server):
             return None
         server.advance(self.kernel.now)
         took = server.backlog_us() + server.wait_us + self.messages.message_work_us(server.machine.index)
-        way = self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
-        return int(2 * way + took) if took < float("inf") else None
+        delay_us = self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
+        return int(2 * delay_us + took) if took < float("inf") else None
 
     def break_off(self, call: Call, server: Server, how: End) -> None:
         """Ends a standing connection from the server's side."""
@@ -258,18 +258,18 @@
 
     def _ended(self, call: Call, how: End) -> None:
         if not call.dropped:
-            call.back.ended(call, how)
+            call.caller.ended(call, how)
 
     def _put(self, call: Call, server: Server) -> None:
         server.add_standing(call)
         self._count(call, server, 1)
-        call.stands = True
+        call.is_standing = True
 
     def _take_off(self, call: Call, server: Server) -> None:
         server.advance(self.kernel.now)
         server.remove_standing(call)
         self._count(call, server, -1)
-        call.stands = False
+        call.is_standing = False
 
     def _count(self, call: Call, server: Server, change: int) -> None:
         zone = self.network.zone_of(call.relay)
@@ -288,7 +288,7 @@
         """Notifies the relays of those connections whose lines now go unanswered."""
         for call in list(server.standing.values()):
             if server.is_unresponsive or not self._is_reachable(call, server):
-                call.back.fell_silent(call)
+                call.caller.fell_silent(call)
 
     def _zone_changed(self, _zone: int) -> None:
         for server in self.all:
--- a/glenfold_lab/model/servers/lifecycle.py
+++ b/glenfold_lab/model/servers/lifecycle.py
@@ -119,17 +119,17 @@
             self._report_started(server, False)
             self._on_change(server.machine, Told.READY, server.started, False)
 
-    def _ask_to_leave(self, server: Server, life: int, count: int, over_us: int, left_us: int) -> None:
+    def _ask_to_leave(self, server: Server, life: int, count: int, over_us: int, remaining_us: int) -> None:
         """Asks clients to leave so that the share of `count` that stays is the share of time that remains."""
         if server.life != life:
             return
-        if left_us <= 0:
+        if remaining_us <= 0:
             return self.end(server)
-        step = min(DRAIN_STEP_US, left_us)
-        stay = math.ceil(count * (left_us - step) / over_us)
+        step = min(DRAIN_STEP_US, remaining_us)
+        stay = math.ceil(count * (remaining_us - step) / over_us)
         for call in list(server.standing.values())[: max(0, len(server.standing) - stay)]:
             self._servers.break_off(call, server, End.MOVED)
-        self._kernel.after(step, self._ask_to_leave, server, life, count, over_us, left_us - step)
+        self._kernel.after(step, self._ask_to_leave, server, life, count, over_us, remaining_us - step)
 
     # ---- silence ----
 
@@ -149,11 +149,11 @@
 
     def cut(self, zone: int, relays: bool) -> list[Server]:
         """Cuts a zone off (`Network.cut`) and returns the servers that this silenced."""
-        struck = [s for s in self._servers.all if s.machine.zone == zone and s.running and not s.silent]
+        silenced = [s for s in self._servers.all if s.machine.zone == zone and s.running and not s.silent]
         self._servers.network.cut(zone, relays)
-        for server in struck:
+        for server in silenced:
             self._report_lost(server)
-        return struck
+        return silenced
 
     def restore(self, zone: int) -> None:
         self._servers.network.restore(zone)
--- a/glenfold_lab/model/servers/messages.py
+++ b/glenfold_lab/model/servers/messages.py
@@ -65,9 +65,9 @@
         exponential tail.
         """
         fixed = (np.array(self._own) + now.backlog_us)[:, None] + np.array(self._ways)
-        left = self._aims - fixed[:, :, None]
+        remaining = self._aims - fixed[:, :, None]
         tail = np.maximum(self.waits(now.used), 1.0)[:, None, None]
-        shares: Floats = np.where(left > 0, -np.expm1(-np.maximum(left, 0) / tail), 0.0)
+        shares: Floats = np.where(remaining > 0, -np.expm1(-np.maximum(remaining, 0) / tail), 0.0)
         return shares * now.answers[:, :, None]
 
     def message_work_us(self, server: int) -> float:
--- a/glenfold_lab/model/servers/server.py
+++ b/glenfold_lab/model/servers/server.py
@@ -88,9 +88,8 @@
         self.life += 1
         self.cold = False
         self.is_unresponsive = False  # The relays have been notified that lines go unanswered.
-        self.base_capacity = self.capacity_per_connection = (
-            0.0  # Capacity, and the part of it that each connection takes.
-        )
+        # Capacity without connections, and the part of it that each connection takes.
+        self.base_capacity = self.capacity_per_connection = 0.0
         self.demand = self.backlog = 0.0
         self.total_work = 0.0  # All work so far, with the backlog.
         self.left_out = 0.0  # Queued work that will be skipped.
--- a/glenfold_lab/model/service.py
+++ b/glenfold_lab/model/service.py
@@ -53,11 +53,11 @@
 
         Nothing is added after the length of the history, which may run on until all requests are answered.
         """
-        moment = self._servers.tick()
+        snapshot = self._servers.tick()
         if self._kernel.now > self._end:
             return
         placed = self._servers.placed.table()
-        share_within_aim = self._servers.messages.share_within_aim(moment)
+        share_within_aim = self._servers.messages.share_within_aim(snapshot)
         wants = np.array(self._wants, dtype=np.float64)
         served = np.einsum("nzkt,nzk->kt", placed, share_within_aim)
         factors = self._within_share(placed.sum(axis=(0, 1, 2)).astype(np.float64))
@@ -65,7 +65,7 @@
         self._wanted.append(wants * self._worth[:, None] * self._within_share(wants.sum(axis=0)))
         self._counts.append((int(wants.sum()), int(placed.sum())))
         self._counted.append(self._kernel.now > self._counted_from)
-        self._add_loads(moment.demand, moment.capacity)
+        self._add_loads(snapshot.demand, snapshot.capacity)
 
     def _within_share(self, connections: Floats) -> Floats:
         """Returns the mean worth of a connection of each scheme, by its number of connections."""
@@ -100,9 +100,9 @@
         classes, schemes = (
             _shares(served.sum(axis=axes), wanted.sum(axis=axes)) for axes in ((0, 2), (0, 1))
         )
-        whole = float(_shares(served.sum(), wanted.sum()))
+        overall = float(_shares(served.sum(), wanted.sum()))
         window = _worst_window(served.sum(axis=(1, 2)), wanted.sum(axis=(1, 2)))
-        worst = whole, window, float(classes.min()), float(schemes.min())
+        worst = overall, window, float(classes.min()), float(schemes.min())
         parts = zip((GOAL_SERVICE, GOAL_WINDOW, GOAL_CLASS, GOAL_SCHEME), worst, strict=True)
         figures = dict(zip(("service", "worst_window", "worst_class", "worst_scheme"), worst, strict=True))
         figures["goal"] = sum(weight * share for weight, share in parts)
--- a/glenfold_lab/model/wire.py
+++ b/glenfold_lab/model/wire.py
@@ -19,7 +19,7 @@
 
     `load` is microseconds of work per second on a standard core and may change while the connection stands.
     `connection` is the client's number, the same over its attempts, by which a push server recognizes a
-    parked connection. `deadline` is absolute; the server refuses the request after it. `back` receives the
+    parked connection. `deadline` is absolute; the server refuses the request after it. `caller` receives the
     results.
     """
 
@@ -33,13 +33,13 @@
     load: float
     deadline: int
     mid_flow: bool
-    back: "Caller"
+    caller: "Caller"
     # Only the machines write the fields below.
     sent_at: int = 0  # When its first byte leaves the relay; 0 if the server's machine is silent.
-    stands: bool = False
+    is_standing: bool = False
     dropped: bool = False  # The relay has closed the call.
     arrived: bool = False  # Its last byte has reached the server.
-    over: bool = False  # The server or its machine has answered or reset the attempt.
+    is_answered: bool = False  # The server or its machine has answered or reset the attempt.
     resumed: bool = False  # UP mid-flow: the connection goes on; otherwise the client had to reconnect.
 
 
--- a/glenfold_lab/stand_ins/script.py
+++ b/glenfold_lab/stand_ins/script.py
@@ -231,9 +231,9 @@
         at = self._kernel.now - self._kernel.start
         return News(at, feed.relay, version, tuple(self._versions.changed(version)))
 
-    def _count_as_told(self, version: int) -> None:
+    def _count_as_notified(self, version: int) -> None:
         self._due = True
-        super()._count_as_told(version)
+        super()._count_as_notified(version)
         self._due = False
 
     def _report_change(self, feed: Feed, version: int) -> None:
--- a/tests/glenfold_lab/modelled_relays.py
+++ b/tests/glenfold_lab/modelled_relays.py
@@ -51,7 +51,7 @@
             return
         call.sent_at = self.kernel.now + 2 * WAY_US
         if (over := self.answer(call)) is not None:
-            self.kernel.after(4 * WAY_US, call.back.replied, call, over)
+            self.kernel.after(4 * WAY_US, call.caller.replied, call, over)
 
     def resume(self, call: Call) -> bool:
         self.calls.append(call)
--- a/tests/glenfold_lab/test_machines_calls.py
+++ b/tests/glenfold_lab/test_machines_calls.py
@@ -91,7 +91,7 @@
     heavy = world.standing(1, load=500_000.0)[0]
     world.run(10 * S)
     assert world.ends == {heavy.request: End.BROKEN}
-    assert all(call.stands for call in light)
+    assert all(call.is_standing for call in light)
 
 
 def test_unanswered_lines_are_reported_once_per_period_of_silence() -> None:
@@ -140,7 +140,7 @@
     world.servers.close(waits)
     world.lifecycle.appear(world.server(), world.server().life)
     world.run(2 * S)
-    assert stands.stands and world.servers.answer_us(stands) is not None and not world.replies
+    assert stands.is_standing and world.servers.answer_us(stands) is not None and not world.replies
     assert [how for *_, how in world.observed("attempt_over")] == [Over.ABANDONED]
 
 
@@ -238,12 +238,12 @@
         _apply_step(world, calls, what, which)
         world.run(wait * MS)
         for server in world.servers.all:
-            stands = [call for call in calls if call.stands and call.server == server.machine.number]
+            stands = [call for call in calls if call.is_standing and call.server == server.machine.number]
             assert list(server.standing.values()) == stands
             groups = {call.group for call in [*stands, *server.parked.values()]} - {0}
             assert server.demand == pytest.approx(sum(call.load for call in stands) + GROUP * len(groups))
             assert server.backlog >= 0 and server.held <= server.cap
-        assert world.servers.placed.table().sum() == sum(call.stands for call in calls)
+        assert world.servers.placed.table().sum() == sum(call.is_standing for call in calls)
     for call in calls:
         world.servers.close(call)
     world.run(10 * S)
--- a/tests/glenfold_lab/test_machines_listing.py
+++ b/tests/glenfold_lab/test_machines_listing.py
@@ -166,11 +166,11 @@
         versions.add(list(entries.values()))
     no_lists = SharedDestinations.empty(names)
     shared, alone = [no_lists] * 3, [DestinationSet(names) for _ in range(3)]
-    for relay, number, whole, starts in reads:
+    for relay, number, is_full, starts in reads:
         version = min(number, versions.last)
         if starts:
             shared[relay], alone[relay] = no_lists, DestinationSet(names)
-        document = versions.whole(version) if whole or version == 1 else versions.change(version)
+        document = versions.full_list(version) if is_full or version == 1 else versions.change(version)
         try:
             expected = alone[relay].read(document, cached=starts)
         except BadList:
--- a/tests/glenfold_lab/test_model_front.py
+++ b/tests/glenfold_lab/test_model_front.py
@@ -8,8 +8,8 @@
     kernel, step = Kernel(), 1 << STEP_BITS
     called: list[tuple[int, int, int]] = []
 
-    def on_due(client: int, moment: int) -> None:
-        called.append((moment - kernel.start, client, kernel.now - kernel.start))
+    def on_due(client: int, time_us: int) -> None:
+        called.append((time_us - kernel.start, client, kernel.now - kernel.start))
         if client == 3:  # One falls into the current step, one far ahead.
             plan.add(kernel.now + 5, 7, 0)
             plan.add(kernel.now + 9 * step, 8, 0)
--- a/tests/glenfold_lab/test_model_relays.py
+++ b/tests/glenfold_lab/test_model_relays.py
@@ -135,7 +135,7 @@
     assert [exchange.client for exchange in fixture.relay.terminate()] == [0, 1]
     assert fixture.servers.parked == [standing] * pass_through
     assert fixture.servers.closed == [standing] * (not pass_through) + [calling]
-    calling.back.replied(calling, Over.UP)
+    calling.caller.replied(calling, Over.UP)
     fixture.run(5)
     assert fixture.clients.received_names() == ["up"]
 
