--- a/glenfold_lab/model/anchors.py
+++ b/glenfold_lab/model/anchors.py
@@ -25,8 +25,8 @@
 
     __slots__ = ("plain", "digest", "holders", "__weakref__")
 
-    def __init__(self, plain: PlainAnchor, past: bytes) -> None:
-        self.plain, self.digest, self.holders = plain, past, 0
+    def __init__(self, plain: PlainAnchor, digest: bytes) -> None:
+        self.plain, self.digest, self.holders = plain, digest, 0
 
 
 class Pool:
@@ -36,18 +36,19 @@
         self._by_past: WeakValueDictionary[bytes, SharedEntry] = WeakValueDictionary()
 
     def get_initial(self, servers: list[tuple[int, int]]) -> SharedEntry:
-        past = hashlib.blake2b(repr(servers).encode(), digest_size=16).digest()
-        found = self._by_past.get(past)
-        return self._hold(found or SharedEntry(PlainAnchor(servers), past))
+        """Returns the anchor that is built from this list of servers and bucket counts."""
+        digest = hashlib.blake2b(repr(servers).encode(), digest_size=16).digest()
+        found = self._by_past.get(digest)
+        return self._hold(found or SharedEntry(PlainAnchor(servers), digest))
 
-    def get_changed(self, shared: SharedEntry, past: bytes, changes: Iterable[Change]) -> SharedEntry:
+    def get_changed(self, shared: SharedEntry, digest: bytes, changes: Iterable[Change]) -> SharedEntry:
         """Releases `shared` and returns the anchor with `changes` applied."""
-        found = self._by_past.get(past)
+        found = self._by_past.get(digest)
         shared.holders -= 1
         if found is None:
             # Without another holder, the anchor can be changed in place.
             plain = _copy(shared.plain) if shared.holders else shared.plain
-            found = SharedEntry(plain, past)
+            found = SharedEntry(plain, digest)
             for server, buckets in changes:
                 plain.add(server, buckets) if buckets else plain.remove(server)
         return self._hold(found)
@@ -61,8 +62,8 @@
         return len(self._by_past)
 
 
-def _next_digest(past: bytes, change: Change) -> bytes:
-    return hashlib.blake2b(past + b"%d %d" % change, digest_size=16).digest()
+def _next_digest(digest: bytes, change: Change) -> bytes:
+    return hashlib.blake2b(digest + b"%d %d" % change, digest_size=16).digest()
 
 
 def _copy(plain: PlainAnchor) -> PlainAnchor:
--- a/glenfold_lab/model/clients.py
+++ b/glenfold_lab/model/clients.py
@@ -92,13 +92,13 @@
             slack_us=round(scenario.rules.answer_slack_ms * 1000),
         )
 
-    def reconnect_delay_us(self, moved: bool, place: float) -> int:
+    def reconnect_delay_us(self, moved: bool, position: float) -> int:
         """Returns the delay before a client reconnects that was moved, or whose connection broke.
 
         `position` is the client's position (0 to 1) in the range.
         """
-        least, most = self.move_us if moved else self.rejoin_us
-        return int(least + (most - least) * place)
+        min_delay, max_delay = self.move_us if moved else self.rejoin_us
+        return int(min_delay + (max_delay - min_delay) * position)
 
 
 def _around_mean(wanted: Pair, random: np.random.Generator) -> tuple[float, float]:
@@ -106,8 +106,8 @@
 
     The pair is in milliseconds, the result in microseconds.
     """
-    mean, (least, most) = value_by_ratio(wanted, random), wanted
-    return max(least, mean / 2) * 1000, min(most, mean * 1.5) * 1000
+    mean, (min_delay, max_delay) = value_by_ratio(wanted, random), wanted
+    return max(min_delay, mean / 2) * 1000, min(max_delay, mean * 1.5) * 1000
 
 
 class Columns:
@@ -158,6 +158,8 @@
 
 
 class Clients:
+    """All clients of a history. Implements `relays.ClientSide`."""
+
     def __init__(
         self,
         scenario: Scenario,
@@ -196,8 +198,8 @@
         now = self._kernel.now
         drawn = self._population.standing()
         refused = [client for client in self._add_clients(drawn) if not self._start_standing(client)]
-        for place, client in enumerate(refused):
-            self._plan_first_ask(client, now + INITIAL_RETRY_SPREAD_US * place // len(refused))
+        for position, client in enumerate(refused):
+            self._plan_first_ask(client, now + INITIAL_RETRY_SPREAD_US * position // len(refused))
         for (kind, scheme), count in sorted(
             Counter(zip(drawn.request_class.tolist(), drawn.scheme.tolist(), strict=True)).items()
         ):
@@ -206,7 +208,7 @@
 
     def _start_standing(self, client: int) -> bool:
         self._columns.turn[client] = 1  # Counts as a request, so that the demand is not counted again.
-        relay = self._relay_for(client)
+        relay = self._choose_relay(client)
         running = None if relay is None else self._relays.running(relay)
         if running is None:
             return False
@@ -229,12 +231,12 @@
     def _add_clients(self, drawn: Drawn) -> range:
         """Adds clients and plans the departure and the next load change of each."""
         clients = self._columns.add(drawn)
-        add, columns = self._plan.add, self._behavior.change_us
+        add, change_us = self._plan.add, self._behavior.change_us
         for client, at, until, kind in zip(
             clients, drawn.at.tolist(), drawn.until.tolist(), drawn.request_class.tolist(), strict=True
         ):
             add(until, client, LEAVE_SERVICE)
-            add(at + int(columns[kind] * next(self._changes)[1]), client, CHANGE_LOAD)
+            add(at + int(change_us[kind] * next(self._changes)[1]), client, CHANGE_LOAD)
         return clients
 
     # ---- requests ----
@@ -249,13 +251,13 @@
         self._columns.due[client] = at
         self._plan.add(at, client, ASK_RELAY)
 
-    def _relay_for(self, client: int) -> int | None:
+    def _choose_relay(self, client: int) -> int | None:
         """Chooses a relay for a client.
 
         A mid-flow connection avoids its former relay, as the front learns only later which relays run.
         """
         columns = self._columns
-        relay = self._front.relay_for(
+        relay = self._front.choose_relay(
             columns.zone[client],
             columns.key[client],
             columns.turn[client],
@@ -277,7 +279,7 @@
             columns.first_ask[client] = sent
         self._requests += 1
         self._watcher.asked(time_us, self._requests, client, kind, columns.first_ask[client])
-        relay = self._relay_for(client)
+        relay = self._choose_relay(client)
         columns.turn[client] += 1
         running = None if relay is None else self._relays.running(relay)
         if relay is None or not self._relays.reachable(relay):
@@ -379,9 +381,9 @@
         columns = self._columns
         if columns.state[client] == GONE:
             return
-        kind, (place, interval) = columns.kind[client], next(self._changes)
+        kind, (position, interval) = columns.kind[client], next(self._changes)
         swing = self._behavior.swing[kind]
-        load = columns.load[client] = columns.usual[client] * math.exp(swing * place - swing * swing / 2)
+        load = columns.load[client] = columns.usual[client] * math.exp(swing * position - swing * swing / 2)
         exchange = columns.exchange[client]
         if exchange is not None and exchange.call is not None and columns.state[client] == STANDING:
             self._machines.change_load(exchange.call, load)
--- a/glenfold_lab/model/draw.py
+++ b/glenfold_lab/model/draw.py
@@ -26,11 +26,11 @@
     return value(wanted, random)
 
 
-def interpolate(wanted: Range, place: float) -> float:
+def interpolate(wanted: Range, position: float) -> float:
     """Returns the value at `position` (0 to 1) of a range, for values that share one draw."""
     if isinstance(wanted, tuple):
         low, high = wanted
-        return low + (high - low) * place
+        return low + (high - low) * position
     return float(wanted)
 
 
@@ -50,5 +50,5 @@
     Each index occurs in proportion to its share, as closely as whole numbers allow.
     """
     edges = np.round(np.cumsum(shares) / sum(shares) * count).astype(int)
-    places = np.searchsorted(edges, np.arange(count), side="right")
-    return [int(place) for place in random.permutation(places)]
+    indices = np.searchsorted(edges, np.arange(count), side="right")
+    return [int(index) for index in random.permutation(indices)]
--- a/glenfold_lab/model/front.py
+++ b/glenfold_lab/model/front.py
@@ -21,6 +21,7 @@
         self._all: list[int] = []
 
     def admits(self, relay: int) -> bool:
+        """Returns whether the front sends connections to this relay."""
         return relay in self._all
 
     def admit(self, relay: int) -> None:
@@ -34,7 +35,7 @@
             self._admitted[self._zones[relay]].remove(relay)
             self._all.remove(relay)
 
-    def relay_for(self, zone: int, key: int, turn: int, other_than: int) -> int | None:
+    def choose_relay(self, zone: int, key: int, turn: int, other_than: int) -> int | None:
         """Returns the relay for a connection of this zone, or None if no relay is admitted.
 
         `key` is the client's key and `turn` the number of its earlier requests. `other_than` (-1 for none) is
@@ -43,7 +44,7 @@
         relays = self._admitted.get(zone) or self._all
         if not relays:
             return None
-        place = mix(key + turn) % len(relays)
-        if relays[place] == other_than:
-            place = (place + 1) % len(relays)
-        return relays[place]
+        index = mix(key + turn) % len(relays)
+        if relays[index] == other_than:
+            index = (index + 1) % len(relays)
+        return relays[index]
--- a/glenfold_lab/model/listing/feeds.py
+++ b/glenfold_lab/model/listing/feeds.py
@@ -15,7 +15,7 @@
 from glenfold_lab.model.fleet import Fleet, Machine
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.listing.shared_destinations import SharedDestinations
-from glenfold_lab.model.listing.versions import Document, Entry, Versions, names_of
+from glenfold_lab.model.listing.versions import Document, Entry, Versions, make_names
 from glenfold_lab.model.network import Network
 from glenfold_lab.observe import Told, Watcher
 from glenfold_lab.spec import Range, Scenario
@@ -93,7 +93,7 @@
         self._late_us = micros(spec.late_s, SECOND_US, "late")
         self._notify_within_us = int(spec.told_within_s * SECOND_US)
         self._streams = streams
-        self._empty = SharedDestinations.empty(names_of(scenario))
+        self._empty = SharedDestinations.empty(make_names(scenario))
         first = [Entry(machine, Told.READY, 0) for machine in fleet.machines]
         self._versions = Versions(scenario.zones.names, first)
         self._feeds = [Feed(relay, 1) for relay in range(scenario.relays.count)]
--- a/glenfold_lab/model/listing/versions.py
+++ b/glenfold_lab/model/listing/versions.py
@@ -17,14 +17,14 @@
 HEALTH_WORDS = {Told[state.name]: word for word, state in STATES.items()}
 
 
-def names_of(scenario: Scenario) -> Names:
+def make_names(scenario: Scenario) -> Names:
     """Returns the indices of classes, schemes, zones and kinds, as in the settings of relays."""
 
-    def places(parts: tuple[Any, ...]) -> dict[str, int]:
-        return {part.name: place for place, part in enumerate(parts)}
+    def indices(parts: tuple[Any, ...]) -> dict[str, int]:
+        return {part.name: index for index, part in enumerate(parts)}
 
-    sites = {name: place for place, name in enumerate(scenario.zones.names)}
-    return Names(places(scenario.classes), places(scenario.schemes), sites, places(scenario.servers.kinds))
+    sites = {name: index for index, name in enumerate(scenario.zones.names)}
+    return Names(indices(scenario.classes), indices(scenario.schemes), sites, indices(scenario.servers.kinds))
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenfold_lab/model/machine_faults.py
+++ b/glenfold_lab/model/machine_faults.py
@@ -38,10 +38,12 @@
         )
 
     def drawn(self, name: str, default: float) -> float:
+        """Draws the value of a field of the fault, or returns `default` if the fault has none."""
         wanted = getattr(self.fault, name)
         return default if wanted is None else value(wanted, self.random(name))
 
     def count_of(self, machines: int) -> int:
+        """Returns how many of so many machines the fault strikes."""
         part = self.drawn("part", DEFAULT_PART)
         return min(machines, self.fault.count or max(1, round(part * machines)))
 
@@ -49,6 +51,7 @@
         return self._streams.of("faults", purpose, self._index)
 
     def choose(self, machines: Sequence[T], count: int) -> list[T]:
+        """Draws `count` machines and returns them in their original order."""
         order = self.random("whom").permutation(len(machines))
         return [machines[index] for index in sorted(order[:count].tolist())]
 
--- a/glenfold_lab/model/plan.py
+++ b/glenfold_lab/model/plan.py
@@ -35,6 +35,7 @@
         self._open = -1  # The current step, whose actions are in the kernel's queue.
 
     def add(self, time_us: int, client: int, kind: int) -> None:
+        """Plans an action of a client at `time_us`."""
         if time_us > self._until:
             return
         after = max(0, time_us - self._start)
--- a/glenfold_lab/model/population.py
+++ b/glenfold_lab/model/population.py
@@ -121,18 +121,22 @@
         """Yields the arriving clients in steps of `step_us`."""
         arrivals = self._streams.of("clients", "arrivals")
         lives = self._streams.of("clients", "lives", ARRIVING)
-        for begin in range(0, self._length, step_us):
-            end = min(begin + step_us, self._length)
-            mean = self._rate * (end - begin) * self._relative_rate((begin + end) / 2 / self._length)
+        for step_start in range(0, self._length, step_us):
+            step_end = min(step_start + step_us, self._length)
+            mean = (
+                self._rate
+                * (step_end - step_start)
+                * self._relative_rate((step_start + step_end) / 2 / self._length)
+            )
             count = int(arrivals.poisson(mean))
-            at = self._start + np.sort(arrivals.integers(begin, end, size=count))
+            at = self._start + np.sort(arrivals.integers(step_start, step_end, size=count))
             yield self._drawn(at, self._lives(lives, count, 0.0), ARRIVING)
 
-    def _relative_rate(self, place: float) -> float:
+    def _relative_rate(self, position: float) -> float:
         """Returns the arrival rate, relative to its mean, at a position (0 to 1) within the history."""
         if self._clients.shape == "ramp":
-            return 1 + self._swing * (2 * place - 1)
-        return 1 + self._swing * math.sin(2 * math.pi * (place + self._swing_at))
+            return 1 + self._swing * (2 * position - 1)
+        return 1 + self._swing * math.sin(2 * math.pi * (position + self._swing_at))
 
     def _lives(self, random: np.random.Generator, count: int, biased: float) -> Floats:
         sigma = self._life_sigma
--- a/glenfold_lab/model/relay_settings.py
+++ b/glenfold_lab/model/relay_settings.py
@@ -25,7 +25,7 @@
     return kind(**{name: value for name, value in values.items() if name in known})
 
 
-def settings_of(
+def make_settings(
     scenario: Scenario, parameters: HistoryParameters, slot: int, zone: int
 ) -> interface.Settings:
     """Returns the settings of one relay.
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -86,6 +86,8 @@
 
 
 class Relay:
+    """One process of a relay, which starts with no connections."""
+
     def __init__(self, number: int, settings: interface.Settings, seed: int, context: RelayContext) -> None:
         self.number = number
         self.settings = settings
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -14,7 +14,7 @@
 from glenfold_lab.model.servers.connection_counts import ConnectionCounts
 from glenfold_lab.model.servers.messages import Messages, ServerSnapshot
 from glenfold_lab.model.servers.server import Server, Stage
-from glenfold_lab.model.servers.store import store_of
+from glenfold_lab.model.servers.store import make_store
 from glenfold_lab.model.wire import Call
 from glenfold_lab.observe import End, Over, Watcher
 from glenfold_lab.spec import Scenario
@@ -53,7 +53,7 @@
         ]
         self._spread = _exponentials(streams.of("servers", "spread"))
         self._error_rng = streams.of("servers", "errors")
-        self._store = store_of(scenario, streams, fleet.parameters)
+        self._store = make_store(scenario, streams, fleet.parameters)
         aims = [kind.message_aim_ms * 1000 for kind in scenario.classes]
         self.messages = Messages(network, aims)
         self.placed = ConnectionCounts(len(network.names), len(scenario.classes), len(scenario.schemes))
@@ -238,9 +238,11 @@
         if not call.is_standing or not self._is_reachable(call, server):
             return None
         server.advance(self.kernel.now)
-        took = server.backlog_us() + server.wait_us + self.messages.message_work_us(server.machine.index)
+        answer_time = (
+            server.backlog_us() + server.wait_us + self.messages.message_work_us(server.machine.index)
+        )
         delay_us = self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
-        return int(2 * delay_us + took) if took < float("inf") else None
+        return int(2 * delay_us + answer_time) if answer_time < float("inf") else None
 
     def break_off(self, call: Call, server: Server, how: End) -> None:
         """Ends a standing connection from the server's side."""
--- a/glenfold_lab/model/servers/connection_counts.py
+++ b/glenfold_lab/model/servers/connection_counts.py
@@ -19,8 +19,8 @@
 
     def count(self, server: int, zone: int, request_class: int, scheme: int, change: int) -> None:
         _, classes, schemes = self._shape
-        place = server * self._each + (zone * classes + request_class) * schemes + scheme
-        self._counts[place] += change
+        index = server * self._each + (zone * classes + request_class) * schemes + scheme
+        self._counts[index] += change
 
     def table(self) -> NDArray[np.int64]:
         """Returns a copy, of shape (servers, zones, classes, schemes)."""
--- a/glenfold_lab/model/servers/messages.py
+++ b/glenfold_lab/model/servers/messages.py
@@ -71,4 +71,5 @@
         return shares * now.answers[:, :, None]
 
     def message_work_us(self, server: int) -> float:
+        """Returns the processing time of one message at this server, without waits."""
         return self._own[server]
--- a/glenfold_lab/model/servers/server.py
+++ b/glenfold_lab/model/servers/server.py
@@ -9,6 +9,8 @@
 
 
 class Stage(Enum):
+    """The stage of a server's process."""
+
     RUNS = auto()
     DRAINS = auto()
     DOWN = auto()
@@ -109,9 +111,11 @@
 
     @property
     def held(self) -> int:
+        """The number of connections in the table: standing, being set up and parked."""
         return len(self.standing) + len(self.waiting) + len(self.parked)
 
     def capacity(self) -> float:
+        """Returns the current capacity, which falls as the connection table fills."""
         return self.base_capacity - self.capacity_per_connection * min(
             self.cap, len(self.standing) + len(self.parked)
         )
@@ -132,6 +136,7 @@
         self.capacity_per_connection = self.base_capacity * self.table_tax / self.cap
 
     def advance(self, now: int) -> None:
+        """Adds the work since the last update and reduces the backlog by what was done."""
         if now <= self.updated_at:
             return
         seconds, self.updated_at = (now - self.updated_at) * 1e-6, now
@@ -152,6 +157,7 @@
         return float("inf") if self.backlog else 0.0
 
     def enqueue(self, call: Call, work: float) -> None:
+        """Adds the set-up of a connection to the queue."""
         self.total_work += work
         self.backlog += work
         self.set_up_work += work
--- a/glenfold_lab/model/servers/store.py
+++ b/glenfold_lab/model/servers/store.py
@@ -20,12 +20,12 @@
 
     def answer_us(self, now: int) -> int:
         """Returns how long the answer to a call at `now` takes, in microseconds."""
-        begins = max(now, self._free_at)
-        self._free_at = begins + self._gap_us
-        return int(begins + self._us - now)
+        starts_at = max(now, self._free_at)
+        self._free_at = starts_at + self._gap_us
+        return int(starts_at + self._us - now)
 
 
-def store_of(
+def make_store(
     scenario: Scenario, streams: Streams, parameters: HistoryParameters, part: float = 1.0
 ) -> Store | None:
     """Returns the store, or None if set-ups use none.
--- a/glenfold_lab/model/service.py
+++ b/glenfold_lab/model/service.py
@@ -146,8 +146,8 @@
         return np.bincount(ticks // self._per_step)
 
     def _steps(self, by_tick: Floats) -> Floats:
-        places = np.arange(len(by_tick)) // self._per_step
-        sums: Floats = np.bincount(places, weights=by_tick).astype(np.float64)
+        steps = np.arange(len(by_tick)) // self._per_step
+        sums: Floats = np.bincount(steps, weights=by_tick).astype(np.float64)
         return sums
 
     def _means(self, by_tick: Floats) -> Floats:
--- a/glenfold_lab/model/world.py
+++ b/glenfold_lab/model/world.py
@@ -16,7 +16,7 @@
 from glenfold_lab.model.machinery import Machinery
 from glenfold_lab.model.population import Population
 from glenfold_lab.model.relay_hosts import RelayHosts
-from glenfold_lab.model.relay_settings import Costs, settings_of
+from glenfold_lab.model.relay_settings import Costs, make_settings
 from glenfold_lab.model.relays import Relay, RelayContext
 from glenfold_lab.observe import Watcher, Watchers
 from glenfold_lab.results import RunResult
@@ -118,7 +118,7 @@
             self.kernel, machinery.servers, clients, self.watcher, Costs.of(scenario.relays, streams)
         )
         settings = [
-            settings_of(scenario, parameters, number, network.zone_of(number))
+            make_settings(scenario, parameters, number, network.zone_of(number))
             for number in range(len(relay_hosts))
         ]
         return clients, relay_hosts
--- a/glenfold_lab/stand_ins/front.py
+++ b/glenfold_lab/stand_ins/front.py
@@ -58,8 +58,8 @@
         return relay not in self._cut_off
 
     def relay_for(self, zone: int, key: int, turn: int, other_than: int) -> int | None:
-        """Where a connection goes; None while no relay is admitted. As `Front.relay_for`."""
-        return self._spread.relay_for(zone, key, turn, other_than)
+        """Where a connection goes; None while no relay is admitted. As `Front.choose_relay`."""
+        return self._spread.choose_relay(zone, key, turn, other_than)
 
     async def watch(self, admitted: trio.Event) -> None:
         """Until it is cancelled; `admitted` is set once it has admitted every relay."""
--- a/glenfold_lab/stand_ins/part.py
+++ b/glenfold_lab/stand_ins/part.py
@@ -18,7 +18,7 @@
 from glenfold_lab.model.population import Population
 from glenfold_lab.model.servers.messages import Messages
 from glenfold_lab.model.servers.server import Server
-from glenfold_lab.model.servers.store import store_of
+from glenfold_lab.model.servers.store import make_store
 from glenfold_lab.model.world import FINAL_ANSWER_MARGIN_US
 from glenfold_lab.observe import Capacity, Record
 from glenfold_lab.spec import Scenario
@@ -335,7 +335,7 @@
     def __init__(self, script: Script, seed: int, seen: Seen, part: float) -> None:
         scenario, streams = script.scenario, Streams(seed)
         terms, rules, servers = script.fleet.parameters, scenario.rules, scenario.servers
-        self._store = store_of(scenario, streams, terms, part)
+        self._store = make_store(scenario, streams, terms, part)
         self._script, self._streams, self._seen, self._seal = script, streams, seen, Seal(secret(seed))
         self._group_load = terms.group_cost
         self._error_rate = value(servers.error_rate, streams.of("servers", "error_rate"))
--- a/glenfold_lab/stand_ins/relay_settings.py
+++ b/glenfold_lab/stand_ins/relay_settings.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from glenfold_lab.model.fleet import HistoryParameters
-from glenfold_lab.model.relay_settings import settings_of
+from glenfold_lab.model.relay_settings import make_settings
 from glenfold_lab.spec import Scenario
 
 SEMANTICS = {"REPEATABLE": "repeatable", "BY_KEY": "by_key", "ONCE": "once"}
@@ -12,7 +12,7 @@
 
 def settings_json(scenario: Scenario, terms: HistoryParameters, slot: int, zone: int) -> dict[str, Any]:
     """`slot`: the relay's number; `zone`: the place of its zone."""
-    told = settings_of(scenario, terms, slot, zone)
+    told = make_settings(scenario, terms, slot, zone)
     classes = [
         {
             "name": kind.name,
--- a/tests/glenfold_lab/test_machines_listing.py
+++ b/tests/glenfold_lab/test_machines_listing.py
@@ -10,7 +10,7 @@
 from glenfold.destinations import BadList, DestinationSet
 from glenfold_lab.model.fleet import Fleet
 from glenfold_lab.model.listing.shared_destinations import SharedDestinations
-from glenfold_lab.model.listing.versions import Entry, Versions, names_of
+from glenfold_lab.model.listing.versions import Entry, Versions, make_names
 from glenfold_lab.observe import Told
 from glenfold_lab.spec import RequestClass, Scenario, Servers
 from glenfold_lab.streams import Streams
@@ -159,7 +159,7 @@
     scenario = Scenario(
         format=1, name="t", guards_against="-", classes=(RequestClass(name="c"),), servers=Servers(count=5)
     )
-    names, machines = names_of(scenario), Fleet(scenario, Streams(1)).machines
+    names, machines = make_names(scenario), Fleet(scenario, Streams(1)).machines
     versions = Versions(scenario.zones.names, [Entry(machine, Told.READY, 0) for machine in machines])
     for change in changes:
         entries = {n: Entry(machines[n], state, started * S) for n, state, started in change}
