--- a/tests/glenfold_lab/modelled_machines.py
+++ b/tests/glenfold_lab/modelled_machines.py
@@ -87,7 +87,7 @@
             load=load,
             deadline=self.kernel.now + 3 * S,
             mid_flow=False,
-            back=self,
+            caller=self,
         )
         return Call(**values | changes)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from glenfold.config import ConfigError, read_again
-from glenfold.config.platform import make_settings
+from glenfold.config.platform import settings_of
 from glenfold.daemon import platform
 from linnetspread import interface
 from linnetspread.wire import read_settings
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize(("key", "value"), FAULTY_SETTINGS)
 def test_a_faulty_setting_is_reported_by_its_key_and_replaced_by_a_default(key: str, value: Any) -> None:
-    settings, problems = make_settings(settings_with(key, value))
+    settings, problems = settings_of(settings_with(key, value))
     assert f"settings.{key}" in [key_of_problem for key_of_problem, _ in problems]
     assert {key_of_problem.startswith(f"settings.{key}") for key_of_problem, _ in problems} == {True}
     Gateway(classes=settings.classes, tenants=settings.tenants).open(1)
@@ -68,14 +68,14 @@
 
 
 def test_valid_settings_have_no_problems() -> None:
-    assert make_settings(settings_with("replicas_of_me", 3))[1] == ()
+    assert settings_of(settings_with("replicas_of_me", 3))[1] == ()
     # A server is warm at once.
-    assert make_settings(settings_with("invariants", {"cold_us": 0}))[0].cold_us == 1
+    assert settings_of(settings_with("invariants", {"cold_us": 0}))[0].cold_us == 1
 
 
 def test_a_line_break_in_a_name_adds_no_setting() -> None:
     for end in "\n\r\x0b\x1c\x85\u2028":
-        settings, _ = make_settings(settings_with("classes.1.name", f"two{end}classes.0.worth=9"))
+        settings, _ = settings_of(settings_with("classes.1.name", f"two{end}classes.0.worth=9"))
         assert [kind.worth for kind in settings.classes] == [1.0, 1.0]
 
 
