--- a/glenfold_lab/model/relay_hosts.py
+++ b/glenfold_lab/model/relay_hosts.py
@@ -84,7 +84,7 @@
         relay = host.relay = self._make(number, int(self._seeds[number].integers(1 << 63)))
         self._listing.relay_up(number, relay.receive_list)
         self._watcher.relay_up(self._kernel.now, number)
-        # The front has not noticed the restart, so packets go to this relay as before.
+        # If the front has not noticed the restart, packets go to this relay as before.
         if self._front.admits(number):
             self._reach_relays(host)
         elif self.reachable(number):
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -110,7 +110,7 @@
             self._set_up(call, server)
 
     def _is_overloaded(self, server: Server) -> bool:
-        """Returns whether this new connection is more than a cold server survives."""
+        """Records a new connection and returns whether it is more than a cold server survives."""
         now, arrivals, rules = self.kernel.now, server.arrivals, self._rules
         arrivals.append(now)
         while arrivals[0] <= now - rules.fall_s * SECOND_US:
