--- a/glenfold_lab/model/relay_settings.py
+++ b/glenfold_lab/model/relay_settings.py
@@ -1,4 +1,4 @@
-"""What the platform tells a relay, as its configuration would say it: its settings, its limits, its speed."""
+"""The configuration of a modelled relay: settings of its decisions, limits and speed."""
 
 import math
 from dataclasses import dataclass, fields
@@ -6,32 +6,40 @@
 
 from glenfold.config import ConnectionLimits
 from glenfold_lab.model.draw import value
-from glenfold_lab.model.fleet import Terms
+from glenfold_lab.model.fleet import HistoryParameters
 from glenfold_lab.spec import Relays, RequestClass, Scenario
 from glenfold_lab.streams import Streams
-from linnetspread import interface as i
+from linnetspread import interface
 
-UNBOUND = 1 << 30  # sockets
+UNLIMITED_SOCKETS = 1 << 30
 
 T = TypeVar("T")
 
 
-def told(kind: type[T], **values: Any) -> T:
-    """Another revision's decisions may lack some of these settings: it is told what it knows."""
+def with_known_fields(kind: type[T], **values: Any) -> T:
+    """Creates a `kind` from those values that it has fields for.
+
+    The decision package of another revision may lack some of the settings.
+    """
     known = {field.name for field in fields(kind)}  # type: ignore[arg-type]
     return kind(**{name: value for name, value in values.items() if name in known})
 
 
-def settings_of(scenario: Scenario, terms: Terms, slot: int, zone: int) -> i.Settings:
-    """`tells_delay` stays off: no line of the protocol says what a message takes."""
+def make_settings(
+    scenario: Scenario, parameters: HistoryParameters, slot: int, zone: int
+) -> interface.Settings:
+    """Returns the settings of one relay.
+
+    `tells_delay` stays off, as no line of the protocol reports the delay of a message.
+    """
     rules, park_s = scenario.rules, scenario.servers.park_s
-    return told(
-        i.Settings,
+    return with_known_fields(
+        interface.Settings,
         gateways=scenario.relays.count,
         slot=slot,
         zone=zone,
         classes=tuple(_class(kind) for kind in scenario.classes),
-        tenants=_tenants(scenario, terms),
+        tenants=_tenants(scenario, parameters),
         kinds=tuple(kind.name for kind in scenario.servers.kinds),
         weighted=True,
         pass_through=scenario.relays.pass_through,
@@ -55,28 +63,31 @@
     return int(amount * unit)
 
 
-def _class(kind: RequestClass) -> i.RequestClass:
-    """Asking for a connection again harms nobody."""
-    return i.RequestClass(
+def _class(kind: RequestClass) -> interface.RequestClass:
+    """Returns the settings of a class. Its requests are repeatable: asking twice is harmless."""
+    return interface.RequestClass(
         aim_us=_us(kind.aim_ms),
         deadline_us=_us(kind.deadline_ms),
         worth=kind.worth,
-        semantics=i.Semantics.REPEATABLE,
+        semantics=interface.Semantics.REPEATABLE,
         message_aim_us=kind.message_aim_ms * 1e3,
     )
 
 
-def _tenants(scenario: Scenario, terms: Terms) -> tuple[i.Tenant, ...]:
-    """A tenant within its share asks for as many connections a second as end of those it may have."""
+def _tenants(scenario: Scenario, parameters: HistoryParameters) -> tuple[interface.Tenant, ...]:
+    """Returns a tenant per scheme.
+
+    Its request rate is that at which the connections of its quota end and are replaced.
+    """
     return tuple(
-        i.Tenant(scheme.share, quota / terms.life_us * 1e6, quota)
-        for scheme, quota in zip(scenario.schemes, terms.quotas, strict=True)
+        interface.Tenant(scheme.share, quota / parameters.life_us * 1e6, quota)
+        for scheme, quota in zip(scenario.schemes, parameters.quotas, strict=True)
     )
 
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """What a relay's steps take of its one core, in microseconds, and its room for connections."""
+    """The CPU cost of each step of a relay on its one core, in microseconds, and its connection limits."""
 
     accept: int
     call: int
@@ -92,5 +103,5 @@
             call=round(relays.call_us / cores),
             reply=round(relays.reply_us / cores),
             notice=round(relays.notice_us / cores),
-            room=ConnectionLimits.within(relays.sockets or UNBOUND, relays.memory_mb or math.inf),
+            room=ConnectionLimits.within(relays.sockets or UNLIMITED_SOCKETS, relays.memory_mb or math.inf),
         )
--- a/glenfold_lab/model/servers/calls.py
+++ b/glenfold_lab/model/servers/calls.py
@@ -1,4 +1,4 @@
-"""Push servers as relays meet them: attempts, standing connections, and their ends."""
+"""Push servers as relays see them: attempts, standing connections and their ends."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -7,28 +7,28 @@
 
 from glenfold.net.passing import SERVER_SILENCE_TIMEOUT_S
 from glenfold_lab.checker.cold import exceeds_budget
-from glenfold_lab.model.draw import BLOCK, lognormals, value
+from glenfold_lab.model.draw import DRAW_BLOCK, lognormals, value
 from glenfold_lab.model.fleet import Fleet, Machine
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.network import Network
-from glenfold_lab.model.servers.messages import Messages, Moment
-from glenfold_lab.model.servers.placed import Placed
+from glenfold_lab.model.servers.connection_counts import ConnectionCounts
+from glenfold_lab.model.servers.messages import Messages, ServerSnapshot
 from glenfold_lab.model.servers.server import Server, Stage
-from glenfold_lab.model.servers.store import store_of
+from glenfold_lab.model.servers.store import make_store
 from glenfold_lab.model.wire import Call
 from glenfold_lab.observe import AttemptOutcome, End, Watcher
 from glenfold_lab.spec import Scenario
 from glenfold_lab.streams import Streams
 
 TICK_US = 250_000
-SET_UP_SIGMA = 0.9  # of the logarithm of a set-up's work
-OWN_SPREAD = 0.1  # of a set-up's own time, on the mean
+SET_UP_SIGMA = 0.9  # Standard deviation of the logarithm of a set-up's work.
+SET_UP_SPREAD = 0.1  # Mean random delay of a set-up, as a share of its own time.
 SILENT_US = SERVER_SILENCE_TIMEOUT_S * SECOND_US
-ROOM = 0.95  # of its capacity: what a server that sheds connections comes down to
+SHED_TARGET = 0.95  # A server sheds connections down to this share of its capacity.
 
 
 class PushServers:
-    """Implements `wire.Machines`. A server goes by its number outside and by its index in tables."""
+    """Implements `wire.Machines`. Servers go by their number, and by their index in tables."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._rules = scenario.rules
         self._error_rate = value(scenario.servers.error_rate, streams.of("servers", "error_rate"))
         self._park_us = int(value(scenario.servers.park_s, streams.of("servers", "park")) * SECOND_US)
-        self._works = [
+        self._set_up_work = [
             lognormals(
                 value(kind.set_up_ms, streams.of("classes", "set_up", n)) * 1000,
                 SET_UP_SIGMA,
@@ -52,22 +52,22 @@
             for n, kind in enumerate(scenario.classes)
         ]
         self._spread = _exponentials(streams.of("servers", "spread"))
-        self._luck = streams.of("servers", "errors")
-        self._store = store_of(scenario, streams, fleet.terms)
+        self._error_rng = streams.of("servers", "errors")
+        self._store = make_store(scenario, streams, fleet.parameters)
         aims = [kind.message_aim_ms * 1000 for kind in scenario.classes]
         self.messages = Messages(network, aims)
-        self.placed = Placed(len(network.names), len(scenario.classes), len(scenario.schemes))
+        self.placed = ConnectionCounts(len(network.names), len(scenario.classes), len(scenario.schemes))
         self.all: list[Server] = []
         self._by_number: dict[int, Server] = {}
-        self.on_fall: Callable[[Server], None] = self.break_all
+        self.on_overload: Callable[[Server], None] = self.break_all
         network.on_change.append(self._zone_changed)
         for machine in fleet.machines:
             self.add(machine)
 
     def add(self, machine: Machine) -> Server:
-        """A machine whose process does not run yet."""
-        terms = self.fleet.terms
-        server = Server(machine, terms.mean_load, self.fleet.table_tax, terms.group_cost)
+        """Adds a machine whose process does not run yet."""
+        parameters = self.fleet.parameters
+        server = Server(machine, parameters.mean_load, self.fleet.table_tax, parameters.group_cost)
         self.all.append(server)
         self._by_number[machine.number] = server
         self.placed.add_server()
@@ -78,17 +78,17 @@
 
     def call(self, call: Call) -> None:
         server = self._by_number[call.server]
-        if not self._reached(call, server):
+        if not self._is_reachable(call, server):
             return
-        way = self._way(call, server)
-        call.sent_at = self.kernel.now + 2 * way
+        delay_us = self._delay_us(call, server)
+        call.sent_at = self.kernel.now + 2 * delay_us
         if server.running:
-            self.kernel.after(3 * way, self._arrive, call, server)
+            self.kernel.after(3 * delay_us, self._arrive, call, server)
         else:
-            self.kernel.after(way, self._refuse, call, server)
+            self.kernel.after(delay_us, self._refuse, call, server)
 
     def _arrive(self, call: Call, server: Server) -> None:
-        if call.dropped or not self._reached(call, server):
+        if call.dropped or not self._is_reachable(call, server):
             return
         now = self.kernel.now
         mid_flow = server.parked.get(call.connection) if call.mid_flow else None
@@ -101,16 +101,16 @@
             server.unpark(mid_flow)
             call.resumed = True
             self._stand(call, server)
-        elif server.cold and self._too_many(server):
+        elif server.cold and self._is_overloaded(server):
             self._answer(call, server, AttemptOutcome.RESET)
-            self.on_fall(server)
+            self.on_overload(server)
         elif server.stage is Stage.DRAINS or now > call.deadline or len(server.waiting) >= server.queue:
             self._answer(call, server, AttemptOutcome.BUSY)
         else:
             self._set_up(call, server)
 
-    def _too_many(self, server: Server) -> bool:
-        """Whether this new connection is beyond what a cold server survives."""
+    def _is_overloaded(self, server: Server) -> bool:
+        """Records a new connection and returns whether it is more than a cold server survives."""
         now, arrivals, rules = self.kernel.now, server.arrivals, self._rules
         arrivals.append(now)
         while arrivals[0] <= now - rules.fall_s * SECOND_US:
@@ -120,45 +120,46 @@
         return exceeds_budget(len(arrivals), budget)
 
     def _set_up(self, call: Call, server: Server) -> None:
-        server.queue_up(call, next(self._works[call.request_class]))
-        if len(server.line) == 1:
-            self._next_turn(server)
+        server.enqueue(call, next(self._set_up_work[call.request_class]))
+        if len(server.set_up_queue) == 1:
+            self._schedule_head(server)
 
-    def _next_turn(self, server: Server) -> None:
-        """When the head of the line will be done, if the capacity stays as it is."""
-        if server.line:
+    def _schedule_head(self, server: Server) -> None:
+        """Schedules the completion of the first queued set-up, at the current capacity."""
+        if server.set_up_queue:
             capacity = server.capacity()
-            wait = server.head_left() / capacity * 1e6 if capacity > 0 else TICK_US
+            wait = server.work_before_head() / capacity * 1e6 if capacity > 0 else TICK_US
             wait_us = max(1, math.ceil(min(TICK_US, wait)))
-            self.kernel.after(wait_us, self._turn, server, server.life)
+            self.kernel.after(wait_us, self._finish_set_ups, server, server.life)
 
-    def _turn(self, server: Server, life: int) -> None:
+    def _finish_set_ups(self, server: Server, life: int) -> None:
         if server.life != life:
             return
         server.advance(self.kernel.now)
         capacity = server.capacity()
-        for set_up in server.take_done():
-            # All cores work on it as the fluid has it, but in truth one does; and messages come between.
+        for set_up in server.pop_finished():
+            # The fluid model works on a set-up with all cores; a real server uses one core, and messages come
+            # between.
             own = set_up.work / server.machine.speed
-            left = max(0.0, own - set_up.work / capacity * 1e6) if capacity > 0 else 0.0
-            spread = next(self._spread) * (OWN_SPREAD * own + server.wait_us)
-            self.kernel.after(int(left + spread), self._ask_store, set_up.call, server)
-        self._next_turn(server)
+            remaining = max(0.0, own - set_up.work / capacity * 1e6) if capacity > 0 else 0.0
+            spread = next(self._spread) * (SET_UP_SPREAD * own + server.wait_us)
+            self.kernel.after(int(remaining + spread), self._ask_store, set_up.call, server)
+        self._schedule_head(server)
 
     def _ask_store(self, call: Call, server: Server) -> None:
-        if call.over or call.dropped:
+        if call.is_answered or call.dropped:
             return
-        takes = self._store.ask(self.kernel.now) if self._store is not None else 0
-        self.kernel.after(takes, self._done, call, server)
+        answer_us = self._store.answer_us(self.kernel.now) if self._store is not None else 0
+        self.kernel.after(answer_us, self._finish, call, server)
 
-    def _done(self, call: Call, server: Server) -> None:
-        if call.over or call.dropped or not self._reached(call, server):
+    def _finish(self, call: Call, server: Server) -> None:
+        if call.is_answered or call.dropped or not self._is_reachable(call, server):
             return
         server.advance(self.kernel.now)
         del server.waiting[call.request]
         if self.kernel.now > call.deadline:
             self._answer(call, server, AttemptOutcome.BUSY)
-        elif self._error_rate and self._luck.uniform() < self._error_rate:
+        elif self._error_rate and self._error_rng.uniform() < self._error_rate:
             self._answer(call, server, AttemptOutcome.ERROR)
         else:
             self._stand(call, server)
@@ -172,17 +173,17 @@
             self._answer(call, server, AttemptOutcome.REFUSED)
 
     def _answer(self, call: Call, server: Server, over: AttemptOutcome) -> None:
-        call.over = True
+        call.is_answered = True
         self.watcher.attempt_over(self.kernel.now, call.request, call.server, over)
-        if self._reached(call, server):
-            self.kernel.after(self._way(call, server), self._replied, call, server, over)
+        if self._is_reachable(call, server):
+            self.kernel.after(self._delay_us(call, server), self._replied, call, server, over)
 
     def _replied(self, call: Call, server: Server, over: AttemptOutcome) -> None:
         if call.dropped:
             return
-        call.back.replied(call, over)
-        if call.stands and (server.quiet or not self._reached(call, server)):
-            call.back.fell_silent(call)
+        call.caller.replied(call, over)
+        if call.is_standing and (server.is_unresponsive or not self._is_reachable(call, server)):
+            call.caller.fell_silent(call)
 
     # ---- standing connections ----
 
@@ -191,7 +192,7 @@
         if not server.running or server.held >= server.cap:
             return False
         server.advance(self.kernel.now)
-        call.arrived = call.over = True
+        call.arrived = call.is_answered = True
         self._put(call, server)
         return True
 
@@ -200,21 +201,21 @@
             return
         call.dropped = True
         server = self._by_number[call.server]
-        if call.stands:
+        if call.is_standing:
             self._take_off(call, server)
-        elif call.arrived and not call.over:
+        elif call.arrived and not call.is_answered:
             server.advance(self.kernel.now)
-            server.give_up(call)
+            server.abandon(call)
             self.watcher.attempt_over(self.kernel.now, call.request, call.server, AttemptOutcome.ABANDONED)
 
     def park(self, call: Call) -> None:
-        if not call.stands:
+        if not call.is_standing:
             return self.close(call)
         server = self._by_number[call.server]
         server.advance(self.kernel.now)
         server.park(call)
         self._count(call, server, -1)
-        call.stands = False
+        call.is_standing = False
         self.kernel.after(self._park_us, self._forget_parked, call, server)
 
     def _forget_parked(self, call: Call, server: Server) -> None:
@@ -223,32 +224,34 @@
             server.unpark(call)
 
     def change_load(self, call: Call, load: float) -> None:
-        if call.stands:
+        if call.is_standing:
             server = self._by_number[call.server]
             server.advance(self.kernel.now)
             server.demand += load - call.load
         call.load = load
 
     def way_us(self, call: Call) -> int:
-        return 4 * self._way(call, self._by_number[call.server])
+        return 4 * self._delay_us(call, self._by_number[call.server])
 
     def answer_us(self, call: Call) -> int | None:
         server = self._by_number[call.server]
-        if not call.stands or not self._reached(call, server):
+        if not call.is_standing or not self._is_reachable(call, server):
             return None
         server.advance(self.kernel.now)
-        took = server.pile_us() + server.wait_us + self.messages.own_us(server.machine.index)
-        way = self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
-        return int(2 * way + took) if took < float("inf") else None
+        answer_time = (
+            server.backlog_us() + server.wait_us + self.messages.message_work_us(server.machine.index)
+        )
+        delay_us = self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
+        return int(2 * delay_us + answer_time) if answer_time < float("inf") else None
 
     def break_off(self, call: Call, server: Server, how: End) -> None:
         """Ends a standing connection from the server's side."""
         self._take_off(call, server)
-        if self._reached(call, server):
-            self.kernel.after(self._way(call, server), self._ended, call, how)
+        if self._is_reachable(call, server):
+            self.kernel.after(self._delay_us(call, server), self._ended, call, how)
 
     def break_all(self, server: Server) -> None:
-        """The process dies: all it holds is reset, and whoever waits there as well."""
+        """Resets all standing connections and waiting attempts, as the process ends."""
         for set_up in list(server.waiting.values()):
             self._answer(set_up.call, server, AttemptOutcome.RESET)
         for call in list(server.standing.values()):
@@ -257,49 +260,49 @@
 
     def _ended(self, call: Call, how: End) -> None:
         if not call.dropped:
-            call.back.ended(call, how)
+            call.caller.ended(call, how)
 
     def _put(self, call: Call, server: Server) -> None:
-        server.put(call)
+        server.add_standing(call)
         self._count(call, server, 1)
-        call.stands = True
+        call.is_standing = True
 
     def _take_off(self, call: Call, server: Server) -> None:
         server.advance(self.kernel.now)
-        server.take_off(call)
+        server.remove_standing(call)
         self._count(call, server, -1)
-        call.stands = False
+        call.is_standing = False
 
     def _count(self, call: Call, server: Server, change: int) -> None:
         zone = self.network.zone_of(call.relay)
         self.placed.count(server.machine.index, zone, call.request_class, call.scheme, change)
 
-    # ---- the way between ----
+    # ---- network ----
 
-    def _reached(self, call: Call, server: Server) -> bool:
+    def _is_reachable(self, call: Call, server: Server) -> bool:
         zone = self.network.zone_of(call.relay)
         return not server.silent and self.network.passes(zone, server.machine.zone)
 
-    def _way(self, call: Call, server: Server) -> int:
+    def _delay_us(self, call: Call, server: Server) -> int:
         return self.network.delay_us(self.network.zone_of(call.relay), server.machine.zone)
 
-    def tell_silent(self, server: Server) -> None:
-        """Its connections, that is to say those whose lines go unanswered now."""
+    def notify_silent(self, server: Server) -> None:
+        """Notifies the relays of those connections whose lines now go unanswered."""
         for call in list(server.standing.values()):
-            if server.quiet or not self._reached(call, server):
-                call.back.fell_silent(call)
+            if server.is_unresponsive or not self._is_reachable(call, server):
+                call.caller.fell_silent(call)
 
     def _zone_changed(self, _zone: int) -> None:
         for server in self.all:
-            if server.running and not server.silent and not server.quiet:
-                self.tell_silent(server)
+            if server.running and not server.silent and not server.is_unresponsive:
+                self.notify_silent(server)
 
     # ---- every tick ----
 
-    def tick(self) -> Moment:
-        """Brings all servers up to now and gives them as tables; those that hold too much shed."""
+    def tick(self) -> ServerSnapshot:
+        """Advances all servers to now and returns their state; overloaded servers shed connections."""
         rows = [self._tick_one(server) for server in self.all]
-        demand, capacity, set_ups, pile = np.array(rows, dtype=np.float64).T
+        demand, capacity, set_ups, backlog_us = np.array(rows, dtype=np.float64).T
         used = np.divide(demand + set_ups, capacity, out=np.ones_like(demand), where=capacity > 0)
         zones = range(len(self.network.names))
         answers = np.array(
@@ -310,7 +313,7 @@
         )
         for server, wait in zip(self.all, self.messages.waits(used).tolist(), strict=True):
             server.wait_us = wait
-        return Moment(demand, capacity, used, pile, answers)
+        return ServerSnapshot(demand, capacity, used, backlog_us, answers)
 
     def _tick_one(self, server: Server) -> tuple[float, float, float, float]:
         if not server.running:
@@ -320,28 +323,31 @@
             server.refresh(now)
         else:
             server.advance(now)
-        if server.piled > server.machine.kind.buffer_s * server.machine.capacity:
+        if server.backlog > server.machine.kind.buffer_s * server.machine.capacity:
             self._shed(server)
         server.set_up_load = (server.set_up_load + server.set_up_work / TICK_US * SECOND_US) / 2
         server.set_up_work = 0.0
-        pile = server.pile_us()
-        if server.quiet != (pile > SILENT_US):
-            server.quiet = not server.quiet
-            if server.quiet:
-                self.tell_silent(server)
-        return server.demand, server.capacity(), server.set_up_load, pile
+        backlog_us = server.backlog_us()
+        if server.is_unresponsive != (backlog_us > SILENT_US):
+            server.is_unresponsive = not server.is_unresponsive
+            if server.is_unresponsive:
+                self.notify_silent(server)
+        return server.demand, server.capacity(), server.set_up_load, backlog_us
 
     def _shed(self, server: Server) -> None:
-        """More is piled up than it has room for: it drops the heaviest, one at least, until the rest fits."""
+        """Drops the heaviest connections, at least one, until the rest fits.
+
+        Called when the backlog exceeds the buffer.
+        """
         heaviest = sorted(server.standing.values(), key=lambda call: (-call.load, call.request))
         for turn, call in enumerate(heaviest):
             capacity = server.capacity()
-            if turn and (server.demand <= ROOM * capacity or capacity <= 0):
+            if turn and (server.demand <= SHED_TARGET * capacity or capacity <= 0):
                 break
             self.break_off(call, server, End.BROKEN)
-        server.drop(server.piled - server.machine.kind.buffer_s * server.machine.capacity)
+        server.drop(server.backlog - server.machine.kind.buffer_s * server.machine.capacity)
 
 
 def _exponentials(random: np.random.Generator) -> Iterator[float]:
     while True:
-        yield from random.exponential(1.0, BLOCK).tolist()
+        yield from random.exponential(1.0, DRAW_BLOCK).tolist()
--- a/glenfold_lab/model/servers/placed.py
+++ b/glenfold_lab/model/servers/connection_counts.py
@@ -1,4 +1,4 @@
-"""How many connections stand at each server, by the relay's zone, class and scheme."""
+"""Counts of standing connections at each server, by the relay's zone, class and scheme."""
 
 from array import array
 
@@ -6,11 +6,11 @@
 from numpy.typing import NDArray
 
 
-class Placed:
-    """Counted one by one as connections come and go, and read as a whole each tick."""
+class ConnectionCounts:
+    """Counts that change with each connection and are read as one table at each tick."""
 
     def __init__(self, zones: int, classes: int, schemes: int) -> None:
-        self._shape = zones, classes, max(1, schemes)  # where there are no schemes all go under one
+        self._shape = zones, classes, max(1, schemes)  # Without schemes, all connections count as one scheme.
         self._each = zones * classes * self._shape[2]
         self._counts = array("q")
 
@@ -19,9 +19,9 @@
 
     def count(self, server: int, zone: int, request_class: int, scheme: int, change: int) -> None:
         _, classes, schemes = self._shape
-        place = server * self._each + (zone * classes + request_class) * schemes + scheme
-        self._counts[place] += change
+        index = server * self._each + (zone * classes + request_class) * schemes + scheme
+        self._counts[index] += change
 
     def table(self) -> NDArray[np.int64]:
-        """A copy, of shape (servers, zones, classes, schemes)."""
+        """Returns a copy, of shape (servers, zones, classes, schemes)."""
         return np.array(self._counts, dtype=np.int64).reshape(-1, *self._shape)
--- a/glenfold_lab/stand_ins/clients.py
+++ b/glenfold_lab/stand_ins/clients.py
@@ -36,11 +36,11 @@
     Wish,
 )
 from glenfold_lab.model.clients import (
-    LINES_US,
-    PACKETS_US,
-    PATIENCE_US,
-    SYN_AGAIN_US,
-    Habits,
+    ANSWER_MARGIN_US,
+    LINE_INTERVAL_US,
+    REROUTED_PACKET_US,
+    SYN_RETRY_US,
+    ClientBehavior,
 )
 from glenfold_lab.model.population import Drawn
 from glenfold_lab.observe import End, Final
@@ -143,7 +143,7 @@
     """
 
     scenario: Scenario
-    habits: Habits
+    habits: ClientBehavior
     front: SocketFront
     seal: Seal
     seen: Seen
@@ -207,7 +207,9 @@
         )
         client.turn += 1
         if relay is None or not self.front.reaches(relay):
-            await self.clock.until(self.clock.now_us() + self.habits.deadlines[client.kind] + PATIENCE_US)
+            await self.clock.until(
+                self.clock.now_us() + self.habits.deadlines[client.kind] + ANSWER_MARGIN_US
+            )
             return Outcome.REFUSED
         client.relay = relay
         self._request_count += 1
@@ -221,20 +223,20 @@
         if outcome is Outcome.REROUTED:
             await self.front.wait_until_settled(client.relay)
             client.mid_flow = True
-            return int(PACKETS_US * client.pace)
+            return int(REROUTED_PACKET_US * client.pace)
         if outcome is Outcome.UNREACHED:
-            return SYN_AGAIN_US
+            return SYN_RETRY_US
         if outcome is Outcome.REFUSED and not client.mid_flow:
             return self._backoff_us(client)
         client.mid_flow = False
         client.returning = self.scenario.clients.marks_returning
         if outcome is Outcome.DROPPED:
             return client.away_us
-        return self.habits.away_us(outcome is Outcome.MOVED, client.rejoin)
+        return self.habits.reconnect_delay_us(outcome is Outcome.MOVED, client.rejoin)
 
     def _backoff_us(self, client: Client) -> int:
         client.tries += 1
-        pause = min(self.habits.backoff_us * 2 ** min(client.tries - 1, 20), self.habits.backoff_most_us)
+        pause = min(self.habits.backoff_us * 2 ** min(client.tries - 1, 20), self.habits.max_backoff_us)
         pause *= 0.5 + client.pace
         return int(max(pause, client.advised_us if client.honours else 0))
 
@@ -308,7 +310,9 @@
         self._scope = trio.CancelScope()
         self._wait_us = pool.habits.deadlines[client.kind]
         self.first_line = pool.line(client, request, self._wait_us)
-        wish = Wish(self.first_line, self._wait_us + PATIENCE_US, client.until, LINES_US, b"QUIT\r\n")
+        wish = Wish(
+            self.first_line, self._wait_us + ANSWER_MARGIN_US, client.until, LINE_INTERVAL_US, b"QUIT\r\n"
+        )
         self._state = ClientState(wish, self._started_at, self._started_at)
 
     def abandon(self, outcome: Outcome, how: End) -> None:
--- a/glenfold_lab/stand_ins/front.py
+++ b/glenfold_lab/stand_ins/front.py
@@ -11,7 +11,7 @@
 
 from glenfold_lab.model.draw import value
 from glenfold_lab.model.front import Front
-from glenfold_lab.model.relay_hosts import FRONT_TOLD_S
+from glenfold_lab.model.relay_hosts import FRONT_REMOVAL_S
 from glenfold_lab.spec import Range
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 from glenfold_lab.stand_ins.ping import PingResult, ping
@@ -64,8 +64,8 @@
         return relay not in self._cut_off
 
     def relay_for(self, zone: int, key: int, turn: int, other_than: int) -> int | None:
-        """Returns the relay for a connection, as `Front.relay_for`; None while no relay is admitted."""
-        return self._model.relay_for(zone, key, turn, other_than)
+        """Returns the relay for a connection, as `Front.choose_relay`; None while no relay is admitted."""
+        return self._model.choose_relay(zone, key, turn, other_than)
 
     async def watch(self, admitted: trio.Event) -> None:
         """Follows the relays until it is cancelled; sets `admitted` once every relay is admitted."""
@@ -84,7 +84,7 @@
         The front admits the relay again only after its old process has exited.
         """
         self._leaving.add(relay)
-        await self._wait(value(FRONT_TOLD_S, self._random))
+        await self._wait(value(FRONT_REMOVAL_S, self._random))
         self._remove(relay)
 
     async def cut_off(self, relay: int, until: int) -> None:
--- a/glenfold_lab/stand_ins/push_server.py
+++ b/glenfold_lab/stand_ins/push_server.py
@@ -263,7 +263,7 @@
 
     def set_overloaded(self, overloaded: bool) -> None:
         """Stops all work while `overloaded` is set; work that arrives meanwhile piles up."""
-        self.process.fluid.jammed = overloaded
+        self.process.fluid.is_stalled = overloaded
         self.process.fluid.refresh(self._clock.now_us())
 
     # ---- tasks ----
--- a/glenfold_lab/stand_ins/push_states.py
+++ b/glenfold_lab/stand_ins/push_states.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from glenfold_lab.model.servers.calls import OWN_SPREAD, ROOM, SET_UP_SIGMA, TICK_US
+from glenfold_lab.model.servers.calls import SET_UP_SIGMA, SET_UP_SPREAD, SHED_TARGET, TICK_US
 from glenfold_lab.model.servers.messages import Messages
 from glenfold_lab.model.servers.server import Server, Stage
 from glenfold_lab.model.servers.store import Store
@@ -175,7 +175,7 @@
         self.parked_until.clear()
         fluid = self.fluid
         fluid.clear()
-        fluid.stage, fluid.cold, fluid.started, fluid.at = Stage.RUNS, cold, now, now
+        fluid.stage, fluid.cold, fluid.started, fluid.updated_at = Stage.RUNS, cold, now, now
         fluid.refresh(now)
         self.seen.server_started(now, self.number, self.capacity, cold)
 
@@ -191,9 +191,9 @@
         used = (fluid.demand + fluid.set_up_load) / capacity if capacity > 0 else 1.0
         fluid.wait_us = float(self.messages.waits(np.array([used]))[0])
         limit = fluid.machine.kind.buffer_s * fluid.machine.capacity
-        if fluid.piled <= limit:
+        if fluid.backlog <= limit:
             return []
-        fluid.drop(fluid.piled - limit)
+        fluid.drop(fluid.backlog - limit)
         return self._heaviest(capacity)
 
     def _heaviest(self, capacity: float) -> list["ServerConnection"]:
@@ -201,7 +201,7 @@
         remaining = self.fluid.demand
         is_affected: list[ServerConnection] = []
         for connection in sorted(self.by_key.values(), key=lambda held: (-held.load, held.request)):
-            if is_affected and (remaining <= ROOM * capacity or capacity <= 0):
+            if is_affected and (remaining <= SHED_TARGET * capacity or capacity <= 0):
                 break
             remaining -= connection.load
             is_affected.append(connection)
@@ -210,7 +210,7 @@
     def delay_us(self, now: int) -> int:
         """Returns the delay from a line's arrival to its reply; huge while no work is done."""
         self.fluid.advance(now)
-        own_us = self.messages.own_us(0) + self.fluid.pile_us()
+        own_us = self.messages.message_work_us(0) + self.fluid.backlog_us()
         return int(min(own_us + self.random.exponential(1.0) * self.fluid.wait_us, 1e12))
 
     def forget(self, key: int) -> None:
@@ -415,10 +415,10 @@
         assert self._work is not None
         log_mean = math.log(self._work.set_up_us) - SET_UP_SIGMA * SET_UP_SIGMA / 2
         work = float(process.random.lognormal(log_mean, SET_UP_SIGMA))
-        wait = min(fluid.pile_us(), TICK_US) if fluid.capacity() <= 0 else fluid.pile_us()
+        wait = min(fluid.backlog_us(), TICK_US) if fluid.capacity() <= 0 else fluid.backlog_us()
         own_us = work / fluid.machine.speed
-        spread_us = float(process.random.exponential(1.0)) * (OWN_SPREAD * own_us + fluid.wait_us)
-        fluid.queue_up(call, work)
+        spread_us = float(process.random.exponential(1.0)) * (SET_UP_SPREAD * own_us + fluid.wait_us)
+        fluid.enqueue(call, work)
         self._set_up_end = fluid.waiting[call.request].end
         self._has_asked_store = False
         self.due = now + int(wait + own_us + spread_us) + process.round_trips_us[self.relay]
@@ -427,15 +427,15 @@
         fluid, call = self.process.fluid, self._call
         assert call is not None
         fluid.advance(now)
-        fluid.take_done()  # Abandoned set-ups no longer hold up those behind them.
-        if fluid.reached < self._set_up_end - 1:  # The capacity has fallen in the meantime.
+        fluid.pop_finished()  # Abandoned set-ups no longer hold up those behind them.
+        if fluid.work_done < self._set_up_end - 1:  # The capacity has fallen in the meantime.
             capacity = fluid.capacity()
-            remaining = (self._set_up_end - fluid.reached) / capacity * 1e6 if capacity > 0 else TICK_US
+            remaining = (self._set_up_end - fluid.work_done) / capacity * 1e6 if capacity > 0 else TICK_US
             self.due = now + max(MIN_SET_UP_RECHECK_US, min(TICK_US, int(remaining)))
             return
         if self.process.store is not None and not self._has_asked_store:
             self._has_asked_store = True
-            self.due = now + self.process.store.ask(now)
+            self.due = now + self.process.store.answer_us(now)
             return
         del fluid.waiting[call.request]
         self.due = None
@@ -453,7 +453,7 @@
         self._report_attempt(now, AttemptOutcome.UP)
         self.phase = Phase.STANDING
         process.by_key[call.connection] = self
-        process.fluid.put(call)
+        process.fluid.add_standing(call)
         self._schedule_load_change(now)
         self._set_due()
 
@@ -469,7 +469,7 @@
         call, fluid = self._call, self.process.fluid
         if call is not None and self.due is not None:
             fluid.advance(now)
-            fluid.give_up(call)
+            fluid.abandon(call)
             self.due = None
 
     def _report_attempt(self, now: int, over: AttemptOutcome) -> None:
@@ -554,4 +554,4 @@
             process.fluid.park(call)
             process.parked_until[call.connection] = now + process.park_us
         else:
-            process.fluid.take_off(call)
+            process.fluid.remove_standing(call)
--- a/tests/glenfold_lab/modelled_relays.py
+++ b/tests/glenfold_lab/modelled_relays.py
@@ -1,4 +1,4 @@
-"""A relay of the model with push servers and clients that a test scripts; all in memory."""
+"""A relay of the model in memory, with scripted push servers and clients."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -7,18 +7,18 @@
 from glenfold.request import RequestState
 from glenfold_lab.model.kernel import SECOND_US, Kernel
 from glenfold_lab.model.relay_settings import Costs
-from glenfold_lab.model.relays import Exchange, Relay, Surroundings
+from glenfold_lab.model.relays import Exchange, Relay, RelayContext
 from glenfold_lab.model.wire import Call
 from glenfold_lab.observe import AttemptOutcome, End, Recorder
-from linnetspread import interface as i
+from linnetspread import interface
 
-WAY_US = 500  # from the relay to a push server, or back
-SETTINGS = i.Settings(
+WAY_US = 500  # One-way delay between the relay and a push server.
+SETTINGS = interface.Settings(
     classes=(
-        i.RequestClass(
+        interface.RequestClass(
             aim_us=500_000,
             deadline_us=3 * SECOND_US,
-            semantics=i.Semantics.REPEATABLE,
+            semantics=interface.Semantics.REPEATABLE,
             message_aim_us=250_000.0,
         ),
     ),
@@ -31,7 +31,11 @@
 
 @dataclass
 class Servers:
-    """As `wire.Machines`. `answer`: what a server says to a call; None: nothing. `silent`: never come up."""
+    """Implements `wire.Machines`.
+
+    `answer` returns a server's answer to a call, or None for no answer. Connections to the servers in
+    `silent` never come up.
+    """
 
     kernel: Kernel
     answer: Callable[[Call], AttemptOutcome | None] = lambda call: AttemptOutcome.UP
@@ -47,7 +51,7 @@
             return
         call.sent_at = self.kernel.now + 2 * WAY_US
         if (over := self.answer(call)) is not None:
-            self.kernel.after(4 * WAY_US, call.back.replied, call, over)
+            self.kernel.after(4 * WAY_US, call.caller.replied, call, over)
 
     def resume(self, call: Call) -> bool:
         self.calls.append(call)
@@ -70,11 +74,12 @@
 
 
 @dataclass
-class Callers:
-    """As `relays.Clientele`: what each client heard, and when."""
+class RecordingClients:
+    """Implements `relays.ClientSide` and records what each client received, and when."""
 
     kernel: Kernel
-    heard: list[tuple[str, int, int]] = field(default_factory=list)  # what, client, microseconds since start
+    # What, client, microseconds since start.
+    received: list[tuple[str, int, int]] = field(default_factory=list)
     waits: list[int] = field(default_factory=list)
 
     def load(self, client: int) -> float:
@@ -83,45 +88,48 @@
     def next_line(self, client: int) -> int:
         return self.kernel.now + 300_000
 
-    def hears(self, exchange: Exchange) -> bool:
+    def is_reachable(self, exchange: Exchange) -> bool:
         return True
 
-    def up(self, exchange: Exchange) -> None:
+    def answered_up(self, exchange: Exchange) -> None:
         self._note("up", exchange)
 
-    def turned_away(self, exchange: Exchange, wait_us: int) -> None:
+    def refused_or_failed(self, exchange: Exchange, wait_us: int) -> None:
         self.waits.append(wait_us)
         self._note("turned away", exchange)
 
-    def over(self, exchange: Exchange, how: End) -> None:
+    def connection_ended(self, exchange: Exchange, how: End) -> None:
         self._note(how.name, exchange)
 
     def _note(self, what: str, exchange: Exchange) -> None:
-        self.heard.append((what, exchange.client, self.kernel.now - self.kernel.start))
+        self.received.append((what, exchange.client, self.kernel.now - self.kernel.start))
 
-    def told(self) -> list[str]:
-        return [what for what, _, _ in self.heard]
+    def received_names(self) -> list[str]:
+        return [what for what, _, _ in self.received]
 
 
-class Stage:
-    """One relay that has heard of servers 1 to `servers`, and has room for `taken` connections."""
+class RelayFixture:
+    """One relay that has received a list of servers 1 to `servers` and has room for `taken` connections."""
 
     def __init__(
-        self, servers: int = 4, taken: int = 1000, settings: i.Settings = SETTINGS, step_us: int = 100
+        self, servers: int = 4, taken: int = 1000, settings: interface.Settings = SETTINGS, step_us: int = 100
     ) -> None:
         self.kernel, self.seen = Kernel(), Recorder()
-        self.servers, self.clients = Servers(self.kernel), Callers(self.kernel)
+        self.servers, self.clients = Servers(self.kernel), RecordingClients(self.kernel)
         costs = Costs(step_us, step_us, step_us, step_us, ConnectionLimits(64, taken, 12))
-        around = Surroundings(self.kernel, self.servers, self.clients, self.seen, costs)
-        self.relay = Relay(0, settings, 1, around)
-        self.relay.heard(
-            i.ServerList(
-                i.ListKind.FULL,
+        context = RelayContext(self.kernel, self.servers, self.clients, self.seen, costs)
+        self.relay = Relay(0, settings, 1, context)
+        self.relay.receive_list(
+            interface.ServerList(
+                interface.ListKind.FULL,
                 1,
-                tuple(i.ListedServer(number, i.ServerState.READY) for number in range(1, servers + 1)),
+                tuple(
+                    interface.ListedServer(number, interface.ServerState.READY)
+                    for number in range(1, servers + 1)
+                ),
             )
         )
-        self.run(0.01)  # the list has been read
+        self.run(0.01)  # The relay reads the list.
         self.kernel.start = self.kernel.now
 
     def run(self, seconds: float) -> None:
@@ -129,13 +137,13 @@
 
     def exchange(self, client: int, mid_flow: bool = False) -> Exchange:
         number, expires = client + 1, 3 * SECOND_US
-        event = i.Request(number, expires, key=number * 7919, mid_flow=mid_flow)
+        event = interface.Request(number, expires, key=number * 7919, mid_flow=mid_flow)
         return Exchange(self.relay, client, 0, 0, event, RequestState(number, self.kernel.now + expires))
 
     def ask(self, *clients: int, mid_flow: bool = False) -> list[Exchange]:
-        asked = [self.exchange(client, mid_flow) for client in clients]
-        assert all(self.relay.offer(one, self.kernel.now + one.event.expires_in_us) for one in asked)
-        return asked
+        exchanges = [self.exchange(client, mid_flow) for client in clients]
+        assert all(self.relay.offer(one, self.kernel.now + one.event.expires_in_us) for one in exchanges)
+        return exchanges
 
     def observed(self, name: str) -> list[tuple[object, ...]]:
         return [values for kind, values in self.seen.records if kind == name]
