--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -23,8 +23,8 @@
 
 from glenfold.config import Address
 from glenfold_lab import spec
-from glenfold_lab.load import plan, terms, worker_pool
-from glenfold_lab.load.echo import echoes
+from glenfold_lab.load import plan, plan_options, worker_pool
+from glenfold_lab.load.echo import echo_servers
 from glenfold_lab.load.offer import Offer
 from glenfold_lab.load.result import LoadResult, summarize, window_us
 from glenfold_lab.results import Distribution
@@ -82,15 +82,15 @@
     life: float
 
     def offer(self, targets: Sequence[Address]) -> Offer:
-        kinds = (terms.LoadClass(name="watch", life_s=self.life),)
-        arrivals = (terms.Arrivals(rate=self.rate, for_s=self.seconds, process="poisson"),)
-        asked = terms.LoadPlan(format=1, arrivals=arrivals, classes=kinds)
+        kinds = (plan_options.LoadClass(name="watch", life_s=self.life),)
+        arrivals = (plan_options.Arrivals(rate=self.rate, for_s=self.seconds, process="poisson"),)
+        asked = plan_options.LoadPlan(format=1, arrivals=arrivals, classes=kinds)
         return Offer(asked, targets, 20_000, window_us(plan.length_us(asked)))
 
     def measure(self, targets: Sequence[Address], seed: int) -> LoadResult:
         offer = self.offer(targets)
-        clients, length_us = plan.draw(offer.terms, seed, len(targets)), plan.length_us(offer.terms)
-        reports = worker_pool.offer_all(offer, clients, WORKERS, lambda: False)
+        clients, length_us = plan.draw(offer.options, seed, len(targets)), plan.length_us(offer.options)
+        reports = worker_pool.run_load(offer, clients, WORKERS, lambda: False)
         return summarize(seed, offer, clients, length_us, reports, LATE_US, False)
 
 
@@ -113,7 +113,7 @@
 def against_echo(asked: Asked, seed: int) -> Figures:
     with beside_the_load():
         cores = psutil.Process().cpu_affinity()
-    with echoes(WORKERS, cores) as targets:
+    with echo_servers(WORKERS, cores) as targets:
         return figures(asked.measure(targets, seed))
 
 
--- a/glenfold_lab/commands/load.py
+++ b/glenfold_lab/commands/load.py
@@ -22,7 +22,7 @@
 
 from glenfold.config import Address, read_address
 from glenfold.toml_file import BadFile, TomlFile
-from glenfold_lab.load import echo, plan, terms, worker_pool
+from glenfold_lab.load import echo, plan, plan_options, worker_pool
 from glenfold_lab.load.offer import Offer
 from glenfold_lab.load.result import ENDED_EARLY, LoadResult, summarize, window_us
 from glenfold_lab.results import Distribution
@@ -87,17 +87,17 @@
         return str(found[0][4][0]), port
 
 
-class ReconnectOption(click.ParamType[terms.Reconnect]):
+class ReconnectOption(click.ParamType[plan_options.Reconnect]):
     name = "N@AT[/WITHIN]"
 
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
-    ) -> terms.Reconnect:
+    ) -> plan_options.Reconnect:
         match = RECONNECT.fullmatch(value)
         if match is None:
             self.fail(f"{value!r} is not CLIENTS@SECONDS[/WITHIN], as 2000@15/1.5", param, ctx)
         clients, at_s, within_s = match.groups()
-        return terms.Reconnect(clients=int(clients), at_s=float(at_s), within_s=float(within_s or 0))
+        return plan_options.Reconnect(clients=int(clients), at_s=float(at_s), within_s=float(within_s or 0))
 
 
 POSITIVE = Number(closed=False)
@@ -182,14 +182,14 @@
 # ---- what is asked for ----
 
 
-def _from_file(file: Path, options: dict[str, Any]) -> terms.LoadPlan:
+def _from_file(file: Path, options: dict[str, Any]) -> plan_options.LoadPlan:
     given = [name for name, value in options.items() if value]
     if given:
         raise click.UsageError("--plan says all of what --rate and its like say; give either")
-    return terms.read(file)
+    return plan_options.read(file)
 
 
-def _from_options(options: dict[str, Any]) -> terms.LoadPlan:
+def _from_options(options: dict[str, Any]) -> plan_options.LoadPlan:
     rate, for_s, ramp_s = options["rate"], options["for_s"], options["ramp_s"] or 0.0
     if rate is None or for_s is None:
         raise click.UsageError("--rate and --for are needed, or a --plan")
@@ -204,7 +204,7 @@
         "reconnects": msgspec.to_builtins(options["reconnect"]),
     }
     try:
-        return terms.checked(TomlFile("options", document, {}))
+        return plan_options.checked(TomlFile("options", document, {}))
     except BadFile as error:
         hint = next(option for key, option in OPTIONS.items() if key in error.key)
         raise click.BadParameter(error.reason, param_hint=hint) from error
@@ -221,7 +221,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    asked: terms.LoadPlan
+    asked: plan_options.LoadPlan
     seed: int
     workers: int
     most_open: int
@@ -233,7 +233,7 @@
     all_cores = psutil.Process().cpu_affinity()
     own = {core for cores in worker_pool.cores_for(order.workers) for core in cores}
     others = [core for core in all_cores if core not in own]
-    with echo.echoes(order.workers, others or all_cores) as targets:
+    with echo.echo_servers(order.workers, others or all_cores) as targets:
         return _measure(order, targets)
 
 
@@ -247,7 +247,7 @@
             show()
             return stopped()
 
-        reports = worker_pool.offer_all(offer, clients, order.workers, look)
+        reports = worker_pool.run_load(offer, clients, order.workers, look)
         return summarize(order.seed, offer, clients, length_us, reports, order.late_us, stopped())
 
 
--- a/glenfold_lab/load/client.py
+++ b/glenfold_lab/load/client.py
@@ -12,8 +12,8 @@
 from glenfold.lines import LINE_END, LineTracker
 
 ANSWER_SLACK_US = 50_000  # by which an answer may be past the deadline
-SILENT_US = 7_000_000  # a line unanswered for so long: the client gives its connection up
-PART_US = 1_000_000  # from the end of one side to that of the other
+LINE_TIMEOUT_US = 7_000_000  # a line unanswered for so long: the client gives its connection up
+CLOSING_TIMEOUT_US = 1_000_000  # from the end of one side to that of the other
 
 
 class Phase(Enum):
@@ -37,7 +37,7 @@
     NONE = "none"  # nothing by the deadline and the slack
 
 
-class Parting(Enum):
+class EndReason(Enum):
     """How a connection that was up ended, as its client saw it."""
 
     LEFT = "left"  # it had what it wanted
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ConnectionOptions:
     """What a client wants. line: its first line, with its end. wait_us: for its answer, from the sending of
     that line. until_us: it wants the connection until then. line_gap_us: between lines; 0: it says none.
     last_line: what it says, with its end, before it leaves."""
@@ -76,12 +76,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class Received:
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class ReceivedEof:
     """The other side has ended its sending."""
 
 
@@ -95,7 +95,7 @@
     """The moment `due_us` has come."""
 
 
-Incident = Connected | Unreachable | Heard | Finished | Broken | Due
+Input = Connected | Unreachable | Received | ReceivedEof | Broken | Due
 
 
 # ---- what is to be done, and what is to be told ----
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
+class SendEof:
     """Ends the sending; what comes in is still heard."""
 
 
@@ -127,14 +127,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LineSaid:
+class LineSent:
     """late_us: after its intended moment."""
 
     late_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class LineBack:
+class LineAnswered:
     """us: since the moment for which the line was intended. answer: without its end."""
 
     us: int
@@ -142,20 +142,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unasked:
+class UnexpectedLine:
     """A line that answers nothing, or came after a final answer that leaves nothing to be said."""
 
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Parted:
-    parting: Parting
+class ConnectionEnded:
+    reason: EndReason
     unanswered: int  # lines
 
 
-News = Answered | LineSaid | LineBack | Unasked | Parted
-Effect = Send | Finish | Close | News
+ClientEvent = Answered | LineSent | LineAnswered | UnexpectedLine | ConnectionEnded
+Effect = Send | SendEof | Close | ClientEvent
 
 
 class ClientState:
@@ -164,76 +164,76 @@
     Lines are answered in their order, each by one line that is none of LOAD, MOVE and BYE. How many wait for
     an answer is bounded by SILENT_US over the gap between them."""
 
-    def __init__(self, wish: Wish, intended_us: int, now_us: int) -> None:
-        self.wish = wish
+    def __init__(self, options: ConnectionOptions, intended_us: int, now_us: int) -> None:
+        self.options = options
         self.intended_us = intended_us
         self.phase = Phase.CONNECTING
-        self.due_us = now_us + wish.wait_us
+        self.due_us = now_us + options.wait_us
         self._lines = LineTracker()
-        self._said: deque[int] = deque()  # the intended moments of lines without an answer
+        self._unanswered_us: deque[int] = deque()  # the intended moments of lines without an answer
         self._next_line_us = 0
-        self._parting = Parting.LEFT
+        self._end_reason = EndReason.LEFT
 
     @property
-    def stands(self) -> bool:
+    def is_standing(self) -> bool:
         return self.phase in (Phase.UP, Phase.LINES, Phase.LEAVING)
 
-    def on(self, incident: Incident, now_us: int) -> list[Effect]:
+    def on(self, event_input: Input, now_us: int) -> list[Effect]:
         if self.phase is Phase.ENDED:
             return []
-        match incident:
+        match event_input:
             case Connected():
-                return self._ask(now_us)
+                return self._send_first_line(now_us)
             case Unreachable():
-                return self._end(Answer.UNREACHABLE, Parting.RESET, now_us)
-            case Heard(data):
-                return self._heard(data, now_us)
-            case Finished():
-                return self._end(Answer.CLOSED, Parting.CUT, now_us)
+                return self._end(Answer.UNREACHABLE, EndReason.RESET, now_us)
+            case Received(data):
+                return self._on_received(data, now_us)
+            case ReceivedEof():
+                return self._end(Answer.CLOSED, EndReason.CUT, now_us)
             case Broken():
-                return self._end(Answer.RESET, Parting.RESET, now_us)
+                return self._end(Answer.RESET, EndReason.RESET, now_us)
             case Due():
-                return self._due(now_us) if now_us >= self.due_us else []
+                return self._on_due(now_us) if now_us >= self.due_us else []
 
-    def _ask(self, now_us: int) -> list[Effect]:
+    def _send_first_line(self, now_us: int) -> list[Effect]:
         self.phase = Phase.ASKED
-        self.due_us = now_us + self.wish.wait_us + ANSWER_SLACK_US
-        return [Send(self.wish.line)]
+        self.due_us = now_us + self.options.wait_us + ANSWER_SLACK_US
+        return [Send(self.options.line)]
 
-    def _heard(self, data: bytes, now_us: int) -> list[Effect]:
+    def _on_received(self, data: bytes, now_us: int) -> list[Effect]:
         effects: list[Effect] = []
-        beyond: list[Effect] = []  # told before the Close that ended it, as that comes last
+        after_end: list[Effect] = []  # told before the Close that ended it, as that comes last
         for line in self._lines.feed(data):
             if self.phase is Phase.ENDED:
-                beyond.append(Unasked(line))
+                after_end.append(UnexpectedLine(line))
             else:
-                effects += self._line(line, now_us)
+                effects += self._on_line(line, now_us)
         if self._lines.too_long:
-            effects += self._end(Answer.ERROR, Parting.GARBLED, now_us)
-        effects[-1:-1] = beyond
+            effects += self._end(Answer.ERROR, EndReason.GARBLED, now_us)
+        effects[-1:-1] = after_end
         return effects
 
-    def _line(self, line: bytes, now_us: int) -> list[Effect]:
-        if not self.stands:
-            return self._answered(line, now_us)
+    def _on_line(self, line: bytes, now_us: int) -> list[Effect]:
+        if not self.is_standing:
+            return self._on_answered(line, now_us)
         if line in (b"MOVE", b"BYE"):
-            return self._leave(Parting.MOVED if line == b"MOVE" else Parting.SERVED, now_us)
+            return self._start_closing(EndReason.MOVED if line == b"MOVE" else EndReason.SERVED, now_us)
         if line.startswith(b"LOAD "):
             return []
-        if not self._said:
-            return [Unasked(line)]
-        back = LineBack(now_us - self._said.popleft(), line)
+        if not self._unanswered_us:
+            return [UnexpectedLine(line)]
+        answered = LineAnswered(now_us - self._unanswered_us.popleft(), line)
         self._set_due()
-        return [back]
+        return [answered]
 
-    def _answered(self, line: bytes, now_us: int) -> list[Effect]:
+    def _on_answered(self, line: bytes, now_us: int) -> list[Effect]:
         word, _, rest = line.partition(b" ")
         if word == b"BUSY" and (not rest or rest.isdigit()):
-            return self._end(Answer.BUSY, Parting.LEFT, now_us, wait_us=int(rest or b"0") * 1000)
+            return self._end(Answer.BUSY, EndReason.LEFT, now_us, wait_us=int(rest or b"0") * 1000)
         if word != b"UP" or not rest:
-            return self._end(Answer.ERROR, Parting.LEFT, now_us)
+            return self._end(Answer.ERROR, EndReason.LEFT, now_us)
         self.phase = Phase.UP
-        self._next_line_us = now_us + self.wish.line_gap_us
+        self._next_line_us = now_us + self.options.line_gap_us
         self._set_due()
         return [Answered(Answer.UP, now_us - self.intended_us, receipt=rest)]
 
@@ -241,50 +241,50 @@
         """Only while it is up: from then on a client that leaves is bound by its parting alone."""
         if self.phase is Phase.LEAVING:
             return
-        self.phase = Phase.LINES if self._said else Phase.UP
-        due = self.wish.until_us
-        if self.wish.line_gap_us:
+        self.phase = Phase.LINES if self._unanswered_us else Phase.UP
+        due = self.options.until_us
+        if self.options.line_gap_us:
             due = min(due, self._next_line_us)
-        if self._said:
-            due = min(due, self._said[0] + SILENT_US)
+        if self._unanswered_us:
+            due = min(due, self._unanswered_us[0] + LINE_TIMEOUT_US)
         self.due_us = due
 
-    def _due(self, now_us: int) -> list[Effect]:
+    def _on_due(self, now_us: int) -> list[Effect]:
         if self.phase in (Phase.CONNECTING, Phase.ASKED):
             answer = Answer.UNREACHABLE if self.phase is Phase.CONNECTING else Answer.NONE
-            return self._end(answer, Parting.RESET, now_us)
+            return self._end(answer, EndReason.RESET, now_us)
         if self.phase is Phase.LEAVING:
-            return self._end(Answer.NONE, self._parting, now_us)
-        if self._said and now_us >= self._said[0] + SILENT_US:
-            return self._end(Answer.NONE, Parting.SILENT, now_us)
-        if now_us >= self.wish.until_us:
-            last = [Send(self.wish.last_line)] if self.wish.last_line else []
-            return [*last, Finish(), *self._leave(Parting.LEFT, now_us)]
-        return self._say(now_us)
-
-    def _say(self, now_us: int) -> list[Effect]:
+            return self._end(Answer.NONE, self._end_reason, now_us)
+        if self._unanswered_us and now_us >= self._unanswered_us[0] + LINE_TIMEOUT_US:
+            return self._end(Answer.NONE, EndReason.SILENT, now_us)
+        if now_us >= self.options.until_us:
+            last = [Send(self.options.last_line)] if self.options.last_line else []
+            return [*last, SendEof(), *self._start_closing(EndReason.LEFT, now_us)]
+        return self._send_due_lines(now_us)
+
+    def _send_due_lines(self, now_us: int) -> list[Effect]:
         """Those that are overdue too: a line is never left out because the one before it was late."""
-        said: list[Effect] = []
+        effects: list[Effect] = []
         while self._next_line_us <= now_us:
-            said += [Send(b"M %d" % self._next_line_us + LINE_END), LineSaid(now_us - self._next_line_us)]
-            self._said.append(self._next_line_us)
-            self._next_line_us += self.wish.line_gap_us
+            effects += [Send(b"M %d" % self._next_line_us + LINE_END), LineSent(now_us - self._next_line_us)]
+            self._unanswered_us.append(self._next_line_us)
+            self._next_line_us += self.options.line_gap_us
         self._set_due()
-        return said
+        return effects
 
-    def _leave(self, parting: Parting, now_us: int) -> list[Effect]:
+    def _start_closing(self, reason: EndReason, now_us: int) -> list[Effect]:
         if self.phase is not Phase.LEAVING:
-            self.phase, self.due_us = Phase.LEAVING, now_us + PART_US
-            self._parting = parting
+            self.phase, self.due_us = Phase.LEAVING, now_us + CLOSING_TIMEOUT_US
+            self._end_reason = reason
         return []
 
-    def _end(self, answer: Answer, parting: Parting, now_us: int, wait_us: int = 0) -> list[Effect]:
+    def _end(self, answer: Answer, reason: EndReason, now_us: int, wait_us: int = 0) -> list[Effect]:
         """By `answer` if it had none yet, else by `parting`, unless it was leaving for another reason."""
-        before, self.phase = self.phase, Phase.ENDED
-        if before in (Phase.CONNECTING, Phase.ASKED):
+        previous_phase, self.phase = self.phase, Phase.ENDED
+        if previous_phase in (Phase.CONNECTING, Phase.ASKED):
             return [Answered(answer, now_us - self.intended_us, wait_us), Close()]
-        how = self._parting if before is Phase.LEAVING else parting
-        return [Parted(how, len(self._said)), Close()]
+        how = self._end_reason if previous_phase is Phase.LEAVING else reason
+        return [ConnectionEnded(how, len(self._unanswered_us)), Close()]
 
 
 def open_line(ident: int, key: int, figures: Mapping[str, str | int]) -> bytes:
--- a/glenfold_lab/load/talk.py
+++ b/glenfold_lab/load/connection.py
@@ -10,29 +10,29 @@
 from glenfold.config import Address
 from glenfold.lines import MAX_LINE_BYTES
 from glenfold_lab.load.client import (
-    SILENT_US,
+    LINE_TIMEOUT_US,
     Broken,
+    ClientEvent,
     ClientState,
     Close,
     Connected,
     Due,
     Effect,
-    Finish,
-    Finished,
-    Heard,
-    Incident,
-    News,
+    Input,
     Phase,
+    Received,
+    ReceivedEof,
     Send,
+    SendEof,
     Unreachable,
 )
 
-SEND_S = SILENT_US / 1e6  # a side that takes nothing for so long is not worth waiting for
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+SEND_TIMEOUT_S = LINE_TIMEOUT_US / 1e6  # a side that takes nothing for so long is not worth waiting for
+NO_SOCKET_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 Stream = trio.abc.HalfCloseableStream
 Connect = Callable[[], Awaitable[Stream]]
-Tell = Callable[[News], None]
+EventCallback = Callable[[ClientEvent], None]
 
 
 class Clock(Protocol):
@@ -54,49 +54,49 @@
     return trio.SocketStream(sock)
 
 
-async def talk(state: ClientState, connect: Connect, tell: Tell, clock: Clock) -> None:
+async def run_connection(state: ClientState, connect: Connect, on_event: EventCallback, clock: Clock) -> None:
     """From the connecting to the end; whatever the other side does, only this client's end comes of it.
 
     Raises OSError, before it has told anything, where this machine has no socket or port left for it."""
-    stream = await _connected(connect, clock.to_trio(state.due_us))
+    stream = await _connect_or_none(connect, clock.to_trio(state.due_us))
     if stream is None:
         for effect in state.on(Unreachable(), clock.now_us()):
-            if isinstance(effect, News):
-                tell(effect)
+            if isinstance(effect, ClientEvent):
+                on_event(effect)
         return
-    incident: Incident = Connected()
+    event_input: Input = Connected()
     try:
         while True:
-            for effect in state.on(incident, clock.now_us()):
-                await _carry_out(effect, stream, tell)
+            for effect in state.on(event_input, clock.now_us()):
+                await _carry_out(effect, stream, on_event)
             if state.phase is Phase.ENDED:
                 return
-            incident = await _next(stream, clock.to_trio(state.due_us))
+            event_input = await _next_input(stream, clock.to_trio(state.due_us))
     finally:
         await trio.aclose_forcefully(stream)
 
 
-async def _connected(connect: Connect, until: float) -> Stream | None:
-    with trio.move_on_at(until):
+async def _connect_or_none(connect: Connect, deadline: float) -> Stream | None:
+    with trio.move_on_at(deadline):
         try:
             return await connect()
         except OSError as error:
-            if error.errno in NO_ROOM:
+            if error.errno in NO_SOCKET_ERRNOS:
                 raise
     return None
 
 
-async def _carry_out(effect: Effect, stream: Stream, tell: Tell) -> None:
+async def _carry_out(effect: Effect, stream: Stream, on_event: EventCallback) -> None:
     match effect:
         case Send(data):
-            with trio.move_on_at(trio.current_time() + SEND_S):
+            with trio.move_on_at(trio.current_time() + SEND_TIMEOUT_S):
                 await _unless_broken(stream.send_all(data))
-        case Finish():
+        case SendEof():
             await _unless_broken(stream.send_eof())
         case Close():
             pass  # done by the stream's owner, as the states have ended
         case _:
-            tell(effect)
+            on_event(effect)
 
 
 async def _unless_broken(sending: Awaitable[None]) -> None:
@@ -105,11 +105,11 @@
         await sending
 
 
-async def _next(stream: Stream, until: float) -> Incident:
-    with trio.move_on_at(until):
+async def _next_input(stream: Stream, deadline: float) -> Input:
+    with trio.move_on_at(deadline):
         try:
             data = await stream.receive_some(MAX_LINE_BYTES)
         except trio.BrokenResourceError:
             return Broken()
-        return Heard(bytes(data)) if data else Finished()
+        return Received(bytes(data)) if data else ReceivedEof()
     return Due()
--- a/glenfold_lab/load/echo.py
+++ b/glenfold_lab/load/echo.py
@@ -15,25 +15,25 @@
 
 from glenfold.config import Address
 from glenfold.lines import LINE_END, MAX_LINE_BYTES
-from glenfold_lab.load.worker_pool import descriptors
+from glenfold_lab.load.worker_pool import raise_descriptor_limit
 
 BACKLOG = 4096
 UP = b"UP echo" + LINE_END
 
 
 @contextmanager
-def echoes(count: int, cores: Sequence[int]) -> Iterator[list[Address]]:
+def echo_servers(count: int, cores: Sequence[int]) -> Iterator[list[Address]]:
     """So many processes on ephemeral loopback ports, on these cores; they end with this block, or with this
     process."""
     context = multiprocessing.get_context("spawn")
     pipes = []
     processes = []
     for _ in range(count):
-        here, there = context.Pipe()
-        process = context.Process(target=serve, args=(there, list(cores)), daemon=True)
+        parent_end, child_end = context.Pipe()
+        process = context.Process(target=serve, args=(child_end, list(cores)), daemon=True)
         process.start()
-        there.close()
-        pipes.append(here)
+        child_end.close()
+        pipes.append(parent_end)
         processes.append(process)
     try:
         yield [pipe.recv() for pipe in pipes]
@@ -48,7 +48,7 @@
     """One such process: tells its address, and ends with the pipe."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     psutil.Process().cpu_affinity(cores)
-    descriptors()
+    raise_descriptor_limit()
     gc.disable()  # its pauses would be taken for the load's
     trio.run(_serve, pipe)
 
--- a/glenfold_lab/load/offer.py
+++ b/glenfold_lab/load/offer.py
@@ -6,19 +6,27 @@
 import trio
 
 from glenfold.config import Address
-from glenfold_lab.load.client import Answer, Answered, ClientState, News, Parted, Wish, open_line
+from glenfold_lab.load.client import (
+    Answer,
+    Answered,
+    ClientEvent,
+    ClientState,
+    ConnectionEnded,
+    ConnectionOptions,
+    open_line,
+)
+from glenfold_lab.load.connection import Clock, Stream, connect_to, run_connection
 from glenfold_lab.load.plan import Clients
-from glenfold_lab.load.talk import Clock, Stream, connect_to, talk
-from glenfold_lab.load.tally import Hearing, Tally
-from glenfold_lab.load.terms import LoadPlan
+from glenfold_lab.load.plan_options import LoadPlan
+from glenfold_lab.load.tally import ClientRecorder, Tally
 
-BLOCK = 4096  # clients taken out of the plan's array at once
+BLOCK_CLIENTS = 4096  # clients taken out of the plan's array at once
 
 ConnectTo = Callable[[Address], Awaitable[Stream]]
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedClient:
     """One client of a plan, as `plan.CLIENT` has it."""
 
     start_us: int
@@ -39,29 +47,29 @@
     """targets: where the relays listen. most_open: connections at once. window_us: how long a window of the
     tally is."""
 
-    terms: LoadPlan
+    options: LoadPlan
     targets: Sequence[Address]
     most_open: int
     window_us: int
 
 
-def planned(clients: Clients) -> Iterator[Planned]:
-    for begin in range(0, len(clients), BLOCK):
-        for values in clients[begin : begin + BLOCK].tolist():
-            yield Planned(*values)
+def planned_clients(clients: Clients) -> Iterator[PlannedClient]:
+    for begin in range(0, len(clients), BLOCK_CLIENTS):
+        for values in clients[begin : begin + BLOCK_CLIENTS].tolist():
+            yield PlannedClient(*values)
 
 
-def wish(terms: LoadPlan, client: Planned, begin_us: int) -> Wish:
+def connection_options(options: LoadPlan, client: PlannedClient, begin_us: int) -> ConnectionOptions:
     """begin_us: when the load starts, on the clients' clock."""
-    figures: dict[str, str | int] = {"c": terms.classes[client.request_class].name}
-    if terms.schemes:
-        figures["t"] = terms.schemes[client.scheme].name
+    figures: dict[str, str | int] = {"c": options.classes[client.request_class].name}
+    if options.schemes:
+        figures["t"] = options.schemes[client.scheme].name
     figures["d"] = client.wait_us // 1000
     figures["g"] = f"{client.group:016x}"
     if client.again:
         figures["again"] = 1
     line = open_line(client.ident, client.key, figures)
-    return Wish(line, client.wait_us, begin_us + client.end_us, client.line_gap_us)
+    return ConnectionOptions(line, client.wait_us, begin_us + client.end_us, client.line_gap_us)
 
 
 class Load:
@@ -76,20 +84,20 @@
         self._open = 0
         self._unanswered = 0
         self._standing = 0
-        self._answered = trio.Event()
+        self._answer_event = trio.Event()
 
     async def run(self, clients: Clients, stop: trio.Event) -> None:
         """Until the last of these clients is answered (each has a deadline), or `stop`. What stands then is
         closed; what has no answer yet was begun, and nothing more is told of it."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._stop_at, stop, nursery.cancel_scope)
+            nursery.start_soon(self._stop_when_set, stop, nursery.cancel_scope)
             await self._start_all(clients, nursery)
             while self._unanswered:
-                self._answered = trio.Event()
-                await self._answered.wait()
+                self._answer_event = trio.Event()
+                await self._answer_event.wait()
             self._end(nursery.cancel_scope)
 
-    async def _stop_at(self, stop: trio.Event, scope: trio.CancelScope) -> None:
+    async def _stop_when_set(self, stop: trio.Event, scope: trio.CancelScope) -> None:
         await stop.wait()
         self._end(scope)
 
@@ -99,42 +107,44 @@
 
     async def _start_all(self, clients: Clients, nursery: trio.Nursery) -> None:
         """One pass of the event loop for each start: a burst must not keep answers from being read."""
-        for client in planned(clients):
+        for client in planned_clients(clients):
             await trio.sleep_until(self._clock.to_trio(self._begin_us + client.start_us))
             if self._open >= self._offer.most_open:
                 self.tally.no_room += 1
                 continue
             self._open += 1
             self._unanswered += 1
-            nursery.start_soon(self._client, client)
+            nursery.start_soon(self._run_client, client)
 
-    async def _client(self, client: Planned) -> None:
+    async def _run_client(self, client: PlannedClient) -> None:
         offer, tally = self._offer, self.tally
         intended_us, now_us = self._begin_us + client.start_us, self._clock.now_us()
         tally.late.record(now_us - intended_us)
         window = client.start_us // offer.window_us
         tally.started[window] += 1
         target = offer.targets[client.target]
-        hearing = Hearing(tally, offer.terms.classes[client.request_class].name, client.target, window)
-
-        def tell(news: News) -> None:
-            hearing.hear(news)
-            if isinstance(news, Answered):
-                self._standing += news.answer is Answer.UP
-                self._one_answered()
-            elif isinstance(news, Parted):
+        recorder = ClientRecorder(
+            tally, offer.options.classes[client.request_class].name, client.target, window
+        )
+
+        def on_event(event: ClientEvent) -> None:
+            recorder.record_event(event)
+            if isinstance(event, Answered):
+                self._standing += event.answer is Answer.UP
+                self._record_answer()
+            elif isinstance(event, ConnectionEnded):
                 self._standing -= 1
 
-        state = ClientState(wish(offer.terms, client, self._begin_us), intended_us, now_us)
+        state = ClientState(connection_options(offer.options, client, self._begin_us), intended_us, now_us)
         try:
-            await talk(state, lambda: self._connect(target), tell, self._clock)
+            await run_connection(state, lambda: self._connect(target), on_event, self._clock)
         except OSError:
             tally.started[window] -= 1
             tally.no_room += 1
-            self._one_answered()
+            self._record_answer()
         finally:
             self._open -= 1
 
-    def _one_answered(self) -> None:
+    def _record_answer(self) -> None:
         self._unanswered -= 1
-        self._answered.set()
+        self._answer_event.set()
--- a/glenfold_lab/load/terms.py
+++ b/glenfold_lab/load/plan_options.py
@@ -12,19 +12,19 @@
 from glenfold.toml_file import Key, TomlFile
 from glenfold_lab.spec import Name, Part, Positive, Share
 
-MOST_STARTS = 5_000_000  # of one plan: what the tables of its workers can hold
+MAX_STARTS = 5_000_000  # of one plan: what the tables of its workers can hold
 DAY_S = 86_400
-LEAST_GAP_MS = 10  # bounds how many lines of one client can be unanswered
-WORD = re.compile(r"[!-+\--~]+")  # what can stand in a first line: no blank, no comma
+MIN_LINE_GAP_MS = 10  # bounds how many lines of one client can be unanswered
+NAME_PATTERN = re.compile(r"[!-+\--~]+")  # what can stand in a first line: no blank, no comma
 
 Rate = Annotated[float, Meta(ge=0, le=1e6)]
 Ramp = Annotated[tuple[Rate, ...], Meta(min_length=2, max_length=2)]
-Seconds = Annotated[float, Meta(ge=0, le=DAY_S)]
-Length = Annotated[float, Meta(gt=0, le=DAY_S)]
+OffsetS = Annotated[float, Meta(ge=0, le=DAY_S)]
+DurationS = Annotated[float, Meta(gt=0, le=DAY_S)]
 Wait = Annotated[int, Meta(ge=1, le=MAX_WAIT_MS)]
 Milliseconds = Annotated[float, Meta(ge=0, le=1000 * DAY_S)]
 Spread = Annotated[float, Meta(ge=0, le=4)]
-Many = Annotated[int, Meta(ge=1, le=1_000_000)]
+PositiveCount = Annotated[int, Meta(ge=1, le=1_000_000)]
 
 
 class Arrivals(Part, frozen=True):
@@ -34,8 +34,8 @@
     process: "constant" has starts evenly apart, "poisson" at random, each without regard to the others."""
 
     rate: Rate | Ramp
-    for_s: Length
-    at_s: Seconds = 0.0
+    for_s: DurationS
+    at_s: OffsetS = 0.0
     process: Literal["constant", "poisson"] = "constant"
 
 
@@ -44,9 +44,9 @@
     once. Each one's connection ends half way to that. Where fewer stand by the plan, the rest come from
     elsewhere. All say `again=1`."""
 
-    at_s: Seconds
-    clients: Many
-    within_s: Seconds = 0.0
+    at_s: OffsetS
+    clients: PositiveCount
+    within_s: OffsetS = 0.0
 
 
 class LoadClass(Part, frozen=True):
@@ -59,7 +59,7 @@
     name: Name
     share: Positive = 1.0
     wait_ms: Wait = 2000
-    life_s: Length = 10.0
+    life_s: DurationS = 10.0
     life_sigma: Spread = 0.0
     line_gap_ms: Milliseconds = 2000.0
 
@@ -75,7 +75,7 @@
     """share: of the clients that belong to a group; the rest are each their own. zipf: how unequal the sizes
     of the `count` groups are; 0: alike."""
 
-    count: Many
+    count: PositiveCount
     share: Share = 1.0
     zipf: Spread = 0.8
 
@@ -98,10 +98,10 @@
 
 def checked(values: TomlFile) -> LoadPlan:
     """Raises BadFile, too."""
-    terms = values.convert(LoadPlan)
-    for key, reason in faults(terms):
+    options = values.convert(LoadPlan)
+    for key, reason in problems(options):
         raise values.error(key, reason)
-    return terms
+    return options
 
 
 def rates(arrivals: Arrivals) -> tuple[float, float]:
@@ -111,26 +111,26 @@
     return arrivals.rate, arrivals.rate
 
 
-def expected_starts(terms: LoadPlan) -> float:
+def expected_starts(options: LoadPlan) -> float:
     """How many clients these terms ask for, on the mean."""
-    arriving = sum(sum(rates(arrivals)) / 2 * arrivals.for_s for arrivals in terms.arrivals)
-    return arriving + sum(reconnect.clients for reconnect in terms.reconnects)
+    arriving = sum(sum(rates(arrivals)) / 2 * arrivals.for_s for arrivals in options.arrivals)
+    return arriving + sum(reconnect.clients for reconnect in options.reconnects)
 
 
-def faults(terms: LoadPlan) -> Iterator[tuple[Key, str]]:
+def problems(options: LoadPlan) -> Iterator[tuple[Key, str]]:
     """What the types of the values don't tell."""
-    expected = expected_starts(terms)
-    if not 1 <= expected <= MOST_STARTS:
-        yield ("arrivals",), f"{expected:.0f} clients would start; it must be 1 to {MOST_STARTS}"
+    expected = expected_starts(options)
+    if not 1 <= expected <= MAX_STARTS:
+        yield ("arrivals",), f"{expected:.0f} clients would start; it must be 1 to {MAX_STARTS}"
     for part, names in (
-        ("classes", [kind.name for kind in terms.classes]),
-        ("schemes", [scheme.name for scheme in terms.schemes]),
+        ("classes", [kind.name for kind in options.classes]),
+        ("schemes", [scheme.name for scheme in options.schemes]),
     ):
         for n, name in enumerate(names):
-            if not WORD.fullmatch(name):
+            if not NAME_PATTERN.fullmatch(name):
                 yield (part, n, "name"), f"{name!r} can't stand in a first line: blanks, commas and such"
             if name in names[:n]:
                 yield (part, n, "name"), f"{name!r} comes twice"
-    for n, kind in enumerate(terms.classes):
-        if 0 < kind.line_gap_ms < LEAST_GAP_MS:
-            yield ("classes", n, "line_gap_ms"), f"must be 0 or at least {LEAST_GAP_MS}"
+    for n, kind in enumerate(options.classes):
+        if 0 < kind.line_gap_ms < MIN_LINE_GAP_MS:
+            yield ("classes", n, "line_gap_ms"), f"must be 0 or at least {MIN_LINE_GAP_MS}"
--- a/glenfold_lab/load/result.py
+++ b/glenfold_lab/load/result.py
@@ -12,8 +12,8 @@
 from glenfold_lab.results import Distribution
 
 FORMAT = 1
-WINDOWS = 10
-LATE_AT = 99.0  # the percentile of its own lateness that must stay within the bound
+MAX_WINDOWS = 10
+LATENESS_PERCENTILE = 99.0  # the percentile of its own lateness that must stay within the bound
 
 LATE = "late"  # the load itself ran behind its plan
 NO_ROOM = "no room"  # starts were left out for want of sockets or ports
@@ -60,7 +60,7 @@
 
 def window_us(length_us: int) -> int:
     """Whole seconds, so that there are at most WINDOWS of them (and one for what falls on the very end)."""
-    return -(-length_us // (WINDOWS * SECOND_US)) * SECOND_US
+    return -(-length_us // (MAX_WINDOWS * SECOND_US)) * SECOND_US
 
 
 def summarize(
@@ -76,7 +76,7 @@
     tally = Tally()
     for report in reports:
         tally.add(report.tally)
-    late = tally.late.at(LATE_AT) > late_bound_us
+    late = tally.late.at(LATENESS_PERCENTILE) > late_bound_us
     marks = {LATE: late, NO_ROOM: tally.no_room > 0, ENDED_EARLY: ended_early}
     return LoadResult(
         seed=seed,
--- a/glenfold_lab/load/tally.py
+++ b/glenfold_lab/load/tally.py
@@ -6,11 +6,11 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from glenfold_lab.load.client import Answer, Answered, LineBack, LineSaid, News, Parted
+from glenfold_lab.load.client import Answer, Answered, ClientEvent, ConnectionEnded, LineAnswered, LineSent
 from glenfold_lab.results import Distribution
 
-GREATEST_US = 600_000_000  # what takes longer counts as this
-DIGITS = 3
+MAX_LATENCY_US = 600_000_000  # what takes longer counts as this
+SIGNIFICANT_DIGITS = 3
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 Name = TypeVar("Name")
@@ -20,10 +20,10 @@
     """Latencies in microseconds, to three digits."""
 
     def __init__(self) -> None:
-        self._counts = HdrHistogram(1, GREATEST_US, DIGITS)
+        self._counts = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def record(self, us: int) -> None:
-        self._counts.record_value(min(max(us, 0), GREATEST_US))
+        self._counts.record_value(min(max(us, 0), MAX_LATENCY_US))
 
     def add(self, other: "Histogram") -> None:
         self._counts.add(other._counts)
@@ -81,17 +81,17 @@
     standing: int = 0
 
     def add(self, other: "Tally") -> None:
-        for place in fields(self):
-            mine, theirs = getattr(self, place.name), getattr(other, place.name)
+        for field_info in fields(self):
+            mine, theirs = getattr(self, field_info.name), getattr(other, field_info.name)
             if isinstance(mine, Counter):
                 mine.update(theirs)
             elif isinstance(mine, int):
-                setattr(self, place.name, mine + theirs)
+                setattr(self, field_info.name, mine + theirs)
             else:
                 mine.add(theirs)
 
 
-class Hearing:
+class ClientRecorder:
     """One client's news, put where they belong."""
 
     def __init__(self, tally: Tally, request_class: str, target: int, window: int) -> None:
@@ -100,21 +100,21 @@
         self._target = target
         self._window = window
 
-    def hear(self, news: News) -> None:
-        match news:
+    def record_event(self, event: ClientEvent) -> None:
+        match event:
             case Answered():
-                self._answered(news)
-            case LineBack(us):
+                self._record_answered(event)
+            case LineAnswered(us):
                 self._tally.lines.record(us)
-            case LineSaid(late_us):
+            case LineSent(late_us):
                 self._tally.lines_late.record(late_us)
-            case Parted(parting, unanswered):
-                self._tally.partings[parting.value] += 1
+            case ConnectionEnded(reason, unanswered):
+                self._tally.partings[reason.value] += 1
                 self._tally.lines_unanswered += unanswered
 
-    def _answered(self, news: Answered) -> None:
-        self._tally.answers[news.answer.value].record(news.us)
-        self._tally.targets[self._target, news.answer.value] += 1
-        if news.answer is Answer.UP:
-            self._tally.set_up[self._class].record(news.us)
-            self._tally.windows[self._window].record(news.us)
+    def _record_answered(self, event: Answered) -> None:
+        self._tally.answers[event.answer.value].record(event.us)
+        self._tally.targets[self._target, event.answer.value] += 1
+        if event.answer is Answer.UP:
+            self._tally.set_up[self._class].record(event.us)
+            self._tally.windows[self._window].record(event.us)
--- a/glenfold_lab/load/worker_pool.py
+++ b/glenfold_lab/load/worker_pool.py
@@ -26,12 +26,12 @@
 from glenfold_lab.load.tally import Tally
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 
-START_S = 0.3  # from the last worker's being ready to the start: time for all to hear of it
-READY_S = 60.0  # for a worker to be ready
-REPORT_S = 20.0  # from the last answer's deadline to what was measured
-LOOK_S = 0.2  # between two looks for a signal
-MOST_SOCKETS = 1 << 16
-SPARE_SOCKETS = 64  # descriptors for all that is not a client
+START_DELAY_S = 0.3  # from the last worker's being ready to the start: time for all to hear of it
+READY_TIMEOUT_S = 60.0  # for a worker to be ready
+REPORT_TIMEOUT_S = 20.0  # from the last answer's deadline to what was measured
+POLL_INTERVAL_S = 0.2  # between two looks for a signal
+MAX_DESCRIPTORS = 1 << 16
+RESERVED_DESCRIPTORS = 64  # descriptors for all that is not a client
 
 
 class LoadFailed(Exception):
@@ -61,7 +61,7 @@
     return [[core] for core in cores[-workers:]]
 
 
-def offer_all(offer: Offer, clients: Clients, workers: int, stopped: Callable[[], bool]) -> list[Report]:
+def run_load(offer: Offer, clients: Clients, workers: int, stopped: Callable[[], bool]) -> list[Report]:
     """Plays the plan over so many processes; `stopped` is asked now and then, and ends it early.
 
     Raises LoadFailed."""
@@ -77,45 +77,45 @@
 
     def __init__(self, offer: Offer, clients: Clients, workers: int) -> None:
         context = multiprocessing.get_context("spawn")
-        last_start = int(clients["start_us"].max()) if len(clients) else 0
-        slowest = int(2 * clients["wait_us"].max()) + ANSWER_SLACK_US if len(clients) else 0
-        self._longest_s = (last_start + slowest) / SECOND_US + REPORT_S
+        last_start_us = int(clients["start_us"].max()) if len(clients) else 0
+        max_answer_us = int(2 * clients["wait_us"].max()) + ANSWER_SLACK_US if len(clients) else 0
+        self._max_run_s = (last_start_us + max_answer_us) / SECOND_US + REPORT_TIMEOUT_S
         self._pipes: list[Connection] = []
         self._processes: list[BaseProcess] = []
-        each = replace(offer, most_open=max(1, offer.most_open // workers))
+        worker_offer = replace(offer, most_open=max(1, offer.most_open // workers))
         for n, cores in enumerate(cores_for(workers)):
-            here, there = context.Pipe()
-            process = context.Process(target=work, args=(there, each, clients[n::workers], cores))
+            parent_end, child_end = context.Pipe()
+            process = context.Process(target=work, args=(child_end, worker_offer, clients[n::workers], cores))
             process.daemon = True
             process.start()
-            there.close()
-            self._pipes.append(here)
+            child_end.close()
+            self._pipes.append(parent_end)
             self._processes.append(process)
 
     def run(self, stopped: Callable[[], bool]) -> list[Report]:
-        self._hear(time.monotonic() + READY_S, lambda: False)
-        start = time.monotonic() + START_S
-        self._tell(round(start * SECOND_US))
-        reports = self._hear(start + self._longest_s, stopped)
+        self._receive_all(time.monotonic() + READY_TIMEOUT_S, lambda: False)
+        start = time.monotonic() + START_DELAY_S
+        self._send_all(round(start * SECOND_US))
+        reports = self._receive_all(start + self._max_run_s, stopped)
         return [report for report in reports if isinstance(report, Report)]
 
-    def _hear(self, until: float, stopped: Callable[[], bool]) -> list[object]:
+    def _receive_all(self, deadline: float, stopped: Callable[[], bool]) -> list[object]:
         """One message of each worker, in the workers' order."""
-        heard: dict[int, object] = {}
-        told = False
-        while len(heard) < len(self._pipes):
-            if stopped() and not told:
-                self._tell(None)
-                told = True
-            if time.monotonic() > until:
+        messages: dict[int, object] = {}
+        stop_sent = False
+        while len(messages) < len(self._pipes):
+            if stopped() and not stop_sent:
+                self._send_all(None)
+                stop_sent = True
+            if time.monotonic() > deadline:
                 raise LoadFailed("a worker does not end; it is too slow for this load, or was stopped")
             for n, pipe in enumerate(self._pipes):
-                if n not in heard and pipe.poll(0):
-                    heard[n] = self._message(n, pipe)
-            wait([pipe for n, pipe in enumerate(self._pipes) if n not in heard], LOOK_S)
-        return [heard[n] for n in sorted(heard)]
+                if n not in messages and pipe.poll(0):
+                    messages[n] = self._receive(n, pipe)
+            wait([pipe for n, pipe in enumerate(self._pipes) if n not in messages], POLL_INTERVAL_S)
+        return [messages[n] for n in sorted(messages)]
 
-    def _message(self, n: int, pipe: Connection) -> object:
+    def _receive(self, n: int, pipe: Connection) -> object:
         try:
             message: object = pipe.recv()
         except (EOFError, OSError):
@@ -123,7 +123,7 @@
             raise LoadFailed(f"worker {n} ended with status {self._processes[n].exitcode}") from None
         return message
 
-    def _tell(self, message: int | None) -> None:
+    def _send_all(self, message: int | None) -> None:
         for pipe in self._pipes:
             with suppress(OSError):  # that it is gone is heard where it is heard
                 pipe.send(message)
@@ -143,7 +143,7 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # it ends when it is told to, with what it measured
     process = psutil.Process()
     process.cpu_affinity(list(cores))
-    offer = replace(offer, most_open=min(offer.most_open, descriptors() - SPARE_SOCKETS))
+    offer = replace(offer, most_open=min(offer.most_open, raise_descriptor_limit() - RESERVED_DESCRIPTORS))
     # A collection of what a second of clients leaves takes 10 to 25 ms; none of it is garbage that only a
     # collector finds.
     gc.disable()
@@ -152,35 +152,35 @@
         start_us = pipe.recv()
     except EOFError:
         return
-    before = time.process_time()
-    tally = trio.run(_offer, offer, clients, pipe, start_us)
-    report = Report(tally, time.process_time() - before, process.memory_info().rss / 1e6)
+    cpu_start_s = time.process_time()
+    tally = trio.run(_run_slice, offer, clients, pipe, start_us)
+    report = Report(tally, time.process_time() - cpu_start_s, process.memory_info().rss / 1e6)
     with suppress(OSError):  # whom it would be for is gone
         pipe.send(report)
 
 
-def descriptors() -> int:
+def raise_descriptor_limit() -> int:
     """As many as this process may have, and the kernel's table of them at its full size from here on. That
     table doubles as it fills, and each time a process with threads (numpy has some) stands still for 10 to
     25 ms."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = min(hard, MOST_SOCKETS)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    with open(os.devnull) as some:
-        os.close(fcntl.fcntl(some, fcntl.F_DUPFD, most - 1))
-    return most
+    limit = min(hard, MAX_DESCRIPTORS)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
+    with open(os.devnull) as devnull:
+        os.close(fcntl.fcntl(devnull, fcntl.F_DUPFD, limit - 1))
+    return limit
 
 
-async def _offer(offer: Offer, clients: Clients, pipe: Connection, start_us: int) -> Tally:
+async def _run_slice(offer: Offer, clients: Clients, pipe: Connection, start_us: int) -> Tally:
     load = Load(offer, MachineClock(), start_us)
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_hear_stop, pipe, stop)
+        nursery.start_soon(_wait_for_stop, pipe, stop)
         await load.run(clients, stop)
         nursery.cancel_scope.cancel()
     return load.tally
 
 
-async def _hear_stop(pipe: Connection, stop: trio.Event) -> None:
+async def _wait_for_stop(pipe: Connection, stop: trio.Event) -> None:
     await trio.lowlevel.wait_readable(pipe.fileno())
     stop.set()
--- a/glenfold_lab/scale/hollow_process.py
+++ b/glenfold_lab/scale/hollow_process.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from glenfold_lab.load.worker_pool import descriptors
+from glenfold_lab.load.worker_pool import raise_descriptor_limit
 
 MOST_EVENTS = 1024  # of one look at the sockets
 STEP_S = 0.001  # between two looks at the schedule of an open loop
@@ -125,7 +125,7 @@
 
 def _play(pipe: Connection, make: Callable[[], Peer]) -> None:
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # it ends with its pipe
-    descriptors()
+    raise_descriptor_limit()
     gc.disable()  # its pauses would be taken for the relay's
     peer = make()
     peer.poll.register(pipe.fileno(), select.EPOLLIN)
--- a/glenfold_lab/stand_ins/clients.py
+++ b/glenfold_lab/stand_ins/clients.py
@@ -14,26 +14,26 @@
 import trio
 
 from glenfold_lab.load.client import (
-    SILENT_US,
+    LINE_TIMEOUT_US,
     Answer,
     Answered,
     Broken,
     ClientState,
     Connected,
+    ConnectionEnded,
+    ConnectionOptions,
     Due,
     Effect,
-    Finish,
-    Finished,
-    Heard,
-    Incident,
-    LineBack,
-    LineSaid,
-    Parted,
-    Parting,
+    EndReason,
+    Input,
+    LineAnswered,
+    LineSent,
     Phase,
+    Received,
+    ReceivedEof,
     Send,
-    Unasked,
-    Wish,
+    SendEof,
+    UnexpectedLine,
 )
 from glenfold_lab.model.clients import (
     LINES_US,
@@ -292,7 +292,9 @@
         self._scope = trio.CancelScope()
         self._wait_us = crowd.habits.deadlines[client.kind]
         self.first_line = crowd.line(client, request, self._wait_us)
-        wish = Wish(self.first_line, self._wait_us + PATIENCE_US, client.until, LINES_US, b"QUIT\r\n")
+        wish = ConnectionOptions(
+            self.first_line, self._wait_us + PATIENCE_US, client.until, LINES_US, b"QUIT\r\n"
+        )
         self._state = ClientState(wish, self._began, self._began)
 
     def give_up(self, over: Over, how: End) -> None:
@@ -357,7 +359,7 @@
         crowd = self._crowd
         if not await self._connected(sock):
             return
-        incident: Incident = Connected()
+        incident: Input = Connected()
         while True:
             for effect in self._state.on(incident, crowd.clock.now_us()):
                 await self._carry_out(effect, sock)
@@ -377,13 +379,13 @@
         self._over = Over.UNREACHED
         return False
 
-    async def _next(self, sock: SocketType) -> Incident:
+    async def _next(self, sock: SocketType) -> Input:
         with trio.move_on_at(self._crowd.clock.to_trio(self._state.due_us)):
             try:
                 data = await sock.recv(CHUNK)
             except OSError:
                 return Broken()
-            return Heard(data) if data else Finished()
+            return Received(data) if data else ReceivedEof()
         return Due()
 
     async def _carry_out(self, effect: Effect, sock: SocketType) -> None:
@@ -394,18 +396,18 @@
                     await take(sock, data)
                 if self._state.phase is Phase.ASKED:
                     self._taken(before)
-            case Finish():
+            case SendEof():
                 finish(sock)
             case Answered():
                 self._answered(effect)
-            case LineSaid(late):
+            case LineSent(late):
                 if self.stretch is not None:
                     self.stretch.said(self._crowd.clock.now_us() - late)
-            case LineBack(_, answer):
+            case LineAnswered(_, answer):
                 self._back(answer)
-            case Unasked(line):
+            case UnexpectedLine(line):
                 self._unasked(line)
-            case Parted(parting, _):
+            case ConnectionEnded(parting, _):
                 self._parted(parting)
 
     # ---- what it tells ----
@@ -461,26 +463,26 @@
         if final is not None:
             self._crowd.seen.answered(self._crowd.clock.now_us(), self.request, final, None, 0)
 
-    def _parted(self, parting: Parting) -> None:
+    def _parted(self, parting: EndReason) -> None:
         crowd, now = self._crowd, self._crowd.clock.now_us()
         self._stands_no_more()
         self._over = Over.ENDED
         match parting:
-            case Parting.LEFT:
+            case EndReason.LEFT:
                 self._over = Over.DONE
                 crowd.seen.ended(now, self.request, End.CLIENT)
-            case Parting.MOVED:
+            case EndReason.MOVED:
                 self._over = Over.MOVED
                 crowd.now.moves += 1
                 crowd.seen.ended(now, self.request, End.MOVED)
-            case Parting.SERVED:
+            case EndReason.SERVED:
                 crowd.seen.ended(now, self.request, End.SERVED)
-            case Parting.SILENT:
-                crowd.seen.held_back(now, self.request, SILENT_US)
+            case EndReason.SILENT:
+                crowd.seen.held_back(now, self.request, LINE_TIMEOUT_US)
                 crowd.seen.ended(now, self.request, End.CLIENT)
-            case Parting.GARBLED:
+            case EndReason.GARBLED:
                 crowd.seen.ended(now, self.request, End.CUT)
-            case Parting.CUT | Parting.RESET:
+            case EndReason.CUT | EndReason.RESET:
                 self._died = True
                 crowd.seen.unsaid(now, self.request)
 
--- a/glenfold_lab/stand_ins/remote_part.py
+++ b/glenfold_lab/stand_ins/remote_part.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from glenfold_lab.load.worker_pool import descriptors
+from glenfold_lab.load.worker_pool import raise_descriptor_limit
 from glenfold_lab.stand_ins.part import Part, Report, Times
 from glenfold_lab.stand_ins.places import Places
 from glenfold_lab.stand_ins.service import Second
@@ -88,7 +88,7 @@
 
 def _work(pipe: Connection, part: Part) -> None:
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # it ends with its pipe
-    descriptors()
+    raise_descriptor_limit()
     gc.disable()  # a collection would stop its loop for longer than the lateness that is allowed
     with suppress(EOFError, BrokenPipeError):
         trio.run(_play, pipe, part)
--- a/tests/glenfold_lab/test_load_client.py
+++ b/tests/glenfold_lab/test_load_client.py
@@ -5,38 +5,40 @@
 
 from glenfold.lines import parse_open
 from glenfold_lab.load.client import (
-    SILENT_US,
+    LINE_TIMEOUT_US,
     Answer,
     Answered,
     Broken,
     ClientState,
     Close,
     Connected,
+    ConnectionEnded,
+    ConnectionOptions,
     Due,
-    Finish,
-    Finished,
-    Heard,
-    Incident,
-    LineBack,
-    LineSaid,
-    Parted,
-    Parting,
+    EndReason,
+    Input,
+    LineAnswered,
+    LineSent,
     Phase,
+    Received,
+    ReceivedEof,
     Send,
-    Unasked,
+    SendEof,
+    UnexpectedLine,
     Unreachable,
-    Wish,
     open_line,
 )
 
 MS = 1000
-WISH = Wish(b"OPEN 1 2 c=w,d=2000\r\n", 2_000 * MS, until_us=60_000 * MS, line_gap_us=2_000 * MS)
+OPTIONS = ConnectionOptions(
+    b"OPEN 1 2 c=w,d=2000\r\n", 2_000 * MS, until_us=60_000 * MS, line_gap_us=2_000 * MS
+)
 
 
-def up(wish: Wish = WISH, at: int = 0) -> ClientState:
-    state = ClientState(wish, 0, 0)
+def up(options: ConnectionOptions = OPTIONS, at: int = 0) -> ClientState:
+    state = ClientState(options, 0, 0)
     state.on(Connected(), 0)
-    state.on(Heard(b"UP r\r\n"), at)
+    state.on(Received(b"UP r\r\n"), at)
     return state
 
 
@@ -56,20 +58,20 @@
     ]
 )
 FIRST = st.sampled_from([Connected(), Unreachable(), Due()])
-LATER = st.one_of(st.builds(Heard, PIECES), st.sampled_from([Finished(), Broken(), Due(), Due()]))
+LATER = st.one_of(st.builds(Received, PIECES), st.sampled_from([ReceivedEof(), Broken(), Due(), Due()]))
 WAIT = st.integers(0, 3_000 * MS)
 
 
 @given(st.tuples(FIRST, WAIT), st.lists(st.tuples(LATER, WAIT), max_size=40))
 def test_one_answer_then_at_most_one_end_and_nothing_after_it(
-    first: tuple[Incident, int], later: list[tuple[Incident, int]]
+    first: tuple[Input, int], later: list[tuple[Input, int]]
 ) -> None:
-    state, now, told = ClientState(WISH, 0, 0), 0, []
-    for incident, wait in (first, *later):
+    state, now, told = ClientState(OPTIONS, 0, 0), 0, []
+    for event_input, wait in (first, *later):
         now += wait
-        told += state.on(incident, now)
+        told += state.on(event_input, now)
     answers = [effect for effect in told if isinstance(effect, Answered)]
-    ends = [effect for effect in told if isinstance(effect, Parted)]
+    ends = [effect for effect in told if isinstance(effect, ConnectionEnded)]
     closes = [n for n, effect in enumerate(told) if isinstance(effect, Close)]
     assert len(answers) <= 1 and len(ends) <= 1 and len(closes) <= 1
     assert not ends or answers[0].answer is Answer.UP
@@ -87,22 +89,22 @@
         now = state.due_us
         for effect in state.on(Due(), now):
             if isinstance(effect, Send) and reply != "silent":
-                state.on(Heard(b"LOAD 3\r\n" if reply == "load" else effect.data), now)
+                state.on(Received(b"LOAD 3\r\n" if reply == "load" else effect.data), now)
     raise AssertionError("it never ended")
 
 
 def test_a_line_counts_from_its_intended_moment_and_load_is_no_answer_to_it() -> None:
     state = up()
     said = state.on(Due(), 2_500 * MS)
-    assert said == [Send(b"M 2000000\r\n"), LineSaid(500 * MS)]
-    back = state.on(Heard(b"LOAD 7\r\nM 2000000\r\nnews\r\n"), 2_600 * MS)
-    assert back == [LineBack(600 * MS, b"M 2000000"), Unasked(b"news")]
+    assert said == [Send(b"M 2000000\r\n"), LineSent(500 * MS)]
+    back = state.on(Received(b"LOAD 7\r\nM 2000000\r\nnews\r\n"), 2_600 * MS)
+    assert back == [LineAnswered(600 * MS, b"M 2000000"), UnexpectedLine(b"news")]
     assert (state.phase, state.due_us) == (Phase.UP, 4_000 * MS)
 
 
 def test_lines_that_are_overdue_are_all_said_and_each_counts() -> None:
     effects = up().on(Due(), 7_000 * MS)
-    assert [e.late_us for e in effects if isinstance(e, LineSaid)] == [5_000 * MS, 3_000 * MS, 1_000 * MS]
+    assert [e.late_us for e in effects if isinstance(e, LineSent)] == [5_000 * MS, 3_000 * MS, 1_000 * MS]
 
 
 def test_a_server_that_never_answers_a_line_is_given_up_by_the_first_of_them() -> None:
@@ -110,20 +112,20 @@
     while state.phase is not Phase.ENDED:
         now = state.due_us
         effects = state.on(Due(), now)
-    assert now == 2_000 * MS + SILENT_US
-    assert effects == [Parted(Parting.SILENT, 4), Close()]
+    assert now == 2_000 * MS + LINE_TIMEOUT_US
+    assert effects == [ConnectionEnded(EndReason.SILENT, 4), Close()]
 
 
 def test_what_was_told_first_says_how_it_ended() -> None:
-    for word, parting in ((b"MOVE", Parting.MOVED), (b"BYE", Parting.SERVED)):
+    for word, reason in ((b"MOVE", EndReason.MOVED), (b"BYE", EndReason.SERVED)):
         state = up()
-        assert state.on(Heard(word + b"\r\n"), 10) == []
-        assert state.on(Broken(), 20) == [Parted(parting, 0), Close()]
+        assert state.on(Received(word + b"\r\n"), 10) == []
+        assert state.on(Broken(), 20) == [ConnectionEnded(reason, 0), Close()]
     left = up()
-    while not isinstance(left.on(Due(), left.due_us)[0], Finish):
-        left.on(Heard(b"M\r\n"), left.due_us)
-    assert left.on(Heard(b"MOVE\r\n"), left.due_us) == []
-    assert left.on(Due(), left.due_us) == [Parted(Parting.LEFT, 0), Close()]
+    while not isinstance(left.on(Due(), left.due_us)[0], SendEof):
+        left.on(Received(b"M\r\n"), left.due_us)
+    assert left.on(Received(b"MOVE\r\n"), left.due_us) == []
+    assert left.on(Due(), left.due_us) == [ConnectionEnded(EndReason.LEFT, 0), Close()]
 
 
 def test_a_first_line_is_one_that_relays_read() -> None:
--- a/tests/glenfold_lab/test_load_command.py
+++ b/tests/glenfold_lab/test_load_command.py
@@ -21,8 +21,8 @@
 from glenfold_lab.load.echo import echo
 from glenfold_lab.load.offer import Offer
 from glenfold_lab.load.plan import draw
+from glenfold_lab.load.plan_options import Arrivals, LoadClass, LoadPlan
 from glenfold_lab.load.result import summarize
-from glenfold_lab.load.terms import Arrivals, LoadClass, LoadPlan
 
 PAGE = (Path(__file__).parents[2] / "docs/operators/lab-load.md").read_text()
 
@@ -110,14 +110,14 @@
 
 def test_a_load_that_is_told_to_stop_gives_what_it_measured(relay: Relay) -> None:
     offer = Offer(LONG, [relay.address], 100, 60_000_000)
-    tally = worker_pool.offer_all(offer, draw(LONG, 1, 1), 1, lambda: len(relay.met) >= 3)[0].tally
+    tally = worker_pool.run_load(offer, draw(LONG, 1, 1), 1, lambda: len(relay.met) >= 3)[0].tally
     assert 3 <= tally.started.total() < 12_000
     assert tally.answers["up"].distribution().count == tally.standing
 
 
 def test_a_worker_that_breaks_off_ends_the_load() -> None:
     with pytest.raises(worker_pool.LoadFailed, match="worker 0 ended with status 1"):
-        worker_pool.offer_all(Offer(LONG, [], 100, 60_000_000), draw(LONG, 1, 1), 1, lambda: False)
+        worker_pool.run_load(Offer(LONG, [], 100, 60_000_000), draw(LONG, 1, 1), 1, lambda: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/glenfold_lab/test_load_offer.py
+++ b/tests/glenfold_lab/test_load_offer.py
@@ -9,18 +9,18 @@
 
 from glenfold.config import Address
 from glenfold.net.sockets import reset_on_close
+from glenfold_lab.load.connection import Stream
 from glenfold_lab.load.echo import echo
 from glenfold_lab.load.offer import Load, Offer
 from glenfold_lab.load.plan import Clients, draw
+from glenfold_lab.load.plan_options import Arrivals, LoadClass, LoadPlan
 from glenfold_lab.load.result import LATE, NO_ROOM, LoadResult, summarize
-from glenfold_lab.load.talk import Stream
 from glenfold_lab.load.tally import Tally
-from glenfold_lab.load.terms import Arrivals, LoadClass, LoadPlan
 from glenfold_lab.load.worker_pool import Report
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 
 Server = Callable[[Stream], Awaitable[None]]
-TERMS = LoadPlan(
+PLAN_OPTIONS = LoadPlan(
     format=1,
     arrivals=(Arrivals(rate=20, for_s=5),),
     classes=(LoadClass(name="watch", wait_ms=4000, life_s=3, line_gap_ms=500),),
@@ -28,12 +28,12 @@
 
 
 def run(
-    server: Server, terms: LoadPlan = TERMS, most_open: int = 1000, work_s: float = 0.0
+    server: Server, options: LoadPlan = PLAN_OPTIONS, most_open: int = 1000, work_s: float = 0.0
 ) -> tuple[Tally, Clients, Offer]:
     """The load against that server, in virtual time; each start costs the load's process `work_s`."""
     time = MockClock(autojump_threshold=0)
-    clients = draw(terms, 1, 1)
-    offer = Offer(terms, [("127.0.0.1", 1)], most_open, 1_000_000)
+    clients = draw(options, 1, 1)
+    offer = Offer(options, [("127.0.0.1", 1)], most_open, 1_000_000)
 
     async def main() -> Tally:
         async with trio.open_nursery() as nursery:
@@ -89,7 +89,9 @@
         while data := await stream.receive_some():
             await stream.send_all(data)
 
-    one_and_a_later_one = LoadPlan(format=1, arrivals=(Arrivals(rate=0.25, for_s=8),), classes=TERMS.classes)
+    one_and_a_later_one = LoadPlan(
+        format=1, arrivals=(Arrivals(rate=0.25, for_s=8),), classes=PLAN_OPTIONS.classes
+    )
     tally, _, _ = run(stops_reading, one_and_a_later_one)
     # The lines due 0.5, 1, 1.5 and 2 s after UP are answered 2.2 s after it, that due after 2.5 s at once.
     assert [round(tally.lines.at(at), -4) for at in (20, 40, 60, 80, 100)] == [
@@ -115,8 +117,8 @@
 
     async def main() -> Tally:
         clock = MachineClock()
-        load = Load(Offer(TERMS, [("127.0.0.1", 1)], 9, 1_000_000), clock, clock.now_us(), no_ports)
-        await load.run(draw(TERMS, 1, 1), trio.Event())
+        load = Load(Offer(PLAN_OPTIONS, [("127.0.0.1", 1)], 9, 1_000_000), clock, clock.now_us(), no_ports)
+        await load.run(draw(PLAN_OPTIONS, 1, 1), trio.Event())
         return load.tally
 
     tally = trio.run(main, clock=MockClock(autojump_threshold=0))
@@ -147,14 +149,14 @@
 
     met: list[trio.SocketStream] = []
     kinds = (LoadClass(name="watch", wait_ms=1, life_s=0.001, line_gap_ms=10),)
-    terms = LoadPlan(format=1, arrivals=(Arrivals(rate=count * 100, for_s=0.01),), classes=kinds)
+    options = LoadPlan(format=1, arrivals=(Arrivals(rate=count * 100, for_s=0.01),), classes=kinds)
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(trio.serve_listeners, in_turn, listeners)
         targets = [listeners[0].socket.getsockname(), ("127.0.0.1", 1)]
         clock = MachineClock()
-        load = Load(Offer(terms, targets, 10_000, 1_000_000), clock, clock.now_us())
-        await load.run(draw(terms, 1, len(targets)), trio.Event())
+        load = Load(Offer(options, targets, 10_000, 1_000_000), clock, clock.now_us())
+        await load.run(draw(options, 1, len(targets)), trio.Event())
         nursery.cancel_scope.cancel()
 
 
--- a/tests/glenfold_lab/test_load_plan.py
+++ b/tests/glenfold_lab/test_load_plan.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from glenfold_lab.load.plan import Clients, draw, length_us
-from glenfold_lab.load.terms import Arrivals, Groups, LoadClass, LoadPlan, Reconnect
+from glenfold_lab.load.plan_options import Arrivals, Groups, LoadClass, LoadPlan, Reconnect
 
 WATCH = LoadClass(name="watch", life_sigma=1.0)
 
@@ -20,13 +20,13 @@
 
 
 def test_the_same_seed_draws_the_same_bytes_and_another_seed_others() -> None:
-    terms = plan(
+    options = plan(
         Arrivals(rate=(5, 50), for_s=10, process="poisson"),
         groups=Groups(count=7),
         reconnects=(Reconnect(at_s=5, clients=60, within_s=1),),
     )
-    assert draw(terms, 3, 4).tobytes() == draw(terms, 3, 4).tobytes()
-    assert draw(terms, 3, 4).tobytes() != draw(terms, 4, 4).tobytes()
+    assert draw(options, 3, 4).tobytes() == draw(options, 3, 4).tobytes()
+    assert draw(options, 3, 4).tobytes() != draw(options, 4, 4).tobytes()
 
 
 def test_another_part_shifts_none_of_the_clients_that_were_there() -> None:
@@ -55,10 +55,10 @@
 def test_all_starts_are_in_order_within_their_time(
     first: float, last: float, for_s: float, process: str, seed: int
 ) -> None:
-    terms = plan(Arrivals(rate=(first, last), for_s=for_s, at_s=2, process=process))  # type: ignore[arg-type]
-    at = draw(terms, seed, 1)["start_us"]
+    options = plan(Arrivals(rate=(first, last), for_s=for_s, at_s=2, process=process))  # type: ignore[arg-type]
+    at = draw(options, seed, 1)["start_us"]
     assert (np.diff(at) >= 0).all()
-    assert not len(at) or (at[0] >= 2e6 and at[-1] <= length_us(terms) + 1)
+    assert not len(at) or (at[0] >= 2e6 and at[-1] <= length_us(options) + 1)
     mean = (first + last) / 2 * for_s
     assert abs(len(at) - mean) <= (1 if process == "constant" else 6 * mean**0.5 + 6)
 
