--- a/glenfold_lab/load/__init__.py
+++ b/glenfold_lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: clients by a plan drawn ahead, and latencies counted from the intended start."""
+"""Open-loop load: clients start by a plan drawn in advance, and latencies count from the planned start."""
--- a/glenfold_lab/load/client.py
+++ b/glenfold_lab/load/client.py
@@ -1,7 +1,7 @@
-"""One client's connection, without I/O: what comes in, and what has to be done about it.
+"""The state machine of one client's connection, without I/O: inputs go in, effects come out.
 
-Times are absolute microseconds on one clock that does not go back. The driver calls `on` with each
-incident, carries out the effects in their order, and gives `Due` when `due_us` has come.
+Times are absolute microseconds on one monotonic clock. The driver calls `on` with each input, carries out
+the returned effects in order, and passes `Due` once the clock reaches `due_us`.
 """
 
 from collections import deque
@@ -11,49 +11,54 @@
 
 from glenfold.lines import LINE_END, LineTracker
 
-ANSWER_SLACK_US = 50_000  # by which an answer may be past the deadline
-LINE_TIMEOUT_US = 7_000_000  # a line unanswered for so long: the client gives its connection up
-CLOSING_TIMEOUT_US = 1_000_000  # from the end of one side to that of the other
+ANSWER_SLACK_US = 50_000  # An answer may arrive this much after the deadline.
+LINE_TIMEOUT_US = 7_000_000  # The client drops its connection when a line is unanswered for this long.
+CLOSING_TIMEOUT_US = 1_000_000  # The longest wait for the other side to close after one side has.
 
 
 class Phase(Enum):
+    """The state of one connection."""
+
     CONNECTING = auto()
-    ASKED = auto()  # its first line is out
-    UP = auto()  # and each line that it said is answered
-    LINES = auto()  # up, with lines that are not answered yet
-    LEAVING = auto()  # told MOVE or BYE, or done: the end of the connection follows
+    ASKED = auto()  # The first line was sent; the answer is pending.
+    UP = auto()  # The request was answered UP, and every line sent so far is answered.
+    LINES = auto()  # The connection is up and some lines are unanswered.
+    LEAVING = auto()  # The server sent MOVE or BYE, or the client is done; the connection is about to end.
     ENDED = auto()
 
 
 class Answer(Enum):
-    """How a request ended, as its client saw it."""
+    """How a request ended, as the client saw it."""
 
     UP = "up"
     BUSY = "busy"
-    ERROR = "error"  # any other line
-    CLOSED = "closed"  # the connection ended without a line
-    RESET = "reset"  # or broke
-    UNREACHABLE = "unreachable"  # it never came up
-    NONE = "none"  # nothing by the deadline and the slack
+    ERROR = "error"  # The answer was some other line.
+    CLOSED = "closed"  # The server closed the connection without a line.
+    RESET = "reset"  # The connection was reset before an answer.
+    UNREACHABLE = "unreachable"  # The connection was never established.
+    NONE = "none"  # No answer arrived by the deadline plus `ANSWER_SLACK_US`.
 
 
 class EndReason(Enum):
-    """How a connection that was up ended, as its client saw it."""
+    """How a connection that was up ended, as the client saw it."""
 
-    LEFT = "left"  # it had what it wanted
-    MOVED = "moved"  # told MOVE
-    SERVED = "served"  # told BYE
-    CUT = "cut"  # ended without a word
+    LEFT = "left"  # The client closed it at the end of its planned lifetime.
+    MOVED = "moved"  # The server sent MOVE.
+    SERVED = "served"  # The server sent BYE.
+    CUT = "cut"  # The server closed it without MOVE or BYE.
     RESET = "reset"
-    SILENT = "silent"  # a line was not answered for too long
-    GARBLED = "garbled"  # a line was too long
+    SILENT = "silent"  # A line was unanswered for `LINE_TIMEOUT_US`.
+    GARBLED = "garbled"  # The server sent a line that is too long.
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOptions:
-    """What a client wants. line: its first line, with its end. wait_us: for its answer, from the sending of
-    that line. until_us: it wants the connection until then. line_gap_us: between lines; 0: it says none.
-    last_line: what it says, with its end, before it leaves."""
+    """What one client sends, and how long it keeps its connection.
+
+    `line` is the first line, with its line end. `wait_us` is how long the client waits for the answer after
+    sending it. `until_us` is when the client closes the connection. `line_gap_us` is the time between lines;
+    0 sends none. `last_line` is sent before the client closes, with its line end; empty sends none.
+    """
 
     line: bytes
     wait_us: int
@@ -62,27 +67,29 @@
     last_line: bytes = b""
 
 
-# ---- what comes in ----
+# ---- inputs ----
 
 
 @dataclass(frozen=True, slots=True)
 class Connected:
-    pass
+    """The connection is established."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """The connection was refused, or did not come up."""
+    """The connection was refused or could not be established."""
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
+    """The server sent `data`."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedEof:
-    """The other side has ended its sending."""
+    """The server has closed its sending side."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,33 +99,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """The moment `due_us` has come."""
+    """The clock has reached `due_us`."""
 
 
 Input = Connected | Unreachable | Received | ReceivedEof | Broken | Due
 
 
-# ---- what is to be done, and what is to be told ----
+# ---- effects: actions for the driver, and events to report ----
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Sends `data`."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SendEof:
-    """Ends the sending; what comes in is still heard."""
+    """Closes the sending side; the client still receives."""
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    pass
+    """Closes the connection; always the last effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """us: since the intended start. wait_us: what BUSY advises, else 0."""
+    """The request has ended.
+
+    `us` is the time since the intended start. `wait_us` is the retry delay that BUSY advises, else 0.
+    """
 
     answer: Answer
     us: int
@@ -128,14 +140,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LineSent:
-    """late_us: after its intended moment."""
+    """A line was sent `late_us` after its intended time."""
 
     late_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class LineAnswered:
-    """us: since the moment for which the line was intended. answer: without its end."""
+    """A line was answered, `us` after the line's intended time. `answer` has no line end."""
 
     us: int
     answer: bytes = b""
@@ -143,15 +155,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UnexpectedLine:
-    """A line that answers nothing, or came after a final answer that leaves nothing to be said."""
+    """The server sent a line that answers none of the client's, or a line after a final answer."""
 
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
+    """A connection that was up has ended. `unanswered` counts the lines without an answer."""
+
     reason: EndReason
-    unanswered: int  # lines
+    unanswered: int
 
 
 ClientEvent = Answered | LineSent | LineAnswered | UnexpectedLine | ConnectionEnded
@@ -159,10 +173,12 @@
 
 
 class ClientState:
-    """intended_us: when the plan has it start; now_us: when it does.
+    """The state of one connection.
 
-    Lines are answered in their order, each by one line that is none of LOAD, MOVE and BYE. How many wait for
-    an answer is bounded by SILENT_US over the gap between them."""
+    `intended_us` is the planned start, `now_us` the actual one. The server answers lines in order, each with
+    one line other than LOAD, MOVE and BYE. At most LINE_TIMEOUT_US / line_gap_us lines can be unanswered at
+    once.
+    """
 
     def __init__(self, options: ConnectionOptions, intended_us: int, now_us: int) -> None:
         self.options = options
@@ -170,15 +186,17 @@
         self.phase = Phase.CONNECTING
         self.due_us = now_us + options.wait_us
         self._lines = LineTracker()
-        self._unanswered_us: deque[int] = deque()  # the intended moments of lines without an answer
+        self._unanswered_us: deque[int] = deque()  # intended times of the unanswered lines
         self._next_line_us = 0
         self._end_reason = EndReason.LEFT
 
     @property
     def is_standing(self) -> bool:
+        """Whether the request was answered UP and the connection has not ended."""
         return self.phase in (Phase.UP, Phase.LINES, Phase.LEAVING)
 
     def on(self, event_input: Input, now_us: int) -> list[Effect]:
+        """Processes one input and returns the effects, in the order in which to carry them out."""
         if self.phase is Phase.ENDED:
             return []
         match event_input:
@@ -202,7 +220,7 @@
 
     def _on_received(self, data: bytes, now_us: int) -> list[Effect]:
         effects: list[Effect] = []
-        after_end: list[Effect] = []  # told before the Close that ended it, as that comes last
+        after_end: list[Effect] = []  # reported before Close, which has to be the last effect
         for line in self._lines.feed(data):
             if self.phase is Phase.ENDED:
                 after_end.append(UnexpectedLine(line))
@@ -238,7 +256,7 @@
         return [Answered(Answer.UP, now_us - self.intended_us, receipt=rest)]
 
     def _set_due(self) -> None:
-        """Only while it is up: from then on a client that leaves is bound by its parting alone."""
+        """Sets the next deadline while the connection is up; a closing one keeps its closing timeout."""
         if self.phase is Phase.LEAVING:
             return
         self.phase = Phase.LINES if self._unanswered_us else Phase.UP
@@ -263,7 +281,7 @@
         return self._send_due_lines(now_us)
 
     def _send_due_lines(self, now_us: int) -> list[Effect]:
-        """Those that are overdue too: a line is never left out because the one before it was late."""
+        """Sends every due line, overdue ones too: a late line never causes the next one to be skipped."""
         effects: list[Effect] = []
         while self._next_line_us <= now_us:
             effects += [Send(b"M %d" % self._next_line_us + LINE_END), LineSent(now_us - self._next_line_us)]
@@ -279,7 +297,11 @@
         return []
 
     def _end(self, answer: Answer, reason: EndReason, now_us: int, wait_us: int = 0) -> list[Effect]:
-        """By `answer` if it had none yet, else by `parting`, unless it was leaving for another reason."""
+        """Ends the connection.
+
+        Reports `answer` if the request was unanswered, else `reason`, unless the connection was already
+        closing for another reason.
+        """
         previous_phase, self.phase = self.phase, Phase.ENDED
         if previous_phase in (Phase.CONNECTING, Phase.ASKED):
             return [Answered(answer, now_us - self.intended_us, wait_us), Close()]
@@ -288,7 +310,9 @@
 
 
 def open_line(ident: int, key: int, figures: Mapping[str, str | int]) -> bytes:
-    """`OPEN ID KEY NAME=VALUE,...`, a client's first line, with its end. Both numbers are of 64 bits; `c` and
-    `d` must be among the figures."""
+    """Returns a client's first line, `OPEN ID KEY NAME=VALUE,...`, with its line end.
+
+    `ident` and `key` have 64 bits. `figures` must include `c` (class) and `d` (deadline in ms).
+    """
     pairs = ",".join(f"{name}={value}" for name, value in figures.items())
     return f"OPEN {ident:016x} {key:016x} {pairs}".encode("ascii") + LINE_END
--- a/glenfold_lab/load/connection.py
+++ b/glenfold_lab/load/connection.py
@@ -1,4 +1,4 @@
-"""The socket side of one client: carries out what its states say."""
+"""The socket side of one client: feeds `ClientState` and carries out its effects."""
 
 import errno
 from collections.abc import Awaitable, Callable
@@ -27,7 +27,7 @@
     Unreachable,
 )
 
-SEND_TIMEOUT_S = LINE_TIMEOUT_US / 1e6  # a side that takes nothing for so long is not worth waiting for
+SEND_TIMEOUT_S = LINE_TIMEOUT_US / 1e6  # A send is given up when the server reads nothing for this long.
 NO_SOCKET_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 Stream = trio.abc.HalfCloseableStream
@@ -36,8 +36,11 @@
 
 
 class Clock(Protocol):
-    """The clock of the clients, such as `stand_ins.machine_clock.MachineClock`. At the time that `to_trio`
-    gives for `at_us`, `now_us` is `at_us` or later: else a client would wake up too early and sleep again."""
+    """The clock of the clients, such as `stand_ins.machine_clock.MachineClock`.
+
+    At the trio time that `to_trio` returns for `at_us`, `now_us` must return `at_us` or later; otherwise a
+    client would wake up too early and sleep again.
+    """
 
     def now_us(self) -> int: ...
 
@@ -45,6 +48,7 @@
 
 
 async def connect_to(address: Address) -> Stream:
+    """Opens a TCP connection to `address`. Raises OSError."""
     sock = trio.socket.socket()
     try:
         await sock.connect(address)
@@ -55,9 +59,11 @@
 
 
 async def run_connection(state: ClientState, connect: Connect, on_event: EventCallback, clock: Clock) -> None:
-    """From the connecting to the end; whatever the other side does, only this client's end comes of it.
+    """Runs one client from connecting to the end; no behaviour of the server affects other clients.
 
-    Raises OSError, before it has told anything, where this machine has no socket or port left for it."""
+    Raises OSError, before any event is reported, if this machine has no socket or port left for the
+    connection.
+    """
     stream = await _connect_or_none(connect, clock.to_trio(state.due_us))
     if stream is None:
         for effect in state.on(Unreachable(), clock.now_us()):
@@ -94,13 +100,13 @@
         case SendEof():
             await _unless_broken(stream.send_eof())
         case Close():
-            pass  # done by the stream's owner, as the states have ended
+            pass  # `run_connection` closes the stream once the phase is ENDED.
         case _:
             on_event(effect)
 
 
 async def _unless_broken(sending: Awaitable[None]) -> None:
-    """A side that can't be sent to has ended; that is heard where it is read from."""
+    """Ignores a failed send: the connection has ended, and the next read reports how."""
     with suppress(trio.BrokenResourceError):
         await sending
 
--- a/glenfold_lab/load/echo.py
+++ b/glenfold_lab/load/echo.py
@@ -1,6 +1,6 @@
-"""The least that a load can be put on: says UP to each first line at once and gives back all later ones.
+"""The simplest server for a load: answers UP to each first line at once and echoes all later lines.
 
-What is measured against it is what the load itself costs, with the machine and its loopback.
+A measurement against it shows the cost of the load generator itself, with the machine and its loopback.
 """
 
 import gc
@@ -23,8 +23,10 @@
 
 @contextmanager
 def echo_servers(count: int, cores: Sequence[int]) -> Iterator[list[Address]]:
-    """So many processes on ephemeral loopback ports, on these cores; they end with this block, or with this
-    process."""
+    """Runs `count` echo server processes on ephemeral loopback ports, pinned to `cores`.
+
+    Yields their addresses. The processes end with this block, or with this process.
+    """
     context = multiprocessing.get_context("spawn")
     pipes = []
     processes = []
@@ -45,11 +47,11 @@
 
 
 def serve(pipe: Connection, cores: list[int]) -> None:
-    """One such process: tells its address, and ends with the pipe."""
+    """Runs one echo server process: sends its address over `pipe` and ends when the pipe closes."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     psutil.Process().cpu_affinity(cores)
     raise_descriptor_limit()
-    gc.disable()  # its pauses would be taken for the load's
+    gc.disable()  # Pauses of the garbage collector would be measured as latency of the load.
     trio.run(_serve, pipe)
 
 
@@ -63,7 +65,7 @@
 
 
 async def echo(stream: trio.abc.HalfCloseableStream) -> None:
-    """One connection, to its end."""
+    """Serves one connection until it ends."""
     try:
         first = b""
         while not first.endswith(LINE_END):
@@ -75,6 +77,6 @@
         while data := await stream.receive_some(MAX_LINE_BYTES):
             await stream.send_all(data)
     except trio.BrokenResourceError:
-        pass  # that is the end of it too
+        pass  # A reset ends the connection too.
     finally:
         await trio.aclose_forcefully(stream)
--- a/glenfold_lab/load/offer.py
+++ b/glenfold_lab/load/offer.py
@@ -1,4 +1,4 @@
-"""Offers a plan: each client starts at its intended moment, whatever became of those before it."""
+"""Runs a load plan: each client starts at its intended time, whatever happened to earlier clients."""
 
 from collections.abc import Awaitable, Callable, Iterator, Sequence
 from dataclasses import dataclass
@@ -20,14 +20,14 @@
 from glenfold_lab.load.plan_options import LoadPlan
 from glenfold_lab.load.tally import ClientRecorder, Tally
 
-BLOCK_CLIENTS = 4096  # clients taken out of the plan's array at once
+BLOCK_CLIENTS = 4096  # Clients are converted from the plan's array in blocks of this many.
 
 ConnectTo = Callable[[Address], Awaitable[Stream]]
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedClient:
-    """One client of a plan, as `plan.CLIENT` has it."""
+    """One client of a plan; the fields are those of `plan.CLIENT`."""
 
     start_us: int
     end_us: int
@@ -44,8 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """targets: where the relays listen. most_open: connections at once. window_us: how long a window of the
-    tally is."""
+    """What to offer to which relays.
+
+    `targets` are the addresses of the relays. `most_open` bounds the connections open at once. `window_us` is
+    the length of one window of the tally.
+    """
 
     options: LoadPlan
     targets: Sequence[Address]
@@ -54,13 +57,14 @@
 
 
 def planned_clients(clients: Clients) -> Iterator[PlannedClient]:
+    """Yields the clients of a plan's array."""
     for begin in range(0, len(clients), BLOCK_CLIENTS):
         for values in clients[begin : begin + BLOCK_CLIENTS].tolist():
             yield PlannedClient(*values)
 
 
 def connection_options(options: LoadPlan, client: PlannedClient, begin_us: int) -> ConnectionOptions:
-    """begin_us: when the load starts, on the clients' clock."""
+    """Returns the connection options of `client`. `begin_us` is the load's start on the clients' clock."""
     figures: dict[str, str | int] = {"c": options.classes[client.request_class].name}
     if options.schemes:
         figures["t"] = options.schemes[client.scheme].name
@@ -73,7 +77,7 @@
 
 
 class Load:
-    """One process's part of a load, which starts at `begin_us` of that clock."""
+    """One process's part of a load, which starts when `clock` reaches `begin_us`."""
 
     def __init__(self, offer: Offer, clock: Clock, begin_us: int, connect: ConnectTo = connect_to) -> None:
         self.tally = Tally()
@@ -87,8 +91,11 @@
         self._answer_event = trio.Event()
 
     async def run(self, clients: Clients, stop: trio.Event) -> None:
-        """Until the last of these clients is answered (each has a deadline), or `stop`. What stands then is
-        closed; what has no answer yet was begun, and nothing more is told of it."""
+        """Runs until the last of these clients is answered (each has a deadline), or until `stop` is set.
+
+        Connections that stand then are closed. Clients without an answer count as started, and nothing more
+        is reported of them.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._stop_when_set, stop, nursery.cancel_scope)
             await self._start_all(clients, nursery)
@@ -106,7 +113,7 @@
         scope.cancel()
 
     async def _start_all(self, clients: Clients, nursery: trio.Nursery) -> None:
-        """One pass of the event loop for each start: a burst must not keep answers from being read."""
+        """Starts the clients, one per event loop pass, so that a burst does not delay reading answers."""
         for client in planned_clients(clients):
             await trio.sleep_until(self._clock.to_trio(self._begin_us + client.start_us))
             if self._open >= self._offer.most_open:
--- a/glenfold_lab/load/plan.py
+++ b/glenfold_lab/load/plan.py
@@ -1,4 +1,4 @@
-"""All that a load will ask, drawn ahead: who starts when, asks what, and for how long it wants it."""
+"""Draws a load in advance: when each client starts, what it requests, and how long it stays connected."""
 
 from collections.abc import Sequence
 
@@ -11,8 +11,8 @@
 SECOND_US = 1_000_000
 STREAM_PREFIX = "load"
 
-# Of each client: moments in microseconds from the load's start; line_gap_us 0 says no lines; class, scheme
-# and target are places in their lists.
+# The record of one client. Times are microseconds from the load's start; a line_gap_us of 0 sends no lines;
+# class, scheme and target are indexes into their lists.
 CLIENT = np.dtype(
     [
         ("start_us", "i8"),
@@ -33,15 +33,18 @@
 
 
 def length_us(options: LoadPlan) -> int:
-    """From the load's start to the last moment at which a client may start."""
+    """Returns the time from the load's start to the latest possible start of a client."""
     ends = [arrivals.at_s + arrivals.for_s for arrivals in options.arrivals]
     ends += [reconnect.at_s + reconnect.within_s for reconnect in options.reconnects]
     return int(max(ends) * SECOND_US)
 
 
 def draw(options: LoadPlan, seed: int, targets: int) -> Clients:
-    """The clients of one seed, by their starts (shape: one CLIENT each). Each of the arrivals and reconnects
-    draws from generators of its own: another one more shifts none of them."""
+    """Returns the clients of one seed in order of their starts, one CLIENT record each.
+
+    Each arrivals and reconnects entry draws from random streams of its own, so that adding an entry changes
+    no client of the others.
+    """
     streams = Streams(seed)
     parts = [_draw_arrivals(options, streams, index, targets) for index in range(len(options.arrivals))]
     clients = np.concatenate(parts)
@@ -51,15 +54,18 @@
 
 
 def _starts(arrivals: Arrivals, rng: np.random.Generator) -> NDArray[np.int64]:
-    """Times at which the sum of the rate so far reaches a count: whole ones, or drawn evenly."""
+    """Returns the times at which the integral of the rate reaches a count.
+
+    The counts are the integers for a constant process, uniformly drawn for a Poisson process.
+    """
     first, last = rates(arrivals)
     total = (first + last) / 2 * arrivals.for_s
     if arrivals.process == "poisson":
         counts = np.sort(rng.uniform(0, total, rng.poisson(total)))
     else:
         counts = np.arange(int(total + 1e-9), dtype=float)
-    # count = first * t + (last - first) / (2 * for_s) * t^2, solved for t in the form that holds for a slope
-    # of 0 too.
+    # Solves count = first * t + (last - first) / (2 * for_s) * t^2 for t, in the form that is also valid for
+    # a slope of 0.
     slope = (last - first) / arrivals.for_s
     root = np.sqrt(np.maximum(first * first + 2 * slope * counts, 0))
     times_s = 2 * counts / np.maximum(first + root, 1e-12) + arrivals.at_s
@@ -103,7 +109,7 @@
 def _assign_ids_and_targets(
     clients: Clients, targets: int, idents: np.random.Generator, front: np.random.Generator
 ) -> None:
-    """What is new with every connection: its id, and to which relay the front leads it."""
+    """Draws what differs for every connection: its id, and the relay to which the front routes it."""
     clients["ident"] = _random_ids(len(clients), idents)
     clients["target"] = front.integers(0, targets, len(clients))
 
@@ -139,9 +145,9 @@
     dropped = streams.of(STREAM_PREFIX, "dropped", index).choice(standing, returning_count, replace=False)
     starts = _return_times(reconnect, at_us, streams.of(STREAM_PREFIX, "returns", index))
     returning = clients[dropped]
-    # Half way there: all at one moment, the ends alone would keep the load from its starts.
+    # Each old connection ends halfway to its return: closing all at once would delay the load's own starts.
     clients["end_us"][dropped] = np.minimum((at_us + starts[:returning_count]) // 2, returning["end_us"])
-    # What is left of the time for which it wants its connection counts from its return.
+    # The remaining lifetime of the connection counts from the client's return.
     returning["end_us"] += starts[:returning_count] - at_us
     returning["start_us"] = starts[:returning_count]
     _assign_ids_and_targets(
--- a/glenfold_lab/load/plan_options.py
+++ b/glenfold_lab/load/plan_options.py
@@ -1,4 +1,4 @@
-"""The terms of a load plan: plain values, checked as they are read. Shares are relative to each other."""
+"""The options of a load plan: plain values, checked as they are read. Shares are relative to each other."""
 
 import re
 from collections.abc import Iterator
@@ -12,10 +12,10 @@
 from glenfold.toml_file import Key, TomlFile
 from glenfold_lab.spec import Name, Part, Positive, Share
 
-MAX_STARTS = 5_000_000  # of one plan: what the tables of its workers can hold
+MAX_STARTS = 5_000_000  # The tables of the workers hold no more clients of one plan.
 DAY_S = 86_400
-MIN_LINE_GAP_MS = 10  # bounds how many lines of one client can be unanswered
-NAME_PATTERN = re.compile(r"[!-+\--~]+")  # what can stand in a first line: no blank, no comma
+MIN_LINE_GAP_MS = 10  # This bounds the number of unanswered lines of one client.
+NAME_PATTERN = re.compile(r"[!-+\--~]+")  # Names in a first line have no blanks and no commas.
 
 Rate = Annotated[float, Meta(ge=0, le=1e6)]
 Ramp = Annotated[tuple[Rate, ...], Meta(min_length=2, max_length=2)]
@@ -28,10 +28,11 @@
 
 
 class Arrivals(Part, frozen=True):
-    """Clients that start from `at_s` on, for `for_s`. Several of these may overlap: their rates add up.
+    """Clients that start from `at_s` on, for `for_s` seconds. Entries may overlap; their rates add up.
 
-    rate: starts a second; of a pair, it goes evenly from the first to the second.
-    process: "constant" has starts evenly apart, "poisson" at random, each without regard to the others."""
+    `rate` is in starts per second; a pair is a linear ramp from the first value to the second. `process` is
+    "constant" for evenly spaced starts or "poisson" for independent random ones.
+    """
 
     rate: Rate | Ramp
     for_s: DurationS
@@ -40,9 +41,11 @@
 
 
 class Reconnect(Part, frozen=True):
-    """Of those that stand at `at_s`, so many clients come again within `within_s`, evenly at random; 0: at
-    once. Each one's connection ends half way to that. Where fewer stand by the plan, the rest come from
-    elsewhere. All say `again=1`."""
+    """Clients that are connected at `at_s`, drop, and reconnect within `within_s`, uniformly at random.
+
+    A `within_s` of 0 means all at once. Each old connection ends halfway to its client's return. If the plan
+    has fewer than `clients` connections up at that time, new clients make up the rest. All send `again=1`.
+    """
 
     at_s: OffsetS
     clients: PositiveCount
@@ -52,9 +55,10 @@
 class LoadClass(Part, frozen=True):
     """A class of connections, by its name in the relays' settings.
 
-    wait_ms: how long a client waits for its answer. life_s: the mean time for which it wants its connection,
-    from the intended start on; life_sigma: its spread (lognormal; 0: all alike), up to a day. line_gap_ms:
-    between its lines; 0: it says none."""
+    `wait_ms` is how long a client waits for the answer. `life_s` is the mean lifetime of a connection from
+    the intended start; lifetimes are lognormal with `life_sigma` (0: all alike), up to a day. `line_gap_ms`
+    is the time between a client's lines; 0 sends none.
+    """
 
     name: Name
     share: Positive = 1.0
@@ -72,8 +76,11 @@
 
 
 class Groups(Part, frozen=True):
-    """share: of the clients that belong to a group; the rest are each their own. zipf: how unequal the sizes
-    of the `count` groups are; 0: alike."""
+    """Groups of clients.
+
+    `share` is the share of clients that belong to one of the `count` groups; each other client is a group of
+    its own. `zipf` is the exponent of the Zipf distribution of group sizes; 0 makes them equal.
+    """
 
     count: PositiveCount
     share: Share = 1.0
@@ -81,7 +88,7 @@
 
 
 class LoadPlan(Part, frozen=True):
-    """What is asked of the relays; each seed draws one plan of it."""
+    """The load to put on the relays; each seed draws one plan from it."""
 
     format: Literal[1]
     arrivals: Annotated[tuple[Arrivals, ...], Meta(min_length=1)]
@@ -92,12 +99,12 @@
 
 
 def read(path: str | Path) -> LoadPlan:
-    """Raises BadFile, with key and line, for the first fault."""
+    """Reads a plan file. Raises BadFile, with key and line, for the first problem."""
     return checked(toml_file.read(path))
 
 
 def checked(values: TomlFile) -> LoadPlan:
-    """Raises BadFile, too."""
+    """Converts and checks the values of a plan file. Raises BadFile for the first problem."""
     options = values.convert(LoadPlan)
     for key, reason in problems(options):
         raise values.error(key, reason)
@@ -105,20 +112,20 @@
 
 
 def rates(arrivals: Arrivals) -> tuple[float, float]:
-    """At their first moment and at their last."""
+    """Returns the rate at the start and at the end of the arrivals."""
     if isinstance(arrivals.rate, tuple):
         return arrivals.rate[0], arrivals.rate[1]
     return arrivals.rate, arrivals.rate
 
 
 def expected_starts(options: LoadPlan) -> float:
-    """How many clients these terms ask for, on the mean."""
+    """Returns the expected number of clients that these options start."""
     arriving = sum(sum(rates(arrivals)) / 2 * arrivals.for_s for arrivals in options.arrivals)
     return arriving + sum(reconnect.clients for reconnect in options.reconnects)
 
 
 def problems(options: LoadPlan) -> Iterator[tuple[Key, str]]:
-    """What the types of the values don't tell."""
+    """Yields the problems that the types of the values do not rule out, by key."""
     expected = expected_starts(options)
     if not 1 <= expected <= MAX_STARTS:
         yield ("arrivals",), f"{expected:.0f} clients would start; it must be 1 to {MAX_STARTS}"
--- a/glenfold_lab/load/result.py
+++ b/glenfold_lab/load/result.py
@@ -1,4 +1,4 @@
-"""What one load gave, for people and programs."""
+"""The result of one load."""
 
 from collections.abc import Sequence
 
@@ -13,15 +13,15 @@
 
 FORMAT = 1
 MAX_WINDOWS = 10
-LATENESS_PERCENTILE = 99.0  # the percentile of its own lateness that must stay within the bound
+LATENESS_PERCENTILE = 99.0  # This percentile of the load's own lateness must stay within the bound.
 
-LATE = "late"  # the load itself ran behind its plan
-NO_ROOM = "no room"  # starts were left out for want of sockets or ports
-ENDED_EARLY = "ended early"  # by a signal
+LATE = "late"  # The load itself ran behind its plan.
+NO_ROOM = "no room"  # Starts were skipped for lack of sockets or ports.
+ENDED_EARLY = "ended early"  # A signal ended the load.
 
 
 class Window(msgspec.Struct, frozen=True):
-    """Of the starts intended from `from_us` until the next window."""
+    """The starts intended between `from_us` and the next window."""
 
     from_us: int
     started: int
@@ -29,13 +29,16 @@
 
 
 class LoadResult(msgspec.Struct, frozen=True):
-    """Latencies are in microseconds. planned: starts of the whole plan; started: those begun.
+    """The result of one load. Latencies are in microseconds.
 
-    marks: why this does not measure what was asked for; none if it does. answers: by kind, and set_up: by
-    class, from the intended start to the answer. lines: there and back, from their intended moments. lateness
-    and line_lateness: of the load itself, behind its plan. targets: by address, answers by kind. partings:
-    connections that were up, by how they ended; standing: at the end. cost: of the load's own processes; it
-    differs between machines."""
+    `planned` counts the starts of the full plan, `started` those that took place. `marks` are the reasons why
+    the result does not measure what was requested; empty if it does. `answers`, by kind, and `set_up`, by
+    class, are latencies from the intended start to the answer. `lines` are round trips from the lines'
+    intended times. `lateness` and `line_lateness` are how far the load itself ran behind its plan. `targets`
+    counts answers by address and kind. `partings` counts connections that were up by how they ended,
+    `standing` those still up at the end. `cost` is that of the load's own processes; it differs between
+    machines.
+    """
 
     seed: int
     length_us: int
@@ -59,7 +62,10 @@
 
 
 def window_us(length_us: int) -> int:
-    """Whole seconds, so that there are at most WINDOWS of them (and one for what falls on the very end)."""
+    """Returns the window length, a multiple of a second that gives at most MAX_WINDOWS windows.
+
+    A start at the very end of the load falls into one more window.
+    """
     return -(-length_us // (MAX_WINDOWS * SECOND_US)) * SECOND_US
 
 
@@ -72,7 +78,7 @@
     late_bound_us: int,
     ended_early: bool,
 ) -> LoadResult:
-    """Adds up what the workers measured."""
+    """Adds up the measurements of the workers."""
     tally = Tally()
     for report in reports:
         tally.add(report.tally)
--- a/glenfold_lab/load/tally.py
+++ b/glenfold_lab/load/tally.py
@@ -1,4 +1,4 @@
-"""What a load measured, in bounded room: histograms and counts, which add up over worker processes."""
+"""Measurements of a load in bounded memory: histograms and counts, which add up over worker processes."""
 
 from collections import Counter
 from dataclasses import dataclass, field, fields
@@ -9,7 +9,7 @@
 from glenfold_lab.load.client import Answer, Answered, ClientEvent, ConnectionEnded, LineAnswered, LineSent
 from glenfold_lab.results import Distribution
 
-MAX_LATENCY_US = 600_000_000  # what takes longer counts as this
+MAX_LATENCY_US = 600_000_000  # Longer latencies are recorded as this.
 SIGNIFICANT_DIGITS = 3
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
@@ -17,7 +17,7 @@
 
 
 class Histogram:
-    """Latencies in microseconds, to three digits."""
+    """A histogram of latencies in microseconds, precise to three significant digits."""
 
     def __init__(self) -> None:
         self._counts = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
@@ -48,7 +48,7 @@
 
 
 class Histograms(dict[Name, Histogram], Generic[Name]):
-    """By name, each made when something is first recorded under it."""
+    """Histograms by name; each is created on its first use."""
 
     def __missing__(self, name: Name) -> Histogram:
         made = self[name] = Histogram()
@@ -61,11 +61,14 @@
 
 @dataclass
 class Tally:
-    """answers: by kind, and set_up: by class, from the intended start; windows: set_up by the number of the
-    window in which the start was intended, and started: how many were begun then. lines: there and back, from
-    the intended moment of each. late, lines_late: how far behind the plan the load itself was. targets:
-    answers by place of the target and kind. no_room: starts left out for want of sockets. standing: at the
-    end."""
+    """The measurements of a load. Latencies count from the intended start or the intended time of a line.
+
+    `answers` are latencies by kind of answer, `set_up` those of UP by class, and `windows` those of UP by the
+    number of the window of the intended start. `started` counts the starts of each window. `lines` are round
+    trips of lines. `late` and `lines_late` are how far the load itself ran behind its plan. `targets` counts
+    answers by index of the target and kind, `partings` ended connections by reason. `no_room` counts starts
+    skipped for lack of sockets or ports. `standing` counts the connections still up at the end.
+    """
 
     answers: Histograms[str] = field(default_factory=Histograms)
     set_up: Histograms[str] = field(default_factory=Histograms)
@@ -92,7 +95,7 @@
 
 
 class ClientRecorder:
-    """One client's news, put where they belong."""
+    """Records the events of one client in the tally."""
 
     def __init__(self, tally: Tally, request_class: str, target: int, window: int) -> None:
         self._tally = tally
--- a/glenfold_lab/load/worker_pool.py
+++ b/glenfold_lab/load/worker_pool.py
@@ -26,26 +26,28 @@
 from glenfold_lab.load.tally import Tally
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 
-START_DELAY_S = 0.3  # from the last worker's being ready to the start: time for all to hear of it
-READY_TIMEOUT_S = 60.0  # for a worker to be ready
-REPORT_TIMEOUT_S = 20.0  # from the last answer's deadline to what was measured
-POLL_INTERVAL_S = 0.2  # between two looks for a signal
+START_DELAY_S = (
+    0.3  # The load starts this long after the last worker is ready, so that all receive the start.
+)
+READY_TIMEOUT_S = 60.0
+REPORT_TIMEOUT_S = 20.0  # The report is due this long after the deadline of the last answer.
+POLL_INTERVAL_S = 0.2  # `stopped` is checked at this interval.
 MAX_DESCRIPTORS = 1 << 16
-RESERVED_DESCRIPTORS = 64  # descriptors for all that is not a client
+RESERVED_DESCRIPTORS = 64  # These are kept for everything but client connections.
 
 
 class LoadFailed(Exception):
-    """A worker process ended without a result, or did not end in time."""
+    """Raised when a worker process ends without a result or does not end in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """A worker waits for the start time."""
+    """The worker is ready and waits for the start time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What one worker measured. cpu_s: of its process from the start on."""
+    """The measurements of one worker. `cpu_s` is the CPU time of its process since the start of the load."""
 
     tally: Tally
     cpu_s: float
@@ -53,8 +55,11 @@
 
 
 def cores_for(workers: int) -> list[list[int]]:
-    """A core of its own for each worker, from the last one on, if that leaves at least one for all others;
-    else all cores for each."""
+    """Returns the cores of each worker.
+
+    Each worker gets one core of its own, counted from the last, if that leaves at least one for everything
+    else; otherwise every worker may use all cores.
+    """
     cores = psutil.Process().cpu_affinity()
     if workers >= len(cores):
         return [cores] * workers
@@ -62,9 +67,10 @@
 
 
 def run_load(offer: Offer, clients: Clients, workers: int, stopped: Callable[[], bool]) -> list[Report]:
-    """Plays the plan over so many processes; `stopped` is asked now and then, and ends it early.
+    """Runs the plan over `workers` processes; ends it early once `stopped`, polled regularly, returns True.
 
-    Raises LoadFailed."""
+    Raises LoadFailed.
+    """
     pool = _WorkerPool(offer, clients, workers)
     try:
         return pool.run(stopped)
@@ -73,7 +79,7 @@
 
 
 class _WorkerPool:
-    """Starts the workers; `end` has to be called whatever happens."""
+    """The worker processes; `end` has to be called in every case."""
 
     def __init__(self, offer: Offer, clients: Clients, workers: int) -> None:
         context = multiprocessing.get_context("spawn")
@@ -100,7 +106,7 @@
         return [report for report in reports if isinstance(report, Report)]
 
     def _receive_all(self, deadline: float, stopped: Callable[[], bool]) -> list[object]:
-        """One message of each worker, in the workers' order."""
+        """Returns one message of each worker, in the order of the workers."""
         messages: dict[int, object] = {}
         stop_sent = False
         while len(messages) < len(self._pipes):
@@ -108,7 +114,9 @@
                 self._send_all(None)
                 stop_sent = True
             if time.monotonic() > deadline:
-                raise LoadFailed("a worker does not end; it is too slow for this load, or was stopped")
+                raise LoadFailed(
+                    "a worker did not answer in time; it is too slow for this load, or was suspended"
+                )
             for n, pipe in enumerate(self._pipes):
                 if n not in messages and pipe.poll(0):
                     messages[n] = self._receive(n, pipe)
@@ -125,7 +133,7 @@
 
     def _send_all(self, message: int | None) -> None:
         for pipe in self._pipes:
-            with suppress(OSError):  # that it is gone is heard where it is heard
+            with suppress(OSError):  # The next receive reports that the worker has exited.
                 pipe.send(message)
 
     def end(self) -> None:
@@ -139,13 +147,13 @@
 
 
 def work(pipe: Connection, offer: Offer, clients: Clients, cores: Sequence[int]) -> None:
-    """One worker process."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # it ends when it is told to, with what it measured
+    """Runs one worker process."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # The parent stops the worker, which then reports.
     process = psutil.Process()
     process.cpu_affinity(list(cores))
     offer = replace(offer, most_open=min(offer.most_open, raise_descriptor_limit() - RESERVED_DESCRIPTORS))
-    # A collection of what a second of clients leaves takes 10 to 25 ms; none of it is garbage that only a
-    # collector finds.
+    # Collecting after one second of clients takes 10 to 25 ms, and the load leaves no reference cycles that
+    # need the garbage collector.
     gc.disable()
     pipe.send(Ready())
     try:
@@ -155,14 +163,16 @@
     cpu_start_s = time.process_time()
     tally = trio.run(_run_slice, offer, clients, pipe, start_us)
     report = Report(tally, time.process_time() - cpu_start_s, process.memory_info().rss / 1e6)
-    with suppress(OSError):  # whom it would be for is gone
+    with suppress(OSError):  # The parent has exited.
         pipe.send(report)
 
 
 def raise_descriptor_limit() -> int:
-    """As many as this process may have, and the kernel's table of them at its full size from here on. That
-    table doubles as it fills, and each time a process with threads (numpy has some) stands still for 10 to
-    25 ms."""
+    """Raises this process's descriptor limit, grows the kernel's descriptor table, and returns the limit.
+
+    The table doubles as it fills, and each doubling stalls a process with threads (numpy starts some) for 10
+    to 25 ms; so it is grown to its full size at once.
+    """
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     limit = min(hard, MAX_DESCRIPTORS)
     resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
