--- a/tests/glenfold_lab/test_load_offer.py
+++ b/tests/glenfold_lab/test_load_offer.py
@@ -39,10 +39,10 @@
         async with trio.open_nursery() as nursery:
 
             async def connect(_: Address) -> Stream:
-                here, there = memory_stream_pair()
-                nursery.start_soon(server, there)
+                client_end, server_end = memory_stream_pair()
+                nursery.start_soon(server, server_end)
                 time.jump(work_s)
-                return here
+                return client_end
 
             clock = MachineClock()
             load = Load(offer, clock, clock.now_us(), connect)
@@ -57,15 +57,15 @@
     return summarize(1, offer, clients, 5_000_000, [Report(tally, 0.0, 0.0)], 5_000, False)
 
 
-async def stalls(stream: Stream) -> None:
+async def stalling_server(stream: Stream) -> None:
     """From 1 s to 3 s after the clock's start nothing is answered."""
     if 1 <= trio.current_time() < 3:
         await trio.sleep_until(3)
     await echo(stream)
 
 
-def test_a_stall_of_2_s_shows_in_all_that_should_have_started_meanwhile() -> None:
-    tally, clients, offer = run(stalls)
+def test_a_stall_of_2_s_shows_in_the_latency_of_every_start_planned_during_it() -> None:
+    tally, clients, offer = run(stalling_server)
     up = tally.answers["up"]
     assert up.distribution().count == 100
     slow = 40  # of 100: those intended from 1 s to 3 s, waiting evenly from 2 s down to 0
@@ -81,18 +81,16 @@
     assert worst == [(0, 20, 0), (1, 20, 2_000_000), (2, 20, 1_000_000), (3, 20, 0), (4, 20, 0)]
 
 
-def test_lines_count_from_their_intended_moments() -> None:
-    async def stops_reading(stream: Stream) -> None:
+def test_line_latencies_count_from_the_intended_times() -> None:
+    async def server_that_stalls_after_up(stream: Stream) -> None:
         await stream.receive_some()
         await stream.send_all(b"UP r\r\n")
         await trio.sleep(2.2)
         while data := await stream.receive_some():
             await stream.send_all(data)
 
-    one_and_a_later_one = LoadPlan(
-        format=1, arrivals=(Arrivals(rate=0.25, for_s=8),), classes=PLAN_OPTIONS.classes
-    )
-    tally, _, _ = run(stops_reading, one_and_a_later_one)
+    two_starts = LoadPlan(format=1, arrivals=(Arrivals(rate=0.25, for_s=8),), classes=PLAN_OPTIONS.classes)
+    tally, _, _ = run(server_that_stalls_after_up, two_starts)
     # The lines due 0.5, 1, 1.5 and 2 s after UP are answered 2.2 s after it, that due after 2.5 s at once.
     assert [round(tally.lines.at(at), -4) for at in (20, 40, 60, 80, 100)] == [
         0,
@@ -104,13 +102,13 @@
     assert tally.lines_late.at(100) == 0
 
 
-def test_starts_that_find_no_room_are_told_of_and_never_put_off() -> None:
+def test_starts_without_a_free_socket_are_counted_and_never_delayed() -> None:
     async def hang(stream: Stream) -> None:
         await trio.sleep_forever()
 
-    found = result(*run(hang, most_open=10))
-    assert found.started + found.no_room == 100 and found.no_room > 50
-    assert found.marks == (NO_ROOM,)
+    summary = result(*run(hang, most_open=10))
+    assert summary.started + summary.no_room == 100 and summary.no_room > 50
+    assert summary.marks == (NO_ROOM,)
 
     async def no_ports(_: Address) -> Stream:
         raise OSError(errno.EADDRNOTAVAIL, "no ports")
@@ -125,7 +123,7 @@
     assert (tally.no_room, tally.started.total(), dict(tally.answers)) == (100, 0, {})
 
 
-def test_a_load_that_ran_late_says_so_and_counts_it() -> None:
+def test_a_late_load_is_marked_and_its_lateness_counts_as_latency() -> None:
     punctual, late = result(*run(echo, work_s=0.04)), result(*run(echo, work_s=0.06))
     assert punctual.marks == () and punctual.lateness.quantiles["100"] == 0
     # 60 ms of work every 50 ms: the last of 100 starts is 99 times 10 ms behind, and its answer with it.
@@ -133,26 +131,26 @@
     assert late.set_up["watch"].quantiles["100"] > 1_040_000
 
 
-async def meets_all_kinds(count: int) -> None:
+async def run_clients_with_all_outcomes(count: int) -> None:
     """So many clients, over sockets: some served, some reset, refused, moved, or without an answer."""
 
-    async def in_turn(stream: trio.SocketStream) -> None:
-        met.append(stream)
-        if len(met) % 4 == 0:
+    async def serve(stream: trio.SocketStream) -> None:
+        connections.append(stream)
+        if len(connections) % 4 == 0:
             reset_on_close(stream.socket)
-        elif len(met) % 4 == 1:
+        elif len(connections) % 4 == 1:
             await trio.sleep_forever()
-        elif len(met) % 4 == 2:
+        elif len(connections) % 4 == 2:
             await stream.send_all(b"UP r\r\nMOVE\r\n")
         else:
             await echo(stream)
 
-    met: list[trio.SocketStream] = []
+    connections: list[trio.SocketStream] = []
     kinds = (LoadClass(name="watch", wait_ms=1, life_s=0.001, line_gap_ms=10),)
     options = LoadPlan(format=1, arrivals=(Arrivals(rate=count * 100, for_s=0.01),), classes=kinds)
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(trio.serve_listeners, in_turn, listeners)
+        nursery.start_soon(trio.serve_listeners, serve, listeners)
         targets = [listeners[0].socket.getsockname(), ("127.0.0.1", 1)]
         clock = MachineClock()
         load = Load(Offer(options, targets, 10_000, 1_000_000), clock, clock.now_us())
@@ -160,18 +158,18 @@
         nursery.cancel_scope.cancel()
 
 
-def test_it_leaves_no_garbage_that_only_a_collector_would_free() -> None:
+def test_a_load_leaves_no_reference_cycles() -> None:
     """Its workers run without one."""
 
-    def left(count: int) -> int:
+    def uncollected_objects(count: int) -> int:
         gc.collect()
-        trio.run(meets_all_kinds, count)
+        trio.run(run_clients_with_all_outcomes, count)
         return gc.collect()
 
     gc.disable()
     try:
-        left(4)
-        few, many = left(4), left(100)
+        uncollected_objects(4)
+        few, many = uncollected_objects(4), uncollected_objects(100)
     finally:
         gc.enable()
     assert many - few < 50
