--- a/glenfold_lab/load/worker_pool.py
+++ b/glenfold_lab/load/worker_pool.py
@@ -26,9 +26,7 @@
 from glenfold_lab.load.tally import Tally
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 
-START_DELAY_S = (
-    0.3  # The load starts this long after the last worker is ready, so that all receive the start.
-)
+START_DELAY_S = 0.3  # The start time has to reach every worker before the load starts.
 READY_TIMEOUT_S = 60.0
 REPORT_TIMEOUT_S = 20.0  # The report is due this long after the deadline of the last answer.
 POLL_INTERVAL_S = 0.2  # `stopped` is checked at this interval.
--- a/tests/glenfold_lab/fake_world.py
+++ b/tests/glenfold_lab/fake_world.py
@@ -1,4 +1,4 @@
-"""Stands in for the model where only what goes around it is tested: quick, and it fails when told to."""
+"""Replaces the model in tests of the code around it: fast, and certain seeds fail on purpose."""
 
 import os
 import signal
--- a/tests/glenfold_lab/test_load_client.py
+++ b/tests/glenfold_lab/test_load_client.py
@@ -1,4 +1,4 @@
-"""One client's states: whatever comes in whatever order, one answer, one end, and bounded waiting."""
+"""The state machine of one client: any inputs in any order give one answer, one end and bounded waits."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -92,7 +92,7 @@
         for effect in state.on(Due(), now):
             if isinstance(effect, Send) and reply != "silent":
                 state.on(Received(b"LOAD 3\r\n" if reply == "load" else effect.data), now)
-    raise AssertionError("it never ended")
+    raise AssertionError("the connection never ended")
 
 
 def test_line_latency_counts_from_the_intended_time_and_load_lines_do_not_answer() -> None:
--- a/tests/glenfold_lab/test_load_command.py
+++ b/tests/glenfold_lab/test_load_command.py
@@ -1,4 +1,4 @@
-"""`glenfold lab load` from its words to its result, and the operators' page about it."""
+"""`glenfold lab load` from its arguments to its result, and the operators' page about it."""
 
 import json
 import re
@@ -33,12 +33,12 @@
 
 class Relay(NamedTuple):
     address: Address
-    connections: list[trio.SocketStream]  # its connections so far
+    connections: list[trio.SocketStream]
 
 
 @pytest.fixture
 def relay() -> Iterator[Relay]:
-    """In another thread: the command keeps this one."""
+    """Runs an echo server in another thread, as the command blocks this one."""
     started: Queue[tuple[Address, trio.lowlevel.TrioToken]] = Queue()
     connections: list[trio.SocketStream] = []
     stop = trio.Event()
@@ -71,7 +71,7 @@
         {"127.0.0.1:7000": f"127.0.0.1:{relay.address[1]}", "load.json": str(out)}.get(word, word)
         for word in arguments[3:]
     ]
-    result = load(*replaced, "--late-ms", "60000")  # how late it runs is the machine's affair
+    result = load(*replaced, "--late-ms", "60000")  # The lateness depends on the machine.
     assert result.exit_code == 0, result.output
     assert "50 of 50 planned starts, 50 answered" in result.output
     output = json.loads(out.read_text())
--- a/tests/glenfold_lab/test_load_offer.py
+++ b/tests/glenfold_lab/test_load_offer.py
@@ -1,4 +1,4 @@
-"""An open loop: what stalls shows in the latencies of all that should have started meanwhile."""
+"""Open-loop load: a stall shows in the latencies of every client planned to start during the stall."""
 
 import errno
 import gc
@@ -30,7 +30,7 @@
 def run(
     server: Server, options: LoadPlan = PLAN_OPTIONS, most_open: int = 1000, work_s: float = 0.0
 ) -> tuple[Tally, Clients, Offer]:
-    """The load against that server, in virtual time; each start costs the load's process `work_s`."""
+    """Runs the load against `server` in virtual time; each start costs the load's process `work_s`."""
     time = MockClock(autojump_threshold=0)
     clients = draw(options, 1, 1)
     offer = Offer(options, [("127.0.0.1", 1)], most_open, 1_000_000)
@@ -58,7 +58,7 @@
 
 
 async def stalling_server(stream: Stream) -> None:
-    """From 1 s to 3 s after the clock's start nothing is answered."""
+    """Answers nothing from 1 s to 3 s after the clock's start, otherwise echoes."""
     if 1 <= trio.current_time() < 3:
         await trio.sleep_until(3)
     await echo(stream)
@@ -68,7 +68,7 @@
     tally, clients, offer = run(stalling_server)
     up = tally.answers["up"]
     assert up.distribution().count == 100
-    slow = 40  # of 100: those intended from 1 s to 3 s, waiting evenly from 2 s down to 0
+    slow = 40  # The clients of 100 planned from 1 s to 3 s; they wait evenly from 2 s down to 0.
     assert up.at(100 - slow) < 1_000 < up.at(100 - slow + 2)
     for share in (0.25, 0.5, 0.75):
         expected_us = 2_000_000 * share
@@ -91,7 +91,7 @@
 
     two_starts = LoadPlan(format=1, arrivals=(Arrivals(rate=0.25, for_s=8),), classes=PLAN_OPTIONS.classes)
     tally, _, _ = run(server_that_stalls_after_up, two_starts)
-    # The lines due 0.5, 1, 1.5 and 2 s after UP are answered 2.2 s after it, that due after 2.5 s at once.
+    # The lines due 0.5, 1, 1.5 and 2 s after UP are answered 2.2 s after UP, the line due at 2.5 s at once.
     assert [round(tally.lines.at(at), -4) for at in (20, 40, 60, 80, 100)] == [
         0,
         200_000,
@@ -126,13 +126,13 @@
 def test_a_late_load_is_marked_and_its_lateness_counts_as_latency() -> None:
     punctual, late = result(*run(echo, work_s=0.04)), result(*run(echo, work_s=0.06))
     assert punctual.marks == () and punctual.lateness.quantiles["100"] == 0
-    # 60 ms of work every 50 ms: the last of 100 starts is 99 times 10 ms behind, and its answer with it.
+    # 60 ms of work every 50 ms: the last of 100 starts and its answer are 99 times 10 ms late.
     assert late.marks == (LATE,) and round(late.lateness.quantiles["100"], -4) == 990_000
     assert late.set_up["watch"].quantiles["100"] > 1_040_000
 
 
 async def run_clients_with_all_outcomes(count: int) -> None:
-    """So many clients, over sockets: some served, some reset, refused, moved, or without an answer."""
+    """Runs `count` clients over sockets: some served, some reset, refused, moved, or without an answer."""
 
     async def serve(stream: trio.SocketStream) -> None:
         connections.append(stream)
@@ -159,7 +159,7 @@
 
 
 def test_a_load_leaves_no_reference_cycles() -> None:
-    """Its workers run without one."""
+    """The workers of a load disable the garbage collector, so reference cycles would accumulate."""
 
     def uncollected_objects(count: int) -> int:
         gc.collect()
--- a/tests/glenfold_lab/test_load_plan.py
+++ b/tests/glenfold_lab/test_load_plan.py
@@ -1,4 +1,4 @@
-"""Plans drawn ahead: the same seed gives the same one, and each term of it has its effect and no other."""
+"""Load plans: the same seed gives the same plan, and each option has its own effect and no other."""
 
 import numpy as np
 from hypothesis import given
@@ -69,12 +69,12 @@
     returning = after[after["again"]]
     assert len(after) == len(before) + 300 and len(returning) == 300
     assert (returning["start_us"] >= 10e6).all() and (returning["start_us"] <= 12e6).all()
-    before_by_key = {row["key"]: row for row in before}  # they are the same clients, with new connections,
+    before_by_key = {row["key"]: row for row in before}  # The clients are the same, their connections new.
     assert not np.isin(before["ident"], returning["ident"]).any()
     assert all(
         row["end_us"] - row["start_us"] == before_by_key[row["key"]]["end_us"] - 10e6 for row in returning
     )
-    # Nobody comes back before its old one has ended, nor did any last longer than it would have.
+    # No client returns before its old connection has ended, and no connection outlasts its planned lifetime.
     ends = {row["key"]: min(row["start_us"], before_by_key[row["key"]]["end_us"]) for row in returning}
     dropped = after[np.isin(after["key"], returning["key"]) & ~after["again"]]
     assert len(dropped) == 300
