--- a/benchmarks/result_stores.py
+++ b/benchmarks/result_stores.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from glenfold_lab.experiments.store import Header, Outcome, Short, go_on, look
+from glenfold_lab.experiments.store import Header, Outcome, Short, go_on, open_read_only
 
 Way = tuple[Callable[[Path, Sequence[Outcome]], None], Callable[[Path], int]]
 
@@ -34,7 +34,7 @@
 
 
 def read_lines(folder: Path) -> int:
-    return sum(short.result is not None for short in look(str(folder / "results")).outcomes(Short))
+    return sum(short.result is not None for short in open_read_only(str(folder / "results")).outcomes(Short))
 
 
 def write_msgpack(folder: Path, outcomes: Sequence[Outcome]) -> None:
@@ -102,7 +102,7 @@
 
 
 def main(path: str, cells: int) -> None:
-    kept = list(look(path).outcomes(Outcome))
+    kept = list(open_read_only(path).outcomes(Outcome))
     outcomes = [msgspec.structs.replace(kept[number % len(kept)], cell=number) for number in range(cells)]
     for name, (write, read) in WAYS.items():
         with tempfile.TemporaryDirectory(dir=".") as folder:
--- a/glenfold_lab/commands/experiment.py
+++ b/glenfold_lab/commands/experiment.py
@@ -14,7 +14,7 @@
 from glenfold.toml_file import BadFile
 from glenfold_lab.experiments import pool
 from glenfold_lab.experiments.compare import differences
-from glenfold_lab.experiments.export import Found, differences_grid, figures_grid, write_json
+from glenfold_lab.experiments.export import ExperimentResults, differences_grid, figures_grid, write_json
 from glenfold_lab.experiments.plan import Cell, Plan, load
 from glenfold_lab.experiments.store import Header, Short, Store, go_on
 
@@ -61,13 +61,13 @@
     return [
         cell
         for cell in plan.cells()
-        if cell.number not in store.places or store.read(cell.number, Short).failed is not None
+        if cell.number not in store.locations or store.read(cell.number, Short).failed is not None
     ]
 
 
 def _tell_state(plan: Plan, store: Store, left: Sequence[Cell]) -> None:
-    if store.cut:
-        click.echo(f"{store.path}: the last line was torn; {store.cut} bytes were cut off", err=True)
+    if store.torn_bytes:
+        click.echo(f"{store.path}: the last line was torn; {store.torn_bytes} bytes were cut off", err=True)
     if len(left) < plan.size:
         click.echo(f"{store.path}: {plan.size - len(left)} of {plan.size} cells were played before", err=True)
 
@@ -91,7 +91,7 @@
 
 def tell(plan: Plan, store: Store, json_out: str | None) -> int:
     """Prints tables, writes the JSON file, and gives the exit status."""
-    found = Found(plan, store)
+    found = ExperimentResults(plan, store)
     compared = list(differences(plan, found.table))
     console = Console() if sys.stdout.isatty() else Console(width=WIDE)
     console.print(figures_grid(plan, found))
@@ -101,13 +101,13 @@
         write_json(json_out, plan, store, compared)
     for cell, error in found.failed[:SHOWN]:
         click.echo(f"failed: {_name(plan, cell)}: {error}", err=True)
-    for cell in found.unlike[:SHOWN]:
+    for cell in found.nondeterministic[:SHOWN]:
         click.echo(f"not the same as its first play: {_name(plan, cell)}", err=True)
     click.echo(
         f"{plan.size - len(found.failed)} of {plan.size} cells played, {len(found.failed)} failed, "
-        f"{len(found.unlike)} unlike; rules broken {found.rules_broken} times"
+        f"{len(found.nondeterministic)} unlike; rules broken {found.rules_broken} times"
     )
-    return 1 if found.failed or found.unlike or found.rules_broken else 0
+    return 1 if found.failed or found.nondeterministic or found.rules_broken else 0
 
 
 def _name(plan: Plan, cell: Cell) -> str:
--- a/glenfold_lab/experiments/compare.py
+++ b/glenfold_lab/experiments/compare.py
@@ -20,10 +20,10 @@
 from glenfold_lab.experiments.plan import Plan
 
 RESAMPLES = 10_000
-BLOCK = 4_000_000  # values resampled at a time
-LEVEL = 0.95
-LEAST_PAIRS = 6  # with fewer, all pairs have the same sign by chance too often (5: 1 in 16)
-SEED = 20_150_101
+BLOCK_VALUES = 4_000_000  # values resampled at a time
+CONFIDENCE_LEVEL = 0.95
+MIN_PAIRS = 6  # with fewer, all pairs have the same sign by chance too often (5: 1 in 16)
+BOOTSTRAP_SEED = 20_150_101
 ALL = "all"
 
 Floats = NDArray[np.float64]
@@ -74,14 +74,14 @@
             yield from _compare(plan, table, "revision", [pair])
         if len(sides) > 1:
             yield from _compare(plan, table, "revision", sides)
-    for first, variant, factor in _neighbours(plan):
+    for first, variant, factor in _variants_against_first_level(plan):
         for revision in range(len(plan.decisions)):
             yield from _compare(plan, table, factor, [(Side(first, revision), Side(variant, revision))])
 
 
-def _neighbours(plan: Plan) -> Iterator[tuple[int, int, str]]:
+def _variants_against_first_level(plan: Plan) -> Iterator[tuple[int, int, str]]:
     """Variants that differ in one factor alone, the first of them at that factor's first level."""
-    found = {
+    number_by_variant = {
         (variant.scenario.name, *variant.levels.items()): number
         for number, variant in enumerate(plan.variants)
     }
@@ -90,45 +90,47 @@
         for factor, level in variant.levels.items():
             if level != first[factor]:
                 levels = {**variant.levels, factor: first[factor]}
-                yield found[(variant.scenario.name, *levels.items())], number, factor
+                yield number_by_variant[(variant.scenario.name, *levels.items())], number, factor
 
 
 def _compare(plan: Plan, table: Table, of: str, sides: Sequence[tuple[Side, Side]]) -> Iterator[Difference]:
     """Of one pair of sides, or over several: then seeds count, as histories of one seed are alike."""
     for figure in _figures(table, sides):
-        by_seed = [_difference(table, sides, seed, figure) for seed in plan.seeds]
+        by_seed = [_mean_difference(table, sides, seed, figure) for seed in plan.seeds]
         values = np.array([value for value in by_seed if value is not None])
         if len(values):
             yield _summary(plan, figure, of, sides, values, len(by_seed) - len(values))
 
 
 def _figures(table: Table, sides: Sequence[tuple[Side, Side]]) -> list[str]:
-    places = {side for pair in sides for side in pair}
+    used_sides = {side for pair in sides for side in pair}
     return sorted(
         {
             name
             for (variant, revision, _), figures in table.items()
-            if (variant, revision) in places
+            if (variant, revision) in used_sides
             for name in figures
         }
     )
 
 
-def _difference(table: Table, sides: Sequence[tuple[Side, Side]], seed: int, figure: str) -> float | None:
-    found = []
+def _mean_difference(
+    table: Table, sides: Sequence[tuple[Side, Side]], seed: int, figure: str
+) -> float | None:
+    by_side_pair = []
     for base, other in sides:
         before = table.get((*base, seed), {}).get(figure)
         after = table.get((*other, seed), {}).get(figure)
         if before is None or after is None:
             return None
-        found.append(after - before)
-    return math.fsum(found) / len(found)
+        by_side_pair.append(after - before)
+    return math.fsum(by_side_pair) / len(by_side_pair)
 
 
 def _summary(
     plan: Plan, figure: str, of: str, sides: Sequence[tuple[Side, Side]], values: Floats, missing: int
 ) -> Difference:
-    (base, other), several = sides[0], len(sides) > 1
+    (base, other), is_overall = sides[0], len(sides) > 1
     before, after = plan.variants[base.variant], plan.variants[other.variant]
     names = [plan.decisions[side.revision].name for side in (base, other)]
     low, high = interval(values)
@@ -137,8 +139,8 @@
         of=of,
         base=names[0] if of == "revision" else before.levels[of],
         other=names[1] if of == "revision" else after.levels[of],
-        scenario=ALL if several else before.scenario.name,
-        levels={name: ALL if several else level for name, level in before.levels.items() if name != of},
+        scenario=ALL if is_overall else before.scenario.name,
+        levels={name: ALL if is_overall else level for name, level in before.levels.items() if name != of},
         revision="" if of == "revision" else names[0],
         pairs=len(values),
         missing=missing,
@@ -149,43 +151,45 @@
         equal=int((values == 0).sum()),
         low=low,
         high=high,
-        says=_says(low, high),
+        says=_verdict(low, high),
     )
 
 
-def _says(low: float | None, high: float | None) -> str:
+def _verdict(low: float | None, high: float | None) -> str:
     if low is None or high is None:
-        return f"too few pairs ({LEAST_PAIRS} are needed)"
+        return f"too few pairs ({MIN_PAIRS} are needed)"
     return "higher" if low > 0 else "lower" if high < 0 else "no difference shown"
 
 
 def interval(values: Floats) -> tuple[float, float] | tuple[None, None]:
     """Of the mean, at 95 %; the same for the same values in the same order."""
     count = len(values)
-    if count < LEAST_PAIRS:
+    if count < MIN_PAIRS:
         return None, None
-    random = np.random.default_rng([SEED, count])
-    each = max(1, BLOCK // count)
+    rng = np.random.default_rng([BOOTSTRAP_SEED, count])
+    block_rows = max(1, BLOCK_VALUES // count)
     means = np.sort(
         np.concatenate(
             [
-                values[random.integers(0, count, (min(each, RESAMPLES - done), count))].mean(axis=1)
-                for done in range(0, RESAMPLES, each)
+                values[rng.integers(0, count, (min(block_rows, RESAMPLES - done), count))].mean(axis=1)
+                for done in range(0, RESAMPLES, block_rows)
             ]
         )
     )
-    outside = NormalDist().cdf(-math.sqrt(count / (count - 1)) * t_quantile((1 + LEVEL) / 2, count - 1))
-    skipped = int(outside * RESAMPLES)
-    return float(means[skipped]), float(means[RESAMPLES - 1 - skipped])
+    tail_probability = NormalDist().cdf(
+        -math.sqrt(count / (count - 1)) * t_quantile((1 + CONFIDENCE_LEVEL) / 2, count - 1)
+    )
+    tail_count = int(tail_probability * RESAMPLES)
+    return float(means[tail_count]), float(means[RESAMPLES - 1 - tail_count])
 
 
-def t_quantile(p: float, freedom: int) -> float:
+def t_quantile(p: float, df: int) -> float:
     """Of Student's t, to three digits from 5 degrees of freedom (Abramowitz and Stegun, 26.7.5)."""
     z = NormalDist().inv_cdf(p)
-    terms = (
+    expansion = (
         z,
         (z**3 + z) / 4,
         (5 * z**5 + 16 * z**3 + 3 * z) / 96,
         (3 * z**7 + 19 * z**5 + 17 * z**3 - 15 * z) / 384,
     )
-    return math.fsum(term / freedom**power for power, term in enumerate(terms))
+    return math.fsum(term / df**power for power, term in enumerate(expansion))
--- a/glenfold_lab/experiments/export.py
+++ b/glenfold_lab/experiments/export.py
@@ -16,29 +16,29 @@
 from glenfold_lab.results import encode
 
 FORMAT = 1
-FIRST = ("service", "worst_window", "rules_broken")  # printed, if the experiment names no others
+DEFAULT_FIGURES = ("service", "worst_window", "rules_broken")  # printed, if the experiment names no others
 
 
-class Found:
+class ExperimentResults:
     """What the results of an experiment say together. table: figures of the first play of each cell; failed:
     cells with their errors; unlike: cells whose repeat gave other bytes than its first play."""
 
     def __init__(self, plan: Plan, store: Store) -> None:
         self.table: dict[tuple[int, int, int], dict[str, float]] = {}
         self.failed: list[tuple[Cell, str]] = []
-        self.unlike: list[Cell] = []
-        first = b""
+        self.nondeterministic: list[Cell] = []
+        first_content = b""
         for cell in plan.cells():
-            short = store.read(cell.number, Short)
-            if short.result is None:
-                self.failed.append((cell, short.failed or ""))
+            summary = store.read(cell.number, Short)
+            if summary.result is None:
+                self.failed.append((cell, summary.failed or ""))
             elif cell.repeat == 0:
-                self.table[cell.variant, cell.revision, cell.seed] = short.result.figures
+                self.table[cell.variant, cell.revision, cell.seed] = summary.result.figures
             if plan.repeats > 1:
                 content = _content(store, cell)
-                first = content if cell.repeat == 0 else first
-                if content != first:
-                    self.unlike.append(cell)
+                first_content = content if cell.repeat == 0 else first_content
+                if content != first_content:
+                    self.nondeterministic.append(cell)
 
     @property
     def rules_broken(self) -> int:
@@ -53,21 +53,25 @@
 # ---- tables ------------------------------------------------------------------------------------
 
 
-def shown(plan: Plan, table: Table) -> list[str]:
+def shown_figures(plan: Plan, table: Table) -> list[str]:
     """The figures to print: those that the experiment names, of those that there are."""
-    there = {name for figures in table.values() for name in figures}
-    return [name for name in plan.figures or FIRST if name in there]
+    available = {name for figures in table.values() for name in figures}
+    return [name for name in plan.figures or DEFAULT_FIGURES if name in available]
 
 
-def figures_grid(plan: Plan, found: Found) -> Grid:
+def figures_grid(plan: Plan, results: ExperimentResults) -> Grid:
     """Mean, least and greatest over the seeds, for each variant and revision."""
-    names = shown(plan, found.table)
+    names = shown_figures(plan, results.table)
     grid = Grid("scenario", *(plan.variants[0].levels), "revision", "played", title=plan.name)
     for name in names:
         grid.add_column(name, justify="right")
     for number, variant in enumerate(plan.variants):
-        for place, decisions in enumerate(plan.decisions):
-            rows = [found.table[key] for seed in plan.seeds if (key := (number, place, seed)) in found.table]
+        for revision_index, decisions in enumerate(plan.decisions):
+            rows = [
+                results.table[key]
+                for seed in plan.seeds
+                if (key := (number, revision_index, seed)) in results.table
+            ]
             grid.add_row(
                 variant.scenario.name,
                 *variant.levels.values(),
@@ -84,8 +88,8 @@
     return f"{sum(values) / len(values):.4g} ({min(values):.4g} to {max(values):.4g})"
 
 
-def differences_grid(plan: Plan, found: Found, differences: Iterable[Difference]) -> Grid:
-    names = shown(plan, found.table)
+def differences_grid(plan: Plan, results: ExperimentResults, differences: Iterable[Difference]) -> Grid:
+    names = shown_figures(plan, results.table)
     grid = Grid(
         "figure",
         "of",
@@ -99,26 +103,30 @@
         "says",
         title="differences on the same seeds",
     )
-    for one in differences:
-        if one.figure in names:
-            where = [one.scenario, *(f"{name} = {level}" for name, level in one.levels.items()), one.revision]
+    for difference in differences:
+        if difference.figure in names:
+            where = [
+                difference.scenario,
+                *(f"{name} = {level}" for name, level in difference.levels.items()),
+                difference.revision,
+            ]
             grid.add_row(
-                one.figure,
-                one.of,
-                f"{one.base} -> {one.other}",
+                difference.figure,
+                difference.of,
+                f"{difference.base} -> {difference.other}",
                 ", ".join(filter(None, where)),
-                str(one.pairs),
-                f"{one.higher} / {one.lower} / {one.equal}",
-                f"{one.mean:+.4g}",
-                f"{one.median:+.4g}",
-                _interval(one),
-                one.says,
+                str(difference.pairs),
+                f"{difference.higher} / {difference.lower} / {difference.equal}",
+                f"{difference.mean:+.4g}",
+                f"{difference.median:+.4g}",
+                _interval(difference),
+                difference.says,
             )
     return grid
 
 
-def _interval(one: Difference) -> str:
-    return "-" if one.low is None else f"{one.low:+.4g} to {one.high:+.4g}"
+def _interval(difference: Difference) -> str:
+    return "-" if difference.low is None else f"{difference.low:+.4g} to {difference.high:+.4g}"
 
 
 # ---- JSON --------------------------------------------------------------------------------------
@@ -126,7 +134,7 @@
 
 def write_json(path: str, plan: Plan, store: Store, differences: Iterable[Difference]) -> None:
     """The same bytes for the same results, whatever the order and the processes in which they were played."""
-    write_whole(path, lambda file: file.writelines(_json(plan, store, differences)))
+    write_atomically(path, lambda file: file.writelines(_json(plan, store, differences)))
 
 
 def _json(plan: Plan, store: Store, differences: Iterable[Difference]) -> Iterator[bytes]:
@@ -134,20 +142,20 @@
         "format": FORMAT,
         "name": plan.name,
         "asks": plan.asks,
-        "revisions": [{"name": one.name, "id": one.id} for one in plan.decisions],
+        "revisions": [{"name": decisions.name, "id": decisions.id} for decisions in plan.decisions],
     }
     yield msgspec.json.encode(head)[:-1] + b',\n"cells":['
     for cell in plan.cells():
         yield b",\n"[cell.number == 0 :] + _cell(plan, store, cell)
     yield b'],\n"differences":['
-    for number, one in enumerate(differences):
-        yield b",\n"[number == 0 :] + msgspec.json.encode(one)
+    for number, difference in enumerate(differences):
+        yield b",\n"[number == 0 :] + msgspec.json.encode(difference)
     yield b"]}\n"
 
 
 def _cell(plan: Plan, store: Store, cell: Cell) -> bytes:
     outcome, variant = store.read(cell.number, Outcome), plan.variants[cell.variant]
-    what = {
+    cell_fields = {
         "scenario": variant.scenario.name,
         "levels": variant.levels,
         "revision": plan.decisions[cell.revision].name,
@@ -155,11 +163,11 @@
         "repeat": cell.repeat,
     }
     if outcome.result is None:
-        return msgspec.json.encode({**what, "failed": outcome.failed})
-    return msgspec.json.encode({**what, "result": msgspec.Raw(encode(outcome.result))})
+        return msgspec.json.encode({**cell_fields, "failed": outcome.failed})
+    return msgspec.json.encode({**cell_fields, "result": msgspec.Raw(encode(outcome.result))})
 
 
-def write_whole(path: str, write: Callable[[BinaryIO], None]) -> None:
+def write_atomically(path: str, write: Callable[[BinaryIO], None]) -> None:
     """All of it or nothing: what stood there before stays until the new file is on the disk."""
     folder = Path(path).parent
     try:
--- a/glenfold_lab/experiments/factors.py
+++ b/glenfold_lab/experiments/factors.py
@@ -34,7 +34,7 @@
     for number, factor in enumerate(factors):
         if factor.path in [other.path for other in factors[:number]]:
             raise file.error(factor.key, f"{factor.name} is there twice")
-        texts = [_text(level) for level in factor.levels]
+        texts = [_level_text(level) for level in factor.levels]
         for index, text in enumerate(texts):
             if text in texts[:index]:
                 raise file.error((*factor.key, index), f"{text} is there twice")
@@ -44,23 +44,23 @@
 def _factors(file: TomlFile, value: dict[str, Any], key: Key) -> Iterator[Factor]:
     """`"clients.load" = [...]`, `clients.load = [...]` and a table [factors.clients] all mean the same."""
     for part, inner in value.items():
-        at = (*key, part)
+        key_path = (*key, part)
         if isinstance(inner, dict):
-            yield from _factors(file, inner, at)
+            yield from _factors(file, inner, key_path)
             continue
-        name = ".".join(str(part) for part in at[1:])
+        name = ".".join(str(part) for part in key_path[1:])
         if not isinstance(inner, list) or not inner:
-            raise file.error(at, "expected a list of the values to play")
-        yield Factor(name, at, _path(file, at, name), tuple(inner))
+            raise file.error(key_path, "expected a list of the values to play")
+        yield Factor(name, key_path, _path(file, key_path, name), tuple(inner))
 
 
-def _path(file: TomlFile, at: Key, name: str) -> Key:
+def _path(file: TomlFile, key_path: Key, name: str) -> Key:
     if not re.fullmatch(r"\w+(\[\d+\])*(\.\w+(\[\d+\])*)*", name, re.ASCII):
-        raise file.error(at, "expected a key of a scenario, as clients.load or faults[0].size")
+        raise file.error(key_path, "expected a key of a scenario, as clients.load or faults[0].size")
     return tuple(word or int(number) for word, number in re.findall(r"(\w+)|\[(\d+)\]", name))
 
 
-def _text(level: Any) -> str:
+def _level_text(level: Any) -> str:
     return json.dumps(level, default=str)
 
 
@@ -69,35 +69,39 @@
         chosen = list(zip(factors, indexes, strict=True))
         data = copy.deepcopy(base.data)
         for factor, index in chosen:
-            _put(file, base, data, factor, factor.levels[index])
+            _set_level(file, base, data, factor, factor.levels[index])
         try:
             checked = scenario.check(TomlFile(base.name, data, base.lines))
         except BadFile as error:
-            raise _blame(file, base, chosen, error) from error
-        yield Variant(checked, {factor.name: _text(factor.levels[index]) for factor, index in chosen})
+            raise _level_error(file, base, chosen, error) from error
+        yield Variant(checked, {factor.name: _level_text(factor.levels[index]) for factor, index in chosen})
 
 
-def _put(file: TomlFile, base: TomlFile, data: Any, factor: Factor, level: Any) -> None:
-    *way, last = factor.path
-    for part in way:
-        data = data.setdefault(part, {}) if _table(data, part) else _at(data, part)
-    if not _table(data, last) and _at(data, last) is None:
+def _set_level(file: TomlFile, base: TomlFile, data: Any, factor: Factor, level: Any) -> None:
+    *parents, last = factor.path
+    for part in parents:
+        data = data.setdefault(part, {}) if _is_table_key(data, part) else _item_or_none(data, part)
+    if not _is_table_key(data, last) and _item_or_none(data, last) is None:
         raise file.error(factor.key, f"{base.data['name']} has nothing at {factor.name}")
     data[last] = copy.deepcopy(level)
 
 
-def _table(data: Any, part: str | int) -> bool:
+def _is_table_key(data: Any, part: str | int) -> bool:
     return isinstance(data, dict) and isinstance(part, str)
 
 
-def _at(data: Any, part: str | int) -> Any:
+def _item_or_none(data: Any, part: str | int) -> Any:
     return data[part] if isinstance(data, list) and isinstance(part, int) and part < len(data) else None
 
 
-def _blame(file: TomlFile, base: TomlFile, chosen: Sequence[tuple[Factor, int]], error: BadFile) -> BadFile:
+def _level_error(
+    file: TomlFile, base: TomlFile, chosen: Sequence[tuple[Factor, int]], error: BadFile
+) -> BadFile:
     """The scenario is sound without them: it is the level that the error names, or some of them together."""
-    alone = [(factor, index) for factor, index in chosen if error.key[: len(factor.path)] == factor.path]
-    levels = ", ".join(f"{factor.name} = {_text(factor.levels[index])}" for factor, index in alone or chosen)
-    factor, index = (alone or chosen)[0]
+    named = [(factor, index) for factor, index in chosen if error.key[: len(factor.path)] == factor.path]
+    levels = ", ".join(
+        f"{factor.name} = {_level_text(factor.levels[index])}" for factor, index in named or chosen
+    )
+    factor, index = (named or chosen)[0]
     reason = f"{base.data['name']} with {levels}: {format_key(error.key)}: {error.reason}"
     return file.error((*factor.key, index), reason)
--- a/glenfold_lab/experiments/frames.py
+++ b/glenfold_lab/experiments/frames.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 
 
 class Hello(msgspec.Struct):
@@ -33,14 +33,14 @@
 
 def pack(message: Hello | Task | Done) -> bytes:
     data = msgspec.msgpack.encode(message)
-    return LENGTH.pack(len(data)) + data
+    return LENGTH_PREFIX.pack(len(data)) + data
 
 
 def read(stream: BinaryIO) -> bytes | None:
     """The next message's bytes; None at the end of the stream, within a message too."""
-    head = stream.read(LENGTH.size)
-    if len(head) < LENGTH.size:
+    head = stream.read(LENGTH_PREFIX.size)
+    if len(head) < LENGTH_PREFIX.size:
         return None
-    size: int = LENGTH.unpack(head)[0]
+    size: int = LENGTH_PREFIX.unpack(head)[0]
     data = stream.read(size)
     return data if len(data) == size else None
--- a/glenfold_lab/experiments/plan.py
+++ b/glenfold_lab/experiments/plan.py
@@ -17,8 +17,8 @@
 from glenfold_lab.experiments.revisions import BadRevision, Decisions
 from glenfold_lab.spec import Count, Name
 
-MOST_CELLS = 1_000_000
-APART = ("commands", "experiments", "reports")  # folders of the lab that no history depends on
+MAX_CELLS = 1_000_000
+UNRELATED_FOLDERS = ("commands", "experiments", "reports")  # folders of the lab that no history depends on
 
 Seed = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Seeds = Annotated[tuple[Seed, ...], Meta(min_length=1)]
@@ -69,8 +69,8 @@
     def cells(self) -> Iterator[Cell]:
         """In the order in which results come out."""
         variants, decisions = range(len(self.variants)), range(len(self.decisions))
-        for number, place in enumerate(product(variants, decisions, self.seeds, range(self.repeats))):
-            yield Cell(number, *place)
+        for number, indexes in enumerate(product(variants, decisions, self.seeds, range(self.repeats))):
+            yield Cell(number, *indexes)
 
     @property
     def size(self) -> int:
@@ -83,7 +83,7 @@
                 msgspec.json.encode([self.variants, self.seeds, self.repeats], order="sorted")
             ),
             "revisions": [f"{one.name} {one.id}" for one in self.decisions],
-            "the program (glenfold and glenfold_lab)": _program(),
+            "the program (glenfold and glenfold_lab)": _program_digest(),
         }
 
 
@@ -91,25 +91,25 @@
     """Raises BadFile with key, line and reason, and BadRevision. `against`: revisions to compare with, which
     go ahead of the file's own."""
     file = toml_file.read(path)
-    terms = file.convert(Terms)
-    _check_differ(file, terms)
+    options = file.convert(Terms)
+    _check_unique(file, options)
     chosen = factors.read(file)
-    seeds = range(1, terms.seeds + 1) if isinstance(terms.seeds, int) else terms.seeds
-    names = tuple(dict.fromkeys((*against, *terms.revisions)))
-    _check_size(file, chosen, len(terms.scenarios) * len(names) * len(seeds) * terms.repeats)
-    bases = [_base(file, number, name) for number, name in enumerate(terms.scenarios)]
+    seeds = range(1, options.seeds + 1) if isinstance(options.seeds, int) else options.seeds
+    names = tuple(dict.fromkeys((*against, *options.revisions)))
+    _check_size(file, chosen, len(options.scenarios) * len(names) * len(seeds) * options.repeats)
+    bases = [_scenario_file(file, number, name) for number, name in enumerate(options.scenarios)]
     variants = tuple(variant for base in bases for variant in factors.variants(file, base, chosen))
-    _check_names(file, [str(base.data["name"]) for base in bases])
+    _check_unique_names(file, [str(base.data["name"]) for base in bases])
     decisions = tuple(
-        revisions.find(name) if name in against else _decisions(file, terms, name) for name in names
+        revisions.find(name) if name in against else _decisions(file, options, name) for name in names
     )
-    asks = " ".join(terms.asks.split())
-    return Plan(terms.name, asks, variants, decisions, tuple(seeds), terms.repeats, terms.figures)
+    asks = " ".join(options.asks.split())
+    return Plan(options.name, asks, variants, decisions, tuple(seeds), options.repeats, options.figures)
 
 
-def _check_differ(file: TomlFile, terms: Terms) -> None:
+def _check_unique(file: TomlFile, options: Terms) -> None:
     for name in ("scenarios", "seeds", "revisions", "figures"):
-        values = getattr(terms, name)
+        values = getattr(options, name)
         for number, value in enumerate(values if isinstance(values, tuple) else ()):
             if value in values[:number]:
                 raise file.error((name, number), f"{value!r} is there twice")
@@ -118,18 +118,18 @@
 def _check_size(file: TomlFile, chosen: Sequence[Factor], cells: int) -> None:
     for factor in chosen:
         cells *= len(factor.levels)
-    if cells > MOST_CELLS:
-        raise file.error(("seeds",), f"{cells} cells in all; at most {MOST_CELLS}")
+    if cells > MAX_CELLS:
+        raise file.error(("seeds",), f"{cells} cells in all; at most {MAX_CELLS}")
 
 
-def _decisions(file: TomlFile, terms: Terms, name: str) -> Decisions:
+def _decisions(file: TomlFile, options: Terms, name: str) -> Decisions:
     try:
         return revisions.find(name)
     except BadRevision as error:
-        raise file.error(("revisions", terms.revisions.index(name)), error.message) from error
+        raise file.error(("revisions", options.revisions.index(name)), error.message) from error
 
 
-def _base(file: TomlFile, number: int, name: str) -> TomlFile:
+def _scenario_file(file: TomlFile, number: int, name: str) -> TomlFile:
     try:
         base = scenario.find(name, Path(file.name).parent)
     except BadFile as error:
@@ -140,7 +140,7 @@
     return base
 
 
-def _check_names(file: TomlFile, names: Sequence[str]) -> None:
+def _check_unique_names(file: TomlFile, names: Sequence[str]) -> None:
     """Results go by the scenarios' own names."""
     for number, name in enumerate(names):
         if name in names[:number]:
@@ -154,11 +154,11 @@
     return hashlib.blake2b(data, digest_size=16).hexdigest()
 
 
-def _program() -> str:
+def _program_digest() -> str:
     digest = hashlib.blake2b(digest_size=16)
     for package in ("glenfold", "glenfold_lab"):
         for path in sorted((revisions.ROOT / package).rglob("*.py")):
-            place = path.relative_to(revisions.ROOT)
-            if place.parts[1] not in APART:
-                digest.update(f"{place}\0".encode() + _digest(path.read_bytes()).encode())
+            relative_path = path.relative_to(revisions.ROOT)
+            if relative_path.parts[1] not in UNRELATED_FOLDERS:
+                digest.update(f"{relative_path}\0".encode() + _digest(path.read_bytes()).encode())
     return digest.hexdigest()
--- a/glenfold_lab/experiments/revisions.py
+++ b/glenfold_lab/experiments/revisions.py
@@ -39,52 +39,54 @@
     """Of the work tree, or of a git revision; then in the cache afterwards. Raises BadRevision."""
     if name == HERE:
         return Decisions(name, root, tree_id(root / PACKAGE))
-    _git(root, name, "rev-parse", "--verify", "--quiet", "--end-of-options", f"{name}^{{commit}}")
+    _run_git(root, name, "rev-parse", "--verify", "--quiet", "--end-of-options", f"{name}^{{commit}}")
     try:
-        wanted = _git(root, name, "rev-parse", "--verify", "--quiet", "--end-of-options", f"{name}:{PACKAGE}")
+        output = _run_git(
+            root, name, "rev-parse", "--verify", "--quiet", "--end-of-options", f"{name}:{PACKAGE}"
+        )
     except BadRevision as error:
         raise BadRevision(f"revision {name}: holds no {PACKAGE}/") from error
-    tree = wanted.decode().strip()
-    folder = (cache or _cache()) / tree
-    if not _whole(folder, tree):
-        _fill(folder, tree, _git(root, name, "archive", "--format=tar", f"--prefix={PACKAGE}/", tree))
+    tree = output.decode().strip()
+    folder = (cache or _default_cache()) / tree
+    if not _is_complete(folder, tree):
+        _extract(folder, tree, _run_git(root, name, "archive", "--format=tar", f"--prefix={PACKAGE}/", tree))
     return Decisions(name, folder, tree)
 
 
-def _git(root: Path, name: str, *words: str) -> bytes:
+def _run_git(root: Path, name: str, *arguments: str) -> bytes:
     try:
-        return subprocess.run(["git", "-C", str(root), *words], check=True, capture_output=True).stdout
+        return subprocess.run(["git", "-C", str(root), *arguments], check=True, capture_output=True).stdout
     except FileNotFoundError as error:
         raise BadRevision(f"revision {name}: git is not installed") from error
     except subprocess.CalledProcessError as error:
-        said = error.stderr.decode(errors="replace").strip() or f"{root} knows none of this name"
-        raise BadRevision(f"revision {name}: {said}") from error
+        message = error.stderr.decode(errors="replace").strip() or f"{root} knows none of this name"
+        raise BadRevision(f"revision {name}: {message}") from error
 
 
-def _cache() -> Path:
+def _default_cache() -> Path:
     base = os.environ.get("XDG_CACHE_HOME") or Path.home() / ".cache"
     return Path(base) / "glenfold" / "decisions"
 
 
-def _whole(folder: Path, tree: str) -> bool:
+def _is_complete(folder: Path, tree: str) -> bool:
     package = folder / PACKAGE
     return package.is_dir() and tree_id(package) == tree
 
 
-def _fill(folder: Path, tree: str, archive: bytes) -> None:
+def _extract(folder: Path, tree: str, archive: bytes) -> None:
     """Under its name only once it is whole: another process may look for it at any moment."""
     folder.parent.mkdir(parents=True, exist_ok=True)
-    with tempfile.TemporaryDirectory(dir=folder.parent) as aside:
-        new = Path(aside) / "new"
+    with tempfile.TemporaryDirectory(dir=folder.parent) as temp_folder:
+        extracted = Path(temp_folder) / "new"
         with tarfile.open(fileobj=BytesIO(archive)) as tar:
-            tar.extractall(new, filter="data")
-        if not _whole(new, tree):
+            tar.extractall(extracted, filter="data")
+        if not _is_complete(extracted, tree):
             raise BadRevision(f"the files of {PACKAGE}/ in {tree} are not what git says of them")
         shutil.rmtree(folder, ignore_errors=True)
         try:
-            new.rename(folder)
+            extracted.rename(folder)
         except OSError:
-            if not _whole(folder, tree):  # else another process was quicker
+            if not _is_complete(folder, tree):  # else another process was quicker
                 raise
 
 
@@ -97,11 +99,11 @@
                 entries.append((f"{path.name}/", b"40000", path.name, bytes.fromhex(tree_id(path))))
         else:
             mode = b"100755" if path.stat().st_mode & 0o100 else b"100644"
-            entries.append((path.name, mode, path.name, _object("blob", path.read_bytes())))
+            entries.append((path.name, mode, path.name, _object_id("blob", path.read_bytes())))
     # git's order: a folder as if its name ended with a slash
     lines = [mode + b" " + name.encode() + b"\0" + digest for _, mode, name, digest in sorted(entries)]
-    return _object("tree", b"".join(lines)).hex()
+    return _object_id("tree", b"".join(lines)).hex()
 
 
-def _object(kind: str, data: bytes) -> bytes:
+def _object_id(kind: str, data: bytes) -> bytes:
     return hashlib.sha1(f"{kind} {len(data)}\0".encode() + data, usedforsecurity=False).digest()
--- a/glenfold_lab/experiments/store.py
+++ b/glenfold_lab/experiments/store.py
@@ -25,7 +25,7 @@
 
 MAGIC = b"glenfold-experiment 1\n"
 PREFIX = re.compile(rb"([0-9a-f]{8}) ([0-9a-f]{8}) ")
-SIZE = 18  # of the prefix
+PREFIX_BYTES = 18  # of the prefix
 
 T = TypeVar("T")
 
@@ -62,8 +62,8 @@
     failed: str | None = None
 
 
-class Place(NamedTuple):
-    at: int
+class RecordLocation(NamedTuple):
+    offset: int
     size: int
 
 
@@ -72,38 +72,38 @@
 
     def __init__(self, path: str, file: BinaryIO, header: Header) -> None:
         self.path, self.header, self._file = path, header, file
-        self.places: dict[int, Place] = {}
-        self.cut = 0
+        self.locations: dict[int, RecordLocation] = {}
+        self.torn_bytes = 0
 
     def add(self, record: bytes) -> None:
         """JSON of an Outcome, in one line. On the disk when this returns."""
-        short: Short = msgspec.json.decode(record, type=Short)
+        summary: Short = msgspec.json.decode(record, type=Short)
         try:
-            at = self._file.seek(0, os.SEEK_END)
-            self._file.write(_line(record))
+            offset = self._file.seek(0, os.SEEK_END)
+            self._file.write(_encode_line(record))
             self._file.flush()
             os.fdatasync(self._file.fileno())
         except OSError as error:
             raise BadFile(self.path, f"can't be written: {error.strerror}") from error
-        self.places[short.cell] = Place(at + SIZE, len(record))
+        self.locations[summary.cell] = RecordLocation(offset + PREFIX_BYTES, len(record))
 
     def read(self, cell: int, kind: type[T]) -> T:
         """An Outcome or a Short; KeyError if this cell has none yet."""
-        at, size = self.places[cell]
-        return msgspec.json.decode(os.pread(self._file.fileno(), size, at), type=kind)
+        offset, size = self.locations[cell]
+        return msgspec.json.decode(os.pread(self._file.fileno(), size, offset), type=kind)
 
     def outcomes(self, kind: type[T]) -> Iterator[T]:
         """In the order of the cells, whatever the order in which they were played."""
-        for cell in sorted(self.places):
+        for cell in sorted(self.locations):
             yield self.read(cell, kind)
 
     def close(self) -> None:
         self._file.close()
 
 
-def look(path: str) -> Store:
+def open_read_only(path: str) -> Store:
     """Opens a file of results to be read only; a torn last line is passed over."""
-    return _scan(path, _open(path, "rb"))
+    return _scan_lines(path, _open(path, "rb"))
 
 
 def go_on(path: str, header: Header) -> Store:
@@ -112,17 +112,17 @@
     Raises BadFile, and leaves the file as it is, if it is something else, damaged before its last line, in
     use, or holds another experiment's results."""
     if not Path(path).exists():
-        _make(path, header)
+        _create(path, header)
     file = _open(path, "r+b")
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
         file.close()
         raise BadFile(path, "another experiment is writing there") from error
-    store = _scan(path, file)
-    _check_same(store, header)
-    if store.cut:
-        file.truncate(os.fstat(file.fileno()).st_size - store.cut)
+    store = _scan_lines(path, file)
+    _check_identity(store, header)
+    if store.torn_bytes:
+        file.truncate(os.fstat(file.fileno()).st_size - store.torn_bytes)
         os.fsync(file.fileno())
     return store
 
@@ -134,12 +134,12 @@
         raise BadFile(path, f"can't be opened: {error.strerror}") from error
 
 
-def _make(path: str, header: Header) -> None:
+def _create(path: str, header: Header) -> None:
     """Whole or not at all, and never over a file that someone else has made by then."""
     folder = Path(path).parent
     try:
         with tempfile.NamedTemporaryFile(dir=folder, prefix=".results-") as file:
-            file.write(MAGIC + _line(msgspec.json.encode(header)))
+            file.write(MAGIC + _encode_line(msgspec.json.encode(header)))
             file.flush()
             os.fchmod(file.fileno(), 0o644)
             os.fsync(file.fileno())
@@ -153,14 +153,14 @@
 
 def sync_folder(folder: Path) -> None:
     """A new name in it is on the disk when this returns."""
-    number = os.open(folder, os.O_RDONLY)
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(number)
+        os.fsync(descriptor)
     finally:
-        os.close(number)
+        os.close(descriptor)
 
 
-def _check_same(store: Store, wanted: Header) -> None:
+def _check_identity(store: Store, wanted: Header) -> None:
     found = store.header
     for part, value in wanted.identity.items():
         if found.identity.get(part) != value:
@@ -175,22 +175,25 @@
 # ---- lines -------------------------------------------------------------------------------------
 
 
-def _line(record: bytes) -> bytes:
+def _encode_line(record: bytes) -> bytes:
     return b"%08x %08x %b\n" % (len(record), zlib.crc32(record), record)
 
 
-def _record(data: mmap, at: int) -> bytes | None:
+def _read_record(data: mmap, offset: int) -> bytes | None:
     """The whole and sound record that begins there, if there is one."""
-    prefix = PREFIX.match(data, at)
+    prefix = PREFIX.match(data, offset)
     if prefix is None:
         return None
-    size, check = (int(part, 16) for part in prefix.groups())
-    record = data[at + SIZE : at + SIZE + size]
-    sound = zlib.crc32(record) == check and data[at + SIZE + size : at + SIZE + size + 1] == b"\n"
-    return record if sound else None
+    size, checksum = (int(part, 16) for part in prefix.groups())
+    record = data[offset + PREFIX_BYTES : offset + PREFIX_BYTES + size]
+    is_valid = (
+        zlib.crc32(record) == checksum
+        and data[offset + PREFIX_BYTES + size : offset + PREFIX_BYTES + size + 1] == b"\n"
+    )
+    return record if is_valid else None
 
 
-def _scan(path: str, file: BinaryIO) -> Store:
+def _scan_lines(path: str, file: BinaryIO) -> Store:
     try:
         if not os.fstat(file.fileno()).st_size:
             raise BadFile(path, "is empty: not a file of an experiment's results")
@@ -204,23 +207,23 @@
 def _read_lines(path: str, file: BinaryIO, data: mmap) -> Store:
     if data[: len(MAGIC)] != MAGIC:
         raise BadFile(path, "is not a file of an experiment's results")
-    at, number, store = len(MAGIC), 2, None
-    while (record := _record(data, at)) is not None:
+    offset, line_number, store = len(MAGIC), 2, None
+    while (record := _read_record(data, offset)) is not None:
         if store is None:
             store = Store(path, file, msgspec.json.decode(record, type=Header))
         else:
-            short: Short = msgspec.json.decode(record, type=Short)
-            store.places[short.cell] = Place(at + SIZE, len(record))
-        at, number = at + SIZE + len(record) + 1, number + 1
-    if store is None or _any_record(data, at):
-        raise BadFile(path, f"is damaged in the line that begins at byte {at}", number)
-    store.cut = len(data) - at
+            summary: Short = msgspec.json.decode(record, type=Short)
+            store.locations[summary.cell] = RecordLocation(offset + PREFIX_BYTES, len(record))
+        offset, line_number = offset + PREFIX_BYTES + len(record) + 1, line_number + 1
+    if store is None or _has_later_record(data, offset):
+        raise BadFile(path, f"is damaged in the line that begins at byte {offset}", line_number)
+    store.torn_bytes = len(data) - offset
     return store
 
 
-def _any_record(data: mmap, at: int) -> bool:
+def _has_later_record(data: mmap, offset: int) -> bool:
     """Whether a sound one begins on a later line: then what stands at `at` is no torn end."""
-    while (at := data.find(b"\n", at) + 1) > 0:
-        if _record(data, at) is not None:
+    while (offset := data.find(b"\n", offset) + 1) > 0:
+        if _read_record(data, offset) is not None:
             return True
     return False
--- a/glenfold_lab/experiments/worker.py
+++ b/glenfold_lab/experiments/worker.py
@@ -35,16 +35,16 @@
             if not math.isfinite(value):
                 raise ValueError(f"the figure {name} is {value}")
     except Exception as error:
-        last = traceback.extract_tb(error.__traceback__)[-1]
-        place = f"{Path(last.filename).name}:{last.lineno} in {last.name}"
-        text = " ".join(f"{type(error).__name__}: {error} ({place})".split())
+        last_frame = traceback.extract_tb(error.__traceback__)[-1]
+        location = f"{Path(last_frame.filename).name}:{last_frame.lineno} in {last_frame.name}"
+        text = " ".join(f"{type(error).__name__}: {error} ({location})".split())
         return Outcome(task.cell, failed=re.sub(r"\b0x[0-9a-f]{6,}", "0x...", text)[:1000])
     return Outcome(task.cell, msgspec.structs.replace(result, factors=task.levels))
 
 
-def _tasks(into: "SimpleQueue[frames.Task]") -> None:
+def _read_tasks(queue: "SimpleQueue[frames.Task]") -> None:
     while (data := frames.read(sys.stdin.buffer)) is not None:
-        into.put(msgspec.msgpack.decode(data, type=frames.Task))
+        queue.put(msgspec.msgpack.decode(data, type=frames.Task))
     os._exit(0)  # whoever started this is gone or wants no more: nothing is to be finished or told
 
 
@@ -57,7 +57,7 @@
     answers.write(frames.pack(frames.Hello(tree_id(folder), str(folder))))
     answers.flush()
     tasks: SimpleQueue[frames.Task] = SimpleQueue()
-    Thread(target=_tasks, args=(tasks,), daemon=True).start()
+    Thread(target=_read_tasks, args=(tasks,), daemon=True).start()
     while True:
         outcome = play(player, tasks.get())
         answers.write(frames.pack(frames.Done(msgspec.json.encode(outcome, order="sorted"))))
--- a/glenfold_lab/load/connection.py
+++ b/glenfold_lab/load/connection.py
@@ -32,7 +32,7 @@
 
 Stream = trio.abc.HalfCloseableStream
 Connect = Callable[[], Awaitable[Stream]]
-EventCallback = Callable[[ClientEvent], None]
+Tell = Callable[[ClientEvent], None]
 
 
 class Clock(Protocol):
@@ -58,7 +58,7 @@
     return trio.SocketStream(sock)
 
 
-async def run_connection(state: ClientState, connect: Connect, on_event: EventCallback, clock: Clock) -> None:
+async def run_connection(state: ClientState, connect: Connect, on_event: Tell, clock: Clock) -> None:
     """Runs one client from connecting to the end; no behaviour of the server affects other clients.
 
     Raises OSError, before any event is reported, if this machine has no socket or port left for the
@@ -92,7 +92,7 @@
     return None
 
 
-async def _carry_out(effect: Effect, stream: Stream, on_event: EventCallback) -> None:
+async def _carry_out(effect: Effect, stream: Stream, on_event: Tell) -> None:
     match effect:
         case Send(data):
             with trio.move_on_at(trio.current_time() + SEND_TIMEOUT_S):
--- a/glenfold_lab/load/worker_pool.py
+++ b/glenfold_lab/load/worker_pool.py
@@ -81,9 +81,9 @@
 
     def __init__(self, offer: Offer, clients: Clients, workers: int) -> None:
         context = multiprocessing.get_context("spawn")
-        last_start_us = int(clients["start_us"].max()) if len(clients) else 0
+        last_start = int(clients["start_us"].max()) if len(clients) else 0
         max_answer_us = int(2 * clients["wait_us"].max()) + ANSWER_SLACK_US if len(clients) else 0
-        self._max_run_s = (last_start_us + max_answer_us) / SECOND_US + REPORT_TIMEOUT_S
+        self._max_run_s = (last_start + max_answer_us) / SECOND_US + REPORT_TIMEOUT_S
         self._pipes: list[Connection] = []
         self._processes: list[BaseProcess] = []
         worker_offer = replace(offer, most_open=max(1, offer.most_open // workers))
--- a/glenfold_lab/reports/read.py
+++ b/glenfold_lab/reports/read.py
@@ -124,7 +124,7 @@
 
 def _read_kept(file: str, found: Input) -> None:
     """The file that an experiment appends to. It has no pairs: which there are, only its plan tells."""
-    with closing(store.look(file)) as kept:
+    with closing(store.open_read_only(file)) as kept:
         outcomes = list(kept.outcomes(_Outcome))
     seen = set()
     for one in outcomes:
