--- a/glenfold_lab/experiments/__init__.py
+++ b/glenfold_lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: scenarios, factors, seeds and revisions played against each other over many processes."""
+"""Experiments: plays combinations of scenarios, factors, seeds and revisions over many processes."""
--- a/glenfold_lab/experiments/compare.py
+++ b/glenfold_lab/experiments/compare.py
@@ -1,10 +1,10 @@
-"""Differences of figures between revisions, and between levels of a factor, in pairs on the same seeds.
+"""Differences of figures between revisions, and between levels of a factor, paired by seed.
 
-The interval is a bootstrap of the mean difference: percentiles of its resamples, taken so much further out
-that they cover as a t interval does where differences are normal (the "expanded percentile interval" of
-T. Hesterberg, What Teachers Should Know about the Bootstrap, 2015). `benchmarks/intervals.py` weighs it
-against plain percentiles and BCa, which cover too little with 6 to 20 pairs, and BCa where most pairs differ
-by nothing.
+The interval is a bootstrap of the mean difference, the "expanded percentile interval" of T. Hesterberg, What
+Teachers Should Know about the Bootstrap, 2015: its percentiles lie further out than the nominal ones, so that
+it covers as a t interval does where the differences are normal. `benchmarks/intervals.py` compares it with
+plain percentiles and BCa; both of those cover too little with 6 to 20 pairs, and BCa also where most pairs
+have equal figures.
 """
 
 import math
@@ -20,9 +20,9 @@
 from glenfold_lab.experiments.plan import Plan
 
 RESAMPLES = 10_000
-BLOCK_VALUES = 4_000_000  # values resampled at a time
+BLOCK_VALUES = 4_000_000  # This many values are resampled at a time, which bounds memory.
 CONFIDENCE_LEVEL = 0.95
-MIN_PAIRS = 6  # with fewer, all pairs have the same sign by chance too often (5: 1 in 16)
+MIN_PAIRS = 6  # With fewer, all pairs have the same sign by chance too often (with 5, 1 in 16).
 BOOTSTRAP_SEED = 20_150_101
 ALL = "all"
 
@@ -30,21 +30,22 @@
 
 
 class Side(NamedTuple):
-    """Results of one variant with one revision: figures by seed."""
+    """One side of a comparison: a variant and a revision, by index."""
 
     variant: int
     revision: int
 
 
-Table = Mapping[tuple[int, int, int], Mapping[str, float]]  # variant, revision, seed
+Table = Mapping[tuple[int, int, int], Mapping[str, float]]  # The keys are variant, revision and seed.
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Of one figure: `other` less `base`, over the seeds that both have.
+    """The difference of one figure, `other` minus `base`, over the seeds that both sides have.
 
-    of: "revision" or a factor's key. scenario, levels, revision: what was alike ("all": over all scenarios
-    and levels, the mean for each seed). missing: seeds that one of them lacks. higher, lower, equal: pairs.
-    low, high: the interval of the mean; None with too few pairs.
+    `of` is "revision" or the key of a factor. `scenario`, `levels` and `revision` are what both sides share;
+    "all" means the mean over all scenarios and levels for each seed. `missing` counts seeds that one side
+    lacks. `higher`, `lower` and `equal` count pairs. `low` and `high` bound the interval of the mean; None
+    with too few pairs.
     """
 
     figure: str
@@ -67,7 +68,7 @@
 
 
 def differences(plan: Plan, table: Table) -> Iterator[Difference]:
-    """All of an experiment: revisions two by two, and every level of a factor against its first."""
+    """Yields all differences: each pair of revisions, and every level of a factor against the first."""
     for base, other in combinations(range(len(plan.decisions)), 2):
         sides = [(Side(variant, base), Side(variant, other)) for variant in range(len(plan.variants))]
         for pair in sides:
@@ -80,7 +81,10 @@
 
 
 def _variants_against_first_level(plan: Plan) -> Iterator[tuple[int, int, str]]:
-    """Variants that differ in one factor alone, the first of them at that factor's first level."""
+    """Yields pairs of variants that differ in one factor only, with that factor's key.
+
+    The first variant of each pair has the factor's first level.
+    """
     number_by_variant = {
         (variant.scenario.name, *variant.levels.items()): number
         for number, variant in enumerate(plan.variants)
@@ -94,7 +98,10 @@
 
 
 def _compare(plan: Plan, table: Table, of: str, sides: Sequence[tuple[Side, Side]]) -> Iterator[Difference]:
-    """Of one pair of sides, or over several: then seeds count, as histories of one seed are alike."""
+    """Yields the differences of one pair of sides, or of several pairs together.
+
+    With several, the mean for each seed counts as one value, as runs of the same seed are not independent.
+    """
     for figure in _figures(table, sides):
         by_seed = [_mean_difference(table, sides, seed, figure) for seed in plan.seeds]
         values = np.array([value for value in by_seed if value is not None])
@@ -162,7 +169,10 @@
 
 
 def interval(values: Floats) -> tuple[float, float] | tuple[None, None]:
-    """Of the mean, at 95 %; the same for the same values in the same order."""
+    """Returns the 95 % interval of the mean, or (None, None) with fewer than MIN_PAIRS values.
+
+    The same values in the same order give the same interval.
+    """
     count = len(values)
     if count < MIN_PAIRS:
         return None, None
@@ -184,7 +194,10 @@
 
 
 def t_quantile(p: float, df: int) -> float:
-    """Of Student's t, to three digits from 5 degrees of freedom (Abramowitz and Stegun, 26.7.5)."""
+    """Returns the quantile `p` of Student's t with `df` degrees of freedom (Abramowitz and Stegun, 26.7.5).
+
+    The value is precise to three digits from 5 degrees of freedom on.
+    """
     z = NormalDist().inv_cdf(p)
     expansion = (
         z,
--- a/glenfold_lab/experiments/export.py
+++ b/glenfold_lab/experiments/export.py
@@ -1,4 +1,4 @@
-"""Results in the order of their cells: as tables to read, and as one JSON file."""
+"""Results of an experiment in the order of the cells: as printed tables and as one JSON file."""
 
 import os
 import tempfile
@@ -16,12 +16,19 @@
 from glenfold_lab.results import encode
 
 FORMAT = 1
-DEFAULT_FIGURES = ("service", "worst_window", "rules_broken")  # printed, if the experiment names no others
+DEFAULT_FIGURES = (
+    "service",
+    "worst_window",
+    "rules_broken",
+)  # These are printed if the experiment names no figures.
 
 
 class ExperimentResults:
-    """What the results of an experiment say together. table: figures of the first play of each cell; failed:
-    cells with their errors; unlike: cells whose repeat gave other bytes than its first play."""
+    """The results of an experiment.
+
+    `table` has the figures of the first play of each cell. `failed` lists cells with their errors.
+    `nondeterministic` lists cells whose repeat gave other bytes than the first play.
+    """
 
     def __init__(self, plan: Plan, store: Store) -> None:
         self.table: dict[tuple[int, int, int], dict[str, float]] = {}
@@ -42,6 +49,7 @@
 
     @property
     def rules_broken(self) -> int:
+        """The number of broken rules over the first plays of all cells."""
         return int(sum(figures.get("rules_broken", 0) for figures in self.table.values()))
 
 
@@ -54,13 +62,13 @@
 
 
 def shown_figures(plan: Plan, table: Table) -> list[str]:
-    """The figures to print: those that the experiment names, of those that there are."""
+    """Returns the figures to print: those that the experiment names and the results have."""
     available = {name for figures in table.values() for name in figures}
     return [name for name in plan.figures or DEFAULT_FIGURES if name in available]
 
 
 def figures_grid(plan: Plan, results: ExperimentResults) -> Grid:
-    """Mean, least and greatest over the seeds, for each variant and revision."""
+    """Returns a table of mean, minimum and maximum over the seeds, for each variant and revision."""
     names = shown_figures(plan, results.table)
     grid = Grid("scenario", *(plan.variants[0].levels), "revision", "played", title=plan.name)
     for name in names:
@@ -89,6 +97,7 @@
 
 
 def differences_grid(plan: Plan, results: ExperimentResults, differences: Iterable[Difference]) -> Grid:
+    """Returns a table of the differences of the printed figures."""
     names = shown_figures(plan, results.table)
     grid = Grid(
         "figure",
@@ -133,7 +142,10 @@
 
 
 def write_json(path: str, plan: Plan, store: Store, differences: Iterable[Difference]) -> None:
-    """The same bytes for the same results, whatever the order and the processes in which they were played."""
+    """Writes results and differences as one JSON file. Raises BadFile if the file can't be written.
+
+    The same results give the same bytes, whatever the order and the processes in which cells were played.
+    """
     write_atomically(path, lambda file: file.writelines(_json(plan, store, differences)))
 
 
@@ -168,7 +180,10 @@
 
 
 def write_atomically(path: str, write: Callable[[BinaryIO], None]) -> None:
-    """All of it or nothing: what stood there before stays until the new file is on the disk."""
+    """Writes a file completely or not at all; an existing file stays until the new one is on the disk.
+
+    Raises BadFile if the file can't be written.
+    """
     folder = Path(path).parent
     try:
         with tempfile.NamedTemporaryFile(dir=folder, prefix=".results-", delete=False) as file:
--- a/glenfold_lab/experiments/factors.py
+++ b/glenfold_lab/experiments/factors.py
@@ -1,4 +1,4 @@
-"""Factors of an experiment: for a key of its scenarios, the values to play."""
+"""Factors of an experiment: keys of its scenarios with the values to play."""
 
 import copy
 import json
@@ -13,7 +13,11 @@
 
 
 class Factor(NamedTuple):
-    """name: the scenario's key, as written; key: where the file gives it; path: into the scenario's data."""
+    """A key of the scenarios and the values to play.
+
+    `name` is the scenario key as written, `key` the place of the factor in the experiment file, `path` the
+    path of the value within a scenario's data.
+    """
 
     name: str
     key: Key
@@ -22,27 +26,30 @@
 
 
 class Variant(NamedTuple):
-    """A scenario at one level of each factor."""
+    """A scenario at one level of each factor; `levels` are the values as JSON by the factors' names."""
 
     scenario: Scenario
     levels: dict[str, str]
 
 
 def read(file: TomlFile) -> tuple[Factor, ...]:
-    """The factors of an experiment file, in its order."""
+    """Returns the factors of an experiment file in its order. Raises BadFile for the first problem."""
     factors = tuple(_factors(file, file.data.get("factors", {}), ("factors",)))
     for number, factor in enumerate(factors):
         if factor.path in [other.path for other in factors[:number]]:
-            raise file.error(factor.key, f"{factor.name} is there twice")
+            raise file.error(factor.key, f"{factor.name} is listed twice")
         texts = [_level_text(level) for level in factor.levels]
         for index, text in enumerate(texts):
             if text in texts[:index]:
-                raise file.error((*factor.key, index), f"{text} is there twice")
+                raise file.error((*factor.key, index), f"{text} is listed twice")
     return factors
 
 
 def _factors(file: TomlFile, value: dict[str, Any], key: Key) -> Iterator[Factor]:
-    """`"clients.load" = [...]`, `clients.load = [...]` and a table [factors.clients] all mean the same."""
+    """Yields the factors under `key`.
+
+    `"clients.load" = [...]`, `clients.load = [...]` and a table [factors.clients] all mean the same.
+    """
     for part, inner in value.items():
         key_path = (*key, part)
         if isinstance(inner, dict):
@@ -65,6 +72,7 @@
 
 
 def variants(file: TomlFile, base: TomlFile, factors: Sequence[Factor]) -> Iterator[Variant]:
+    """Yields the scenario `base` at each combination of levels. Raises BadFile if one of them is invalid."""
     for indexes in product(*(range(len(factor.levels)) for factor in factors)):
         chosen = list(zip(factors, indexes, strict=True))
         data = copy.deepcopy(base.data)
@@ -97,7 +105,11 @@
 def _level_error(
     file: TomlFile, base: TomlFile, chosen: Sequence[tuple[Factor, int]], error: BadFile
 ) -> BadFile:
-    """The scenario is sound without them: it is the level that the error names, or some of them together."""
+    """Returns `error` with the position of the level in the experiment file.
+
+    The scenario is valid without the levels, so the cause is the level of the key that the error names, or
+    several levels together.
+    """
     named = [(factor, index) for factor, index in chosen if error.key[: len(factor.path)] == factor.path]
     levels = ", ".join(
         f"{factor.name} = {_level_text(factor.levels[index])}" for factor, index in named or chosen
--- a/glenfold_lab/experiments/frames.py
+++ b/glenfold_lab/experiments/frames.py
@@ -1,4 +1,4 @@
-"""What passes between an experiment and its workers: msgpack, each message behind its length."""
+"""Messages between an experiment and its workers: msgpack, each message after its length."""
 
 import struct
 from typing import Any, BinaryIO
@@ -9,14 +9,14 @@
 
 
 class Hello(msgspec.Struct):
-    """A worker's first message: which decisions it has in fact imported, and from where."""
+    """A worker's first message: the id and the folder of the decisions that the worker has imported."""
 
     decisions: str
     folder: str
 
 
 class Task(msgspec.Struct):
-    """A cell to play. scenario: as plain values. revision, levels: to be told in its result."""
+    """A cell to play. `scenario` is in plain values; `revision` and `levels` are copied into the result."""
 
     cell: int
     scenario: dict[str, Any]
@@ -26,18 +26,19 @@
 
 
 class Done(msgspec.Struct):
-    """A cell's outcome, as JSON in one line, ready for the file of results."""
+    """A cell's outcome, as one line of JSON for the file of results."""
 
     record: bytes
 
 
 def pack(message: Hello | Task | Done) -> bytes:
+    """Returns a message with its length prefix."""
     data = msgspec.msgpack.encode(message)
     return LENGTH_PREFIX.pack(len(data)) + data
 
 
 def read(stream: BinaryIO) -> bytes | None:
-    """The next message's bytes; None at the end of the stream, within a message too."""
+    """Returns the next message's bytes, or None if the stream ends, even within a message."""
     head = stream.read(LENGTH_PREFIX.size)
     if len(head) < LENGTH_PREFIX.size:
         return None
--- a/glenfold_lab/experiments/plan.py
+++ b/glenfold_lab/experiments/plan.py
@@ -1,4 +1,4 @@
-"""Experiment files: what is to be played, as cells in one order that is the same everywhere."""
+"""Experiment files: the cells to play, in an order that is the same on every machine."""
 
 import hashlib
 from collections.abc import Iterator, Sequence
@@ -18,7 +18,7 @@
 from glenfold_lab.spec import Count, Name
 
 MAX_CELLS = 1_000_000
-UNRELATED_FOLDERS = ("commands", "experiments", "reports")  # folders of the lab that no history depends on
+UNRELATED_FOLDERS = ("commands", "experiments", "reports")  # No result depends on these folders of the lab.
 
 Seed = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Seeds = Annotated[tuple[Seed, ...], Meta(min_length=1)]
@@ -27,11 +27,11 @@
 class Terms(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """An experiment file. Its cells are all scenarios x factors x revisions x seeds x repeats.
 
-    asks: the question that it is to answer. scenarios: names, or paths from the file's folder.
-    seeds: a list, or a number n for 1 to n. repeats: plays of each cell, which must give the same bytes.
-    revisions: git revisions of the decisions, "here" being the work tree's; compared two by two.
-    factors: for keys of the scenarios the values to play, of which others are compared with the first.
-    figures: those that are printed; () prints service, worst_window and rules_broken.
+    `asks` is the question that the experiment is to answer. `scenarios` are names, or paths relative to the
+    file's folder. `seeds` is a list, or a number n for 1 to n. `repeats` is the number of plays of each cell,
+    which must give the same bytes. `revisions` are git revisions of the decisions, compared in pairs; "here"
+    is the work tree. `factors` has the values to play for keys of the scenarios; each value is compared with
+    the first. `figures` are the printed ones; () prints service, worst_window and rules_broken.
     """
 
     format: Literal[1]
@@ -46,7 +46,7 @@
 
 
 class Cell(NamedTuple):
-    """One history to play. number: its place in the results."""
+    """One run to play. `number` is its position in the results; variant and revision are indexes."""
 
     number: int
     variant: int
@@ -56,7 +56,7 @@
 
 
 class Plan(NamedTuple):
-    """A checked experiment."""
+    """A checked experiment: all that is to be played."""
 
     name: str
     asks: str
@@ -67,17 +67,18 @@
     figures: tuple[str, ...]
 
     def cells(self) -> Iterator[Cell]:
-        """In the order in which results come out."""
+        """Yields the cells in the order of the results."""
         variants, decisions = range(len(self.variants)), range(len(self.decisions))
         for number, indexes in enumerate(product(variants, decisions, self.seeds, range(self.repeats))):
             yield Cell(number, *indexes)
 
     @property
     def size(self) -> int:
+        """The number of cells."""
         return len(self.variants) * len(self.decisions) * len(self.seeds) * self.repeats
 
     def identity(self) -> dict[str, Any]:
-        """What must be alike for results to stand in one file."""
+        """Returns what has to be equal for results to be in one file."""
         return {
             "scenarios, factors, seeds and repeats": _digest(
                 msgspec.json.encode([self.variants, self.seeds, self.repeats], order="sorted")
@@ -88,8 +89,11 @@
 
 
 def load(path: str, against: Sequence[str] = ()) -> Plan:
-    """Raises BadFile with key, line and reason, and BadRevision. `against`: revisions to compare with, which
-    go ahead of the file's own."""
+    """Reads and checks an experiment file.
+
+    `against` are revisions to compare with, placed before those of the file. Raises BadFile with key, line
+    and reason, or BadRevision.
+    """
     file = toml_file.read(path)
     options = file.convert(Terms)
     _check_unique(file, options)
@@ -112,7 +116,7 @@
         values = getattr(options, name)
         for number, value in enumerate(values if isinstance(values, tuple) else ()):
             if value in values[:number]:
-                raise file.error((name, number), f"{value!r} is there twice")
+                raise file.error((name, number), f"{value!r} is listed twice")
 
 
 def _check_size(file: TomlFile, chosen: Sequence[Factor], cells: int) -> None:
@@ -133,7 +137,9 @@
     try:
         base = scenario.find(name, Path(file.name).parent)
     except BadFile as error:
-        if error.line is None:  # there is no such file; faults within one are told with its own lines
+        if (
+            error.line is None
+        ):  # The file does not exist; problems within a scenario file carry its own lines.
             raise file.error(("scenarios", number), error.message) from error
         raise
     scenario.check(base)
@@ -141,7 +147,7 @@
 
 
 def _check_unique_names(file: TomlFile, names: Sequence[str]) -> None:
-    """Results go by the scenarios' own names."""
+    """Rejects scenarios with the same name, as results are identified by the scenarios' names."""
     for number, name in enumerate(names):
         if name in names[:number]:
             raise file.error(("scenarios", number), f"another scenario has the name {name!r} too")
--- a/glenfold_lab/experiments/pool.py
+++ b/glenfold_lab/experiments/pool.py
@@ -18,25 +18,27 @@
 from glenfold_lab.experiments.revisions import ROOT, Decisions
 from glenfold_lab.experiments.store import Outcome
 
-PLAYER = "glenfold_lab.model.world:play"  # what a worker calls to play a history
-MAX_TRIES = 2  # of a cell whose worker died
-STDERR_TAIL_BYTES = 2000  # bytes of a dead worker's last words
+PLAYER = "glenfold_lab.model.world:play"  # The function that a worker calls to play a cell.
+MAX_TRIES = 2  # A cell is recorded as failed after this many dead workers.
+STDERR_TAIL_BYTES = 2000  # The last line of a dead worker's stderr is read from this tail.
 
 T = TypeVar("T")
 RecordCallback = Callable[[bytes], None]
 
 
 class WorkerDied(Exception):
-    """A worker ended while it was wanted."""
+    """Raised when a worker process ends while it is needed."""
 
 
 class WrongDecisions(click.ClickException):
-    """A worker has imported other decisions than those that it was given."""
+    """Raised when a worker has imported other decisions than the intended ones."""
 
 
 class Worker:
-    """One process, with the decisions of one revision. words: where it says what it has to say, which is
-    looked at when it has died."""
+    """One worker process with the decisions of one revision.
+
+    `stderr_file` collects the process's stderr, which is read when the process has died.
+    """
 
     def __init__(self, decisions: Decisions, stderr_file: IO[bytes], process: trio.Process) -> None:
         self.decisions, self._stderr_file, self._process = decisions, stderr_file, process
@@ -46,8 +48,10 @@
 
     @classmethod
     async def start(cls, decisions: Decisions, stderr_file: IO[bytes]) -> "Worker":
+        """Starts a worker process that imports `decisions`."""
         paths = [str(decisions.folder), str(ROOT), os.environ.get("PYTHONPATH", "")]
-        # -P: else the current folder would go ahead of them all. A session of its own: Ctrl-C is for us.
+        # Without -P the current folder would come first in the path. A session of its own keeps Ctrl-C from
+        # the worker.
         process = await trio.lowlevel.open_process(
             [sys.executable, "-P", "-m", "glenfold_lab.experiments.worker", PLAYER],
             stdin=subprocess.PIPE,
@@ -59,13 +63,13 @@
         return cls(decisions, stderr_file, process)
 
     async def check_decisions(self) -> None:
-        """Raises Died, or WrongDecisions."""
+        """Raises WrongDecisions if the worker has imported other decisions, or WorkerDied."""
         hello = await self._receive(frames.Hello)
         if hello.decisions != self.decisions.id:
             raise WrongDecisions(f"a worker has imported {hello.folder} instead of {self.decisions.name}")
 
     async def play(self, task: frames.Task) -> bytes:
-        """The outcome, as a record for the file of results. Raises Died."""
+        """Plays a cell and returns the outcome as a record for the file of results. Raises WorkerDied."""
         try:
             await self._stdin.send_all(frames.pack(task))
         except trio.BrokenResourceError as error:
@@ -98,6 +102,7 @@
         return WorkerDied(f"the worker died of {how}" + f": {last_line}" * bool(last_line))
 
     async def close(self) -> None:
+        """Kills the process and waits for its end."""
         with trio.CancelScope(shield=True):
             self._process.kill()
             await self._process.wait()
@@ -107,10 +112,11 @@
 
 
 async def run(plan: Plan, cells: Iterable[Cell], workers: int, on_record: RecordCallback) -> None:
-    """Plays these cells; `take` gets each one's record as soon as it is done, in any order.
+    """Plays `cells` and calls `on_record` with each record as soon as the cell is done, in any order.
 
-    A cell that fails is recorded as failed; so is one whose worker died, and died again."""
-    # By revision, as a worker has to be replaced to change it.
+    A cell that fails is recorded as failed, and so is a cell whose worker died MAX_TRIES times.
+    """
+    # Sorts by revision, as a change of revision needs a new worker.
     pending = deque(sorted(cells, key=lambda cell: (cell.revision, cell.number)))
     try:
         async with trio.open_nursery() as nursery:
@@ -121,20 +127,21 @@
 
 
 def first_error(error: BaseException) -> BaseException:
-    """Of what several tasks ran into at once."""
+    """Returns the first exception of a group, or the exception itself."""
     return first_error(error.exceptions[0]) if isinstance(error, BaseExceptionGroup) else error
 
 
 class WorkerSlot:
-    """Where one worker at a time plays: replaced when it has died, and for another revision."""
+    """Runs one worker at a time, and replaces the worker when it dies or the revision changes."""
 
     def __init__(self, plan: Plan, on_record: RecordCallback) -> None:
         self._plan, self._on_record = plan, on_record
         self._worker: Worker | None = None
 
     async def work(self, pending: "deque[Cell]") -> None:
+        """Plays cells from `pending` until none remain."""
         with tempfile.TemporaryFile() as stderr_file:
-            # A worker must go on at the end, wherever this side has read to or cut it off.
+            # O_APPEND: a worker must write at the end, wherever this process has read or truncated the file.
             fcntl.fcntl(stderr_file, fcntl.F_SETFL, fcntl.fcntl(stderr_file, fcntl.F_GETFL) | os.O_APPEND)
             try:
                 while pending:
--- a/glenfold_lab/experiments/revisions.py
+++ b/glenfold_lab/experiments/revisions.py
@@ -1,7 +1,7 @@
-"""The decision package of other git revisions, each in a folder that a worker puts before the work tree's.
+"""The decision package of other git revisions, each in a folder placed before the work tree in PYTHONPATH.
 
-A package goes by the id that git gives its tree, worked out from the files themselves: it tells which
-decisions were in fact imported, and whether a folder in the cache is whole.
+A package is identified by git's tree id, computed from the files themselves: the id shows which decisions
+were imported, and whether a cached folder is complete.
 """
 
 import hashlib
@@ -17,18 +17,18 @@
 import click
 
 PACKAGE = "linnetspread"
-HERE = "here"  # the decisions of the work tree, as they are
+HERE = "here"  # The name for the decisions of the work tree, uncommitted changes included.
 ROOT = Path(__file__).parents[2]
 
 
 class BadRevision(click.ClickException):
-    """Ends a command with status 2."""
+    """Raised for a revision that can't be used; ends the command with status 2."""
 
     exit_code = 2
 
 
 class Decisions(NamedTuple):
-    """One decision package. name: as it was asked for; folder: the one that holds it; id: of its files."""
+    """One decision package. `name` is as requested, `folder` contains the package, `id` is its tree id."""
 
     name: str
     folder: Path
@@ -36,7 +36,10 @@
 
 
 def find(name: str, root: Path = ROOT, cache: Path | None = None) -> Decisions:
-    """Of the work tree, or of a git revision; then in the cache afterwards. Raises BadRevision."""
+    """Returns the decisions of the work tree or of a git revision; a revision is cached from then on.
+
+    Raises BadRevision.
+    """
     if name == HERE:
         return Decisions(name, root, tree_id(root / PACKAGE))
     _run_git(root, name, "rev-parse", "--verify", "--quiet", "--end-of-options", f"{name}^{{commit}}")
@@ -74,7 +77,10 @@
 
 
 def _extract(folder: Path, tree: str, archive: bytes) -> None:
-    """Under its name only once it is whole: another process may look for it at any moment."""
+    """Unpacks `archive` aside and renames it once complete, as other processes may read the cache.
+
+    Raises BadRevision if the files don't match their tree id.
+    """
     folder.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder.parent) as temp_folder:
         extracted = Path(temp_folder) / "new"
@@ -86,12 +92,12 @@
         try:
             extracted.rename(folder)
         except OSError:
-            if not _is_complete(folder, tree):  # else another process was quicker
+            if not _is_complete(folder, tree):  # If complete, another process has extracted it first.
                 raise
 
 
 def tree_id(folder: Path) -> str:
-    """What `git rev-parse REVISION:FOLDER` says, had these files been committed."""
+    """Returns the id that `git rev-parse REVISION:FOLDER` would print if these files were committed."""
     entries = []
     for path in folder.iterdir():
         if path.is_dir():
@@ -100,7 +106,7 @@
         else:
             mode = b"100755" if path.stat().st_mode & 0o100 else b"100644"
             entries.append((path.name, mode, path.name, _object_id("blob", path.read_bytes())))
-    # git's order: a folder as if its name ended with a slash
+    # git sorts a folder as if its name ended with a slash.
     lines = [mode + b" " + name.encode() + b"\0" + digest for _, mode, name, digest in sorted(entries)]
     return _object_id("tree", b"".join(lines)).hex()
 
--- a/glenfold_lab/experiments/store.py
+++ b/glenfold_lab/experiments/store.py
@@ -1,11 +1,12 @@
-"""The durable file of an experiment's results: lines that are only ever appended.
+"""The durable, append-only file of an experiment's results.
 
     glenfold-experiment 1
-    0000012c 9f3b7a10 {"name": ...}       the header: whose results these are
-    00004e7b 01d2c3b4 {"cell": 3, ...}    one for each cell played, in the order in which they were done
+    0000012c 9f3b7a10 {"name": ...}       the header, which identifies the experiment
+    00004e7b 01d2c3b4 {"cell": 3, ...}    one line for each cell played, in the order of completion
 
-Each line bears its JSON's length and CRC-32, in hexadecimal, and is on the disk before the next is written;
-so only the last can be torn by a kill or a loss of power. Cells may stand there twice: the last counts.
+Each line starts with the length and the CRC-32 of its JSON, in hexadecimal, and is on the disk before the
+next is written; so a kill or a power loss can tear only the last line. A cell may occur twice: the last line
+counts.
 """
 
 import fcntl
@@ -25,13 +26,13 @@
 
 MAGIC = b"glenfold-experiment 1\n"
 PREFIX = re.compile(rb"([0-9a-f]{8}) ([0-9a-f]{8}) ")
-PREFIX_BYTES = 18  # of the prefix
+PREFIX_BYTES = 18
 
 T = TypeVar("T")
 
 
 class Header(msgspec.Struct, frozen=True):
-    """Whose results a file holds. identity: what must be alike for results to stand in one file."""
+    """The experiment that a file belongs to. `identity` has to be equal for results to be in one file."""
 
     name: str
     asks: str
@@ -40,7 +41,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Of one cell: its result, or the error with which it failed."""
+    """The outcome of one cell: the result, or the error with which the cell failed."""
 
     cell: int
     result: RunResult | None = None
@@ -48,14 +49,14 @@
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """The part of a result that is compared: far quicker to read than the whole."""
+    """The part of a result that is compared; much faster to decode than the full result."""
 
     revision: str
     figures: dict[str, float]
 
 
 class Short(msgspec.Struct, frozen=True):
-    """An outcome without its series."""
+    """An outcome without the series of the result."""
 
     cell: int
     result: Figures | None = None
@@ -63,12 +64,14 @@
 
 
 class RecordLocation(NamedTuple):
+    """The position and the size of a record's JSON in the file, in bytes."""
+
     offset: int
     size: int
 
 
 class Store:
-    """An open file of results. `cut`: bytes of a torn last line that were cut off when it was opened."""
+    """An open file of results. `torn_bytes` is the size of a torn last line, which holds no result."""
 
     def __init__(self, path: str, file: BinaryIO, header: Header) -> None:
         self.path, self.header, self._file = path, header, file
@@ -76,7 +79,7 @@
         self.torn_bytes = 0
 
     def add(self, record: bytes) -> None:
-        """JSON of an Outcome, in one line. On the disk when this returns."""
+        """Appends an Outcome, one line of JSON, and returns once it is on the disk. Raises BadFile."""
         summary: Short = msgspec.json.decode(record, type=Short)
         try:
             offset = self._file.seek(0, os.SEEK_END)
@@ -88,12 +91,12 @@
         self.locations[summary.cell] = RecordLocation(offset + PREFIX_BYTES, len(record))
 
     def read(self, cell: int, kind: type[T]) -> T:
-        """An Outcome or a Short; KeyError if this cell has none yet."""
+        """Returns a cell's Outcome or Short. Raises KeyError if the cell has none yet."""
         offset, size = self.locations[cell]
         return msgspec.json.decode(os.pread(self._file.fileno(), size, offset), type=kind)
 
     def outcomes(self, kind: type[T]) -> Iterator[T]:
-        """In the order of the cells, whatever the order in which they were played."""
+        """Yields the outcomes in the order of the cells, whatever the order in which they were played."""
         for cell in sorted(self.locations):
             yield self.read(cell, kind)
 
@@ -102,15 +105,16 @@
 
 
 def open_read_only(path: str) -> Store:
-    """Opens a file of results to be read only; a torn last line is passed over."""
+    """Opens a file of results for reading; ignores a torn last line. Raises BadFile."""
     return _scan_lines(path, _open(path, "rb"))
 
 
 def go_on(path: str, header: Header) -> Store:
-    """Opens a file of results to be added to, or makes it. It is locked against others until it is closed.
+    """Opens a file of results for appending, or creates it, and locks it until it is closed.
 
-    Raises BadFile, and leaves the file as it is, if it is something else, damaged before its last line, in
-    use, or holds another experiment's results."""
+    Raises BadFile, and leaves the file unchanged, if it is not a file of results, is damaged before the last
+    line, is in use, or holds another experiment's results.
+    """
     if not Path(path).exists():
         _create(path, header)
     file = _open(path, "r+b")
@@ -118,7 +122,7 @@
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
         file.close()
-        raise BadFile(path, "another experiment is writing there") from error
+        raise BadFile(path, "another experiment is writing to this file") from error
     store = _scan_lines(path, file)
     _check_identity(store, header)
     if store.torn_bytes:
@@ -135,7 +139,7 @@
 
 
 def _create(path: str, header: Header) -> None:
-    """Whole or not at all, and never over a file that someone else has made by then."""
+    """Creates the file completely or not at all, and never replaces one that another process has created."""
     folder = Path(path).parent
     try:
         with tempfile.NamedTemporaryFile(dir=folder, prefix=".results-") as file:
@@ -152,7 +156,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """A new name in it is on the disk when this returns."""
+    """Flushes the entries of `folder` to the disk, so that a new file name survives a power loss."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -180,7 +184,7 @@
 
 
 def _read_record(data: mmap, offset: int) -> bytes | None:
-    """The whole and sound record that begins there, if there is one."""
+    """Returns the complete and valid record that starts at `offset`, or None."""
     prefix = PREFIX.match(data, offset)
     if prefix is None:
         return None
@@ -222,7 +226,7 @@
 
 
 def _has_later_record(data: mmap, offset: int) -> bool:
-    """Whether a sound one begins on a later line: then what stands at `at` is no torn end."""
+    """Returns whether a valid record starts on a later line; then `offset` is not the start of a torn end."""
     while (offset := data.find(b"\n", offset) + 1) > 0:
         if _read_record(data, offset) is not None:
             return True
--- a/glenfold_lab/experiments/worker.py
+++ b/glenfold_lab/experiments/worker.py
@@ -1,7 +1,8 @@
 """`python -m glenfold_lab.experiments.worker MODULE:FUNCTION`: plays one cell after another.
 
-A process of its own, so that it can be given another decision package: that whose folder stands first in
-PYTHONPATH. Tasks come on standard input; it ends, even in the middle of a cell, when that does.
+The worker is a separate process so that it can import another decision package, the one whose folder is first
+in PYTHONPATH. Tasks arrive on standard input; the worker exits when that closes, even in the middle of a
+cell.
 """
 
 import math
@@ -28,7 +29,11 @@
 
 
 def play(player: Play, task: frames.Task) -> Outcome:
-    """A cell that fails says with what and where, in words that are the same at every try."""
+    """Plays one cell and returns the outcome.
+
+    The text of a failure names the exception and its place, without addresses of objects, so that every try
+    gives the same text.
+    """
     try:
         result = player(msgspec.convert(task.scenario, Scenario), task.seed, revision=task.revision)
         for name, value in result.figures.items():
@@ -45,12 +50,13 @@
 def _read_tasks(queue: "SimpleQueue[frames.Task]") -> None:
     while (data := frames.read(sys.stdin.buffer)) is not None:
         queue.put(msgspec.msgpack.decode(data, type=frames.Task))
-    os._exit(0)  # whoever started this is gone or wants no more: nothing is to be finished or told
+    os._exit(0)  # The parent has exited or needs no more results, so nothing is finished or reported.
 
 
 def main() -> None:
+    """Runs the worker until standard input closes."""
     answers = os.fdopen(os.dup(1), "wb")
-    os.dup2(os.open(os.devnull, os.O_WRONLY), 1)  # what a history prints must not fall between the answers
+    os.dup2(os.open(os.devnull, os.O_WRONLY), 1)  # Output printed by a run must not mix with the answers.
     module, _, name = sys.argv[1].partition(":")
     player: Play = getattr(import_module(module), name)
     folder = Path(str(linnetspread.__file__)).parent
--- a/tests/glenfold_lab/test_experiments.py
+++ b/tests/glenfold_lab/test_experiments.py
@@ -1,4 +1,5 @@
-"""Experiments: files refused with key and line, results alike however they were played, and pairs."""
+"""Experiments: invalid files are rejected with key and line, results do not depend on the number of workers,
+and differences are paired by seed."""
 
 import os
 import signal
@@ -43,14 +44,14 @@
     "text, line, message",
     [
         (HEAD + "seed = 3", 6, "seed: unknown key; did you mean 'seeds'?"),
-        (HEAD.replace("[3, 1, 2]", "[3,\n\n3]"), 7, "seeds[1]: 3 is there twice"),
+        (HEAD.replace("[3, 1, 2]", "[3,\n\n3]"), 7, "seeds[1]: 3 is listed twice"),
         (HEAD.replace("[3, 1, 2]", "2_000_000_000"), 5, "seeds: 4000000000 cells in all; at most 1000000"),
         (
             HEAD.replace('"shrink"', '"shrunk"'),
             4,
             "scenarios[1]: shrunk: no scenario of this name; did you",
         ),
-        (HEAD.replace('"calm"', '"calm", "calm"'), 4, "scenarios[1]: 'calm' is there twice"),
+        (HEAD.replace('"calm"', '"calm", "calm"'), 4, "scenarios[1]: 'calm' is listed twice"),
         (HEAD + 'revisions = ["here",\n"nonesuch"]', 7, "revisions[1]: revision nonesuch: "),
         (
             WITH_FACTORS + "clients.load = [0.5,\n-1]",
--- a/tests/glenfold_lab/test_store.py
+++ b/tests/glenfold_lab/test_store.py
@@ -1,4 +1,4 @@
-"""The file of results: whatever is torn off its end it goes on; what is damaged before that, it says."""
+"""The file of results: a torn end is cut off and continued; earlier damage is reported."""
 
 from contextlib import closing
 from pathlib import Path
@@ -29,7 +29,7 @@
     line_ends = [at + 1 for at, byte in enumerate(content) if byte == ord("\n")][1:]
     edge_sizes = {
         end + by for end in line_ends for by in (-1, 0, 1, 8, 9, 17, 18)
-    }  # about a line's end, and its head
+    }  # The sizes around the end of a line and around its prefix.
     sizes = edge_sizes | set(range(line_ends[0], len(content), 11))
     for size in sorted(size for size in sizes if line_ends[0] <= size < len(content)):
         path = tmp_path / "cut"
@@ -47,7 +47,12 @@
 def test_damage_before_the_last_line_is_reported_with_its_offset(results_file: Path) -> None:
     content = bytearray(results_file.read_bytes())
     second = [at + 1 for at, byte in enumerate(content) if byte == ord("\n")][2]
-    for at in (second, second + 7, second + 9, second + 30):  # length, checksum, content
+    for at in (
+        second,
+        second + 7,
+        second + 9,
+        second + 30,
+    ):  # These offsets are in the length, the checksum and the JSON.
         damaged = content.copy()
         damaged[at] ^= 1
         results_file.write_bytes(damaged)
@@ -78,7 +83,7 @@
 def test_two_experiments_cannot_write_to_the_same_file(results_file: Path) -> None:
     with (
         closing(go_on(str(results_file), HEADER)),
-        pytest.raises(BadFile, match="another experiment is writing"),
+        pytest.raises(BadFile, match="another experiment is writing to this file"),
     ):
         go_on(str(results_file), HEADER)
 
