--- a/glenfold_lab/experiments/export.py
+++ b/glenfold_lab/experiments/export.py
@@ -16,11 +16,7 @@
 from glenfold_lab.results import encode
 
 FORMAT = 1
-DEFAULT_FIGURES = (
-    "service",
-    "worst_window",
-    "rules_broken",
-)  # These are printed if the experiment names no figures.
+DEFAULT_FIGURES = ("service", "worst_window", "rules_broken")  # These are printed by default.
 
 
 class ExperimentResults:
--- a/glenfold_lab/experiments/plan.py
+++ b/glenfold_lab/experiments/plan.py
@@ -137,9 +137,7 @@
     try:
         base = scenario.find(name, Path(file.name).parent)
     except BadFile as error:
-        if (
-            error.line is None
-        ):  # The file does not exist; problems within a scenario file carry its own lines.
+        if error.line is None:  # The file does not exist; problems within a file carry its own lines.
             raise file.error(("scenarios", number), error.message) from error
         raise
     scenario.check(base)
--- a/tests/glenfold_lab/test_load_command.py
+++ b/tests/glenfold_lab/test_load_command.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "named"),
+    ("arguments", "named"),
     [
         ((), "--to"),
         (("--self-test", *BASE_ARGUMENTS), "--self-test"),
--- a/tests/glenfold_lab/test_store.py
+++ b/tests/glenfold_lab/test_store.py
@@ -27,9 +27,8 @@
 ) -> None:
     content = results_file.read_bytes()
     line_ends = [at + 1 for at, byte in enumerate(content) if byte == ord("\n")][1:]
-    edge_sizes = {
-        end + by for end in line_ends for by in (-1, 0, 1, 8, 9, 17, 18)
-    }  # The sizes around the end of a line and around its prefix.
+    # The sizes cut the file around the end of a line and within the next line's prefix.
+    edge_sizes = {end + by for end in line_ends for by in (-1, 0, 1, 8, 9, 17, 18)}
     sizes = edge_sizes | set(range(line_ends[0], len(content), 11))
     for size in sorted(size for size in sizes if line_ends[0] <= size < len(content)):
         path = tmp_path / "cut"
@@ -47,12 +46,7 @@
 def test_damage_before_the_last_line_is_reported_with_its_offset(results_file: Path) -> None:
     content = bytearray(results_file.read_bytes())
     second = [at + 1 for at, byte in enumerate(content) if byte == ord("\n")][2]
-    for at in (
-        second,
-        second + 7,
-        second + 9,
-        second + 30,
-    ):  # These offsets are in the length, the checksum and the JSON.
+    for at in (second, second + 7, second + 9, second + 30):  # in the length, the checksum and the JSON
         damaged = content.copy()
         damaged[at] ^= 1
         results_file.write_bytes(damaged)
