--- a/glenfold_lab/experiments/factors.py
+++ b/glenfold_lab/experiments/factors.py
@@ -15,7 +15,7 @@
 class Factor(NamedTuple):
     """A key of the scenarios and the values to play.
 
-    `name` is the scenario key as written, `key` the place of the factor in the experiment file, `path` the
+    `name` is the scenario key as written, `key` the position of the factor in the experiment file, `path` the
     path of the value within a scenario's data.
     """
 
--- a/glenfold_lab/experiments/revisions.py
+++ b/glenfold_lab/experiments/revisions.py
@@ -62,7 +62,7 @@
     except FileNotFoundError as error:
         raise BadRevision(f"revision {name}: git is not installed") from error
     except subprocess.CalledProcessError as error:
-        message = error.stderr.decode(errors="replace").strip() or f"{root} knows none of this name"
+        message = error.stderr.decode(errors="replace").strip() or f"{root} has no such revision"
         raise BadRevision(f"revision {name}: {message}") from error
 
 
@@ -87,7 +87,7 @@
         with tarfile.open(fileobj=BytesIO(archive)) as tar:
             tar.extractall(extracted, filter="data")
         if not _is_complete(extracted, tree):
-            raise BadRevision(f"the files of {PACKAGE}/ in {tree} are not what git says of them")
+            raise BadRevision(f"the extracted files of {PACKAGE}/ do not match git's tree id {tree}")
         shutil.rmtree(folder, ignore_errors=True)
         try:
             extracted.rename(folder)
--- a/glenfold_lab/load/client.py
+++ b/glenfold_lab/load/client.py
@@ -233,7 +233,7 @@
 
     def _on_line(self, line: bytes, now_us: int) -> list[Effect]:
         if not self.is_standing:
-            return self._on_answered(line, now_us)
+            return self._on_answer(line, now_us)
         if line in (b"MOVE", b"BYE"):
             return self._start_closing(EndReason.MOVED if line == b"MOVE" else EndReason.SERVED, now_us)
         if line.startswith(b"LOAD "):
@@ -244,7 +244,7 @@
         self._set_due()
         return [answered]
 
-    def _on_answered(self, line: bytes, now_us: int) -> list[Effect]:
+    def _on_answer(self, line: bytes, now_us: int) -> list[Effect]:
         word, _, rest = line.partition(b" ")
         if word == b"BUSY" and (not rest or rest.isdigit()):
             return self._end(Answer.BUSY, EndReason.LEFT, now_us, wait_us=int(rest or b"0") * 1000)
--- a/glenfold_lab/load/offer.py
+++ b/glenfold_lab/load/offer.py
@@ -93,7 +93,7 @@
     async def run(self, clients: Clients, stop: trio.Event) -> None:
         """Runs until the last of these clients is answered (each has a deadline), or until `stop` is set.
 
-        Connections that stand then are closed. Clients without an answer count as started, and nothing more
+        Connections still up then are closed. Clients without an answer count as started, and nothing more
         is reported of them.
         """
         async with trio.open_nursery() as nursery:
--- a/glenfold_lab/load/plan_options.py
+++ b/glenfold_lab/load/plan_options.py
@@ -19,8 +19,8 @@
 
 Rate = Annotated[float, Meta(ge=0, le=1e6)]
 Ramp = Annotated[tuple[Rate, ...], Meta(min_length=2, max_length=2)]
-OffsetS = Annotated[float, Meta(ge=0, le=DAY_S)]
-DurationS = Annotated[float, Meta(gt=0, le=DAY_S)]
+Seconds = Annotated[float, Meta(ge=0, le=DAY_S)]
+Length = Annotated[float, Meta(gt=0, le=DAY_S)]
 Wait = Annotated[int, Meta(ge=1, le=MAX_WAIT_MS)]
 Milliseconds = Annotated[float, Meta(ge=0, le=1000 * DAY_S)]
 Spread = Annotated[float, Meta(ge=0, le=4)]
@@ -35,8 +35,8 @@
     """
 
     rate: Rate | Ramp
-    for_s: DurationS
-    at_s: OffsetS = 0.0
+    for_s: Length
+    at_s: Seconds = 0.0
     process: Literal["constant", "poisson"] = "constant"
 
 
@@ -47,9 +47,9 @@
     has fewer than `clients` connections up at that time, new clients make up the rest. All send `again=1`.
     """
 
-    at_s: OffsetS
+    at_s: Seconds
     clients: PositiveCount
-    within_s: OffsetS = 0.0
+    within_s: Seconds = 0.0
 
 
 class LoadClass(Part, frozen=True):
@@ -63,7 +63,7 @@
     name: Name
     share: Positive = 1.0
     wait_ms: Wait = 2000
-    life_s: DurationS = 10.0
+    life_s: Length = 10.0
     life_sigma: Spread = 0.0
     line_gap_ms: Milliseconds = 2000.0
 
@@ -135,9 +135,9 @@
     ):
         for n, name in enumerate(names):
             if not NAME_PATTERN.fullmatch(name):
-                yield (part, n, "name"), f"{name!r} can't stand in a first line: blanks, commas and such"
+                yield (part, n, "name"), f"{name!r} can't be in a first line: use ASCII, no blank or comma"
             if name in names[:n]:
-                yield (part, n, "name"), f"{name!r} comes twice"
+                yield (part, n, "name"), f"{name!r} is listed twice"
     for n, kind in enumerate(options.classes):
         if 0 < kind.line_gap_ms < MIN_LINE_GAP_MS:
             yield ("classes", n, "line_gap_ms"), f"must be 0 or at least {MIN_LINE_GAP_MS}"
--- a/tests/glenfold_lab/fake_world.py
+++ b/tests/glenfold_lab/fake_world.py
@@ -12,7 +12,7 @@
 def play(scenario: Scenario, seed: int, *, revision: str) -> RunResult:
     load = scenario.clients.load
     assert isinstance(load, float)
-    print("what a history prints must not fall between the answers")
+    print("the output of a run must not mix with the answers")
     if seed == 13:
         raise ValueError(f"no such day at {object()}")
     if seed == 66:
--- a/tests/glenfold_lab/test_experiments.py
+++ b/tests/glenfold_lab/test_experiments.py
@@ -217,7 +217,11 @@
 
 @pytest.mark.parametrize(
     "name, reason",
-    [("none", "holds no linnetspread/"), ("nonesuch", "knows none of this"), ("--all", "knows none of this")],
+    [
+        ("none", "holds no linnetspread/"),
+        ("nonesuch", "has no such revision"),
+        ("--all", "has no such revision"),
+    ],
 )
 def test_an_unknown_revision_is_rejected(name: str, reason: str, repository: Path) -> None:
     with pytest.raises(revisions.BadRevision, match=f"^revision {name}: .*{reason}") as caught:
