--- a/glenfold_lab/load/plan.py
+++ b/glenfold_lab/load/plan.py
@@ -107,11 +107,11 @@
 
 
 def _assign_ids_and_targets(
-    clients: Clients, targets: int, idents: np.random.Generator, front: np.random.Generator
+    clients: Clients, targets: int, ident_rng: np.random.Generator, front_rng: np.random.Generator
 ) -> None:
     """Draws what differs for every connection: its id, and the relay to which the front routes it."""
-    clients["ident"] = _random_ids(len(clients), idents)
-    clients["target"] = front.integers(0, targets, len(clients))
+    clients["ident"] = _random_ids(len(clients), ident_rng)
+    clients["target"] = front_rng.integers(0, targets, len(clients))
 
 
 def _by_share(shares: Sequence[float], count: int, rng: np.random.Generator) -> NDArray[np.int64]:
@@ -129,12 +129,12 @@
 
 
 def _groups(
-    groups: Groups, ungrouped: NDArray[np.uint64], rng: np.random.Generator, id_rng: np.random.Generator
+    groups: Groups, own_keys: NDArray[np.uint64], rng: np.random.Generator, id_rng: np.random.Generator
 ) -> NDArray[np.uint64]:
     numbers = _random_ids(groups.count, id_rng)
     weights = 1 / np.arange(1, groups.count + 1) ** groups.zipf
-    chosen = numbers[_by_share(list(weights), len(ungrouped), rng)]
-    return np.where(rng.random(len(ungrouped)) < groups.share, chosen, ungrouped)
+    chosen = numbers[_by_share(list(weights), len(own_keys), rng)]
+    return np.where(rng.random(len(own_keys)) < groups.share, chosen, own_keys)
 
 
 def _reconnect(clients: Clients, options: LoadPlan, streams: Streams, index: int, targets: int) -> Clients:
