--- a/glenfold_lab/load/client.py
+++ b/glenfold_lab/load/client.py
@@ -1,7 +1,7 @@
-"""One client's connection, without I/O: what comes in, and what has to be done about it.
+"""The state machine of one client's connection, without I/O: inputs go in, effects come out.
 
-Times are absolute microseconds on one clock that does not go back. The driver calls `on` with each
-incident, carries out the effects in their order, and gives `Due` when `due_us` has come.
+Times are absolute microseconds on one monotonic clock. The driver calls `on` with each input, carries out
+the returned effects in order, and passes `Due` once the clock reaches `due_us`.
 """
 
 from collections import deque
@@ -11,49 +11,54 @@
 
 from glenfold.lines import LINE_END, LineTracker
 
-ANSWER_SLACK_US = 50_000  # by which an answer may be past the deadline
-SILENT_US = 7_000_000  # a line unanswered for so long: the client gives its connection up
-PART_US = 1_000_000  # from the end of one side to that of the other
+ANSWER_SLACK_US = 50_000  # An answer may arrive this much after the deadline.
+LINE_TIMEOUT_US = 7_000_000  # The client drops its connection when a line is unanswered for this long.
+CLOSING_TIMEOUT_US = 1_000_000  # The longest wait for the other side to close after one side has.
 
 
 class Phase(Enum):
+    """The state of one connection."""
+
     CONNECTING = auto()
-    ASKED = auto()  # its first line is out
-    UP = auto()  # and each line that it said is answered
-    LINES = auto()  # up, with lines that are not answered yet
-    LEAVING = auto()  # told MOVE or BYE, or done: the end of the connection follows
+    ASKED = auto()  # The first line was sent; the answer is pending.
+    UP = auto()  # The request was answered UP, and every line sent so far is answered.
+    LINES = auto()  # The connection is up and some lines are unanswered.
+    LEAVING = auto()  # The server sent MOVE or BYE, or the client is done; the connection is about to end.
     ENDED = auto()
 
 
 class Answer(Enum):
-    """How a request ended, as its client saw it."""
+    """How a request ended, as the client saw it."""
 
     UP = "up"
     BUSY = "busy"
-    ERROR = "error"  # any other line
-    CLOSED = "closed"  # the connection ended without a line
-    RESET = "reset"  # or broke
-    UNREACHABLE = "unreachable"  # it never came up
-    NONE = "none"  # nothing by the deadline and the slack
+    ERROR = "error"  # The answer was some other line.
+    CLOSED = "closed"  # The server closed the connection without a line.
+    RESET = "reset"  # The connection was reset before an answer.
+    UNREACHABLE = "unreachable"  # The connection was never established.
+    NONE = "none"  # No answer arrived by the deadline plus `ANSWER_SLACK_US`.
 
 
-class Parting(Enum):
-    """How a connection that was up ended, as its client saw it."""
+class EndReason(Enum):
+    """How a connection that was up ended, as the client saw it."""
 
-    LEFT = "left"  # it had what it wanted
-    MOVED = "moved"  # told MOVE
-    SERVED = "served"  # told BYE
-    CUT = "cut"  # ended without a word
+    LEFT = "left"  # The client closed it at the end of its planned lifetime.
+    MOVED = "moved"  # The server sent MOVE.
+    SERVED = "served"  # The server sent BYE.
+    CUT = "cut"  # The server closed it without MOVE or BYE.
     RESET = "reset"
-    SILENT = "silent"  # a line was not answered for too long
-    GARBLED = "garbled"  # a line was too long
+    SILENT = "silent"  # A line was unanswered for `LINE_TIMEOUT_US`.
+    GARBLED = "garbled"  # The server sent a line that is too long.
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """What a client wants. line: its first line, with its end. wait_us: for its answer, from the sending of
-    that line. until_us: it wants the connection until then. line_gap_us: between lines; 0: it says none.
-    last_line: what it says, with its end, before it leaves."""
+class ConnectionOptions:
+    """What one client sends, and how long it keeps its connection.
+
+    `line` is the first line, with its line end. `wait_us` is how long the client waits for the answer after
+    sending it. `until_us` is when the client closes the connection. `line_gap_us` is the time between lines;
+    0 sends none. `last_line` is sent before the client closes, with its line end; empty sends none.
+    """
 
     line: bytes
     wait_us: int
@@ -62,27 +67,29 @@
     last_line: bytes = b""
 
 
-# ---- what comes in ----
+# ---- inputs ----
 
 
 @dataclass(frozen=True, slots=True)
 class Connected:
-    pass
+    """The connection is established."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """The connection was refused, or did not come up."""
+    """The connection was refused or could not be established."""
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class Received:
+    """The server sent `data`."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
-    """The other side has ended its sending."""
+class ReceivedEof:
+    """The server has closed its sending side."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,33 +99,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """The moment `due_us` has come."""
+    """The clock has reached `due_us`."""
 
 
-Incident = Connected | Unreachable | Heard | Finished | Broken | Due
+Input = Connected | Unreachable | Received | ReceivedEof | Broken | Due
 
 
-# ---- what is to be done, and what is to be told ----
+# ---- effects: actions for the driver, and events to report ----
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Sends `data`."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
-    """Ends the sending; what comes in is still heard."""
+class SendEof:
+    """Closes the sending side; the client still receives."""
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    pass
+    """Closes the connection; always the last effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """us: since the intended start. wait_us: what BUSY advises, else 0."""
+    """The request has ended.
+
+    `us` is the time since the intended start. `wait_us` is the retry delay that BUSY advises, else 0.
+    """
 
     answer: Answer
     us: int
@@ -127,168 +139,180 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LineSaid:
-    """late_us: after its intended moment."""
+class LineSent:
+    """A line was sent `late_us` after its intended time."""
 
     late_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class LineBack:
-    """us: since the moment for which the line was intended. answer: without its end."""
+class LineAnswered:
+    """A line was answered, `us` after the line's intended time. `answer` has no line end."""
 
     us: int
     answer: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Unasked:
-    """A line that answers nothing, or came after a final answer that leaves nothing to be said."""
+class UnexpectedLine:
+    """The server sent a line that answers none of the client's, or a line after a final answer."""
 
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Parted:
-    parting: Parting
-    unanswered: int  # lines
+class ConnectionEnded:
+    """A connection that was up has ended. `unanswered` counts the lines without an answer."""
 
+    reason: EndReason
+    unanswered: int
 
-News = Answered | LineSaid | LineBack | Unasked | Parted
-Effect = Send | Finish | Close | News
+
+ClientEvent = Answered | LineSent | LineAnswered | UnexpectedLine | ConnectionEnded
+Effect = Send | SendEof | Close | ClientEvent
 
 
 class ClientState:
-    """intended_us: when the plan has it start; now_us: when it does.
+    """The state of one connection.
 
-    Lines are answered in their order, each by one line that is none of LOAD, MOVE and BYE. How many wait for
-    an answer is bounded by SILENT_US over the gap between them."""
+    `intended_us` is the planned start, `now_us` the actual one. The server answers lines in order, each with
+    one line other than LOAD, MOVE and BYE. At most LINE_TIMEOUT_US / line_gap_us lines can be unanswered at
+    once.
+    """
 
-    def __init__(self, wish: Wish, intended_us: int, now_us: int) -> None:
-        self.wish = wish
+    def __init__(self, options: ConnectionOptions, intended_us: int, now_us: int) -> None:
+        self.options = options
         self.intended_us = intended_us
         self.phase = Phase.CONNECTING
-        self.due_us = now_us + wish.wait_us
+        self.due_us = now_us + options.wait_us
         self._lines = LineTracker()
-        self._said: deque[int] = deque()  # the intended moments of lines without an answer
+        self._unanswered_us: deque[int] = deque()  # intended times of the unanswered lines
         self._next_line_us = 0
-        self._parting = Parting.LEFT
+        self._end_reason = EndReason.LEFT
 
     @property
-    def stands(self) -> bool:
+    def is_standing(self) -> bool:
+        """Whether the request was answered UP and the connection has not ended."""
         return self.phase in (Phase.UP, Phase.LINES, Phase.LEAVING)
 
-    def on(self, incident: Incident, now_us: int) -> list[Effect]:
+    def on(self, event_input: Input, now_us: int) -> list[Effect]:
+        """Processes one input and returns the effects, in the order in which to carry them out."""
         if self.phase is Phase.ENDED:
             return []
-        match incident:
+        match event_input:
             case Connected():
-                return self._ask(now_us)
+                return self._send_first_line(now_us)
             case Unreachable():
-                return self._end(Answer.UNREACHABLE, Parting.RESET, now_us)
-            case Heard(data):
-                return self._heard(data, now_us)
-            case Finished():
-                return self._end(Answer.CLOSED, Parting.CUT, now_us)
+                return self._end(Answer.UNREACHABLE, EndReason.RESET, now_us)
+            case Received(data):
+                return self._on_received(data, now_us)
+            case ReceivedEof():
+                return self._end(Answer.CLOSED, EndReason.CUT, now_us)
             case Broken():
-                return self._end(Answer.RESET, Parting.RESET, now_us)
+                return self._end(Answer.RESET, EndReason.RESET, now_us)
             case Due():
-                return self._due(now_us) if now_us >= self.due_us else []
+                return self._on_due(now_us) if now_us >= self.due_us else []
 
-    def _ask(self, now_us: int) -> list[Effect]:
+    def _send_first_line(self, now_us: int) -> list[Effect]:
         self.phase = Phase.ASKED
-        self.due_us = now_us + self.wish.wait_us + ANSWER_SLACK_US
-        return [Send(self.wish.line)]
+        self.due_us = now_us + self.options.wait_us + ANSWER_SLACK_US
+        return [Send(self.options.line)]
 
-    def _heard(self, data: bytes, now_us: int) -> list[Effect]:
+    def _on_received(self, data: bytes, now_us: int) -> list[Effect]:
         effects: list[Effect] = []
-        beyond: list[Effect] = []  # told before the Close that ended it, as that comes last
+        after_end: list[Effect] = []  # reported before Close, which has to be the last effect
         for line in self._lines.feed(data):
             if self.phase is Phase.ENDED:
-                beyond.append(Unasked(line))
+                after_end.append(UnexpectedLine(line))
             else:
-                effects += self._line(line, now_us)
+                effects += self._on_line(line, now_us)
         if self._lines.too_long:
-            effects += self._end(Answer.ERROR, Parting.GARBLED, now_us)
-        effects[-1:-1] = beyond
+            effects += self._end(Answer.ERROR, EndReason.GARBLED, now_us)
+        effects[-1:-1] = after_end
         return effects
 
-    def _line(self, line: bytes, now_us: int) -> list[Effect]:
-        if not self.stands:
-            return self._answered(line, now_us)
+    def _on_line(self, line: bytes, now_us: int) -> list[Effect]:
+        if not self.is_standing:
+            return self._on_answer(line, now_us)
         if line in (b"MOVE", b"BYE"):
-            return self._leave(Parting.MOVED if line == b"MOVE" else Parting.SERVED, now_us)
+            return self._start_closing(EndReason.MOVED if line == b"MOVE" else EndReason.SERVED, now_us)
         if line.startswith(b"LOAD "):
             return []
-        if not self._said:
-            return [Unasked(line)]
-        back = LineBack(now_us - self._said.popleft(), line)
+        if not self._unanswered_us:
+            return [UnexpectedLine(line)]
+        answered = LineAnswered(now_us - self._unanswered_us.popleft(), line)
         self._set_due()
-        return [back]
+        return [answered]
 
-    def _answered(self, line: bytes, now_us: int) -> list[Effect]:
+    def _on_answer(self, line: bytes, now_us: int) -> list[Effect]:
         word, _, rest = line.partition(b" ")
         if word == b"BUSY" and (not rest or rest.isdigit()):
-            return self._end(Answer.BUSY, Parting.LEFT, now_us, wait_us=int(rest or b"0") * 1000)
+            return self._end(Answer.BUSY, EndReason.LEFT, now_us, wait_us=int(rest or b"0") * 1000)
         if word != b"UP" or not rest:
-            return self._end(Answer.ERROR, Parting.LEFT, now_us)
+            return self._end(Answer.ERROR, EndReason.LEFT, now_us)
         self.phase = Phase.UP
-        self._next_line_us = now_us + self.wish.line_gap_us
+        self._next_line_us = now_us + self.options.line_gap_us
         self._set_due()
         return [Answered(Answer.UP, now_us - self.intended_us, receipt=rest)]
 
     def _set_due(self) -> None:
-        """Only while it is up: from then on a client that leaves is bound by its parting alone."""
+        """Sets the next deadline while the connection is up; a closing one keeps its closing timeout."""
         if self.phase is Phase.LEAVING:
             return
-        self.phase = Phase.LINES if self._said else Phase.UP
-        due = self.wish.until_us
-        if self.wish.line_gap_us:
+        self.phase = Phase.LINES if self._unanswered_us else Phase.UP
+        due = self.options.until_us
+        if self.options.line_gap_us:
             due = min(due, self._next_line_us)
-        if self._said:
-            due = min(due, self._said[0] + SILENT_US)
+        if self._unanswered_us:
+            due = min(due, self._unanswered_us[0] + LINE_TIMEOUT_US)
         self.due_us = due
 
-    def _due(self, now_us: int) -> list[Effect]:
+    def _on_due(self, now_us: int) -> list[Effect]:
         if self.phase in (Phase.CONNECTING, Phase.ASKED):
             answer = Answer.UNREACHABLE if self.phase is Phase.CONNECTING else Answer.NONE
-            return self._end(answer, Parting.RESET, now_us)
+            return self._end(answer, EndReason.RESET, now_us)
         if self.phase is Phase.LEAVING:
-            return self._end(Answer.NONE, self._parting, now_us)
-        if self._said and now_us >= self._said[0] + SILENT_US:
-            return self._end(Answer.NONE, Parting.SILENT, now_us)
-        if now_us >= self.wish.until_us:
-            last = [Send(self.wish.last_line)] if self.wish.last_line else []
-            return [*last, Finish(), *self._leave(Parting.LEFT, now_us)]
-        return self._say(now_us)
-
-    def _say(self, now_us: int) -> list[Effect]:
-        """Those that are overdue too: a line is never left out because the one before it was late."""
-        said: list[Effect] = []
+            return self._end(Answer.NONE, self._end_reason, now_us)
+        if self._unanswered_us and now_us >= self._unanswered_us[0] + LINE_TIMEOUT_US:
+            return self._end(Answer.NONE, EndReason.SILENT, now_us)
+        if now_us >= self.options.until_us:
+            last = [Send(self.options.last_line)] if self.options.last_line else []
+            return [*last, SendEof(), *self._start_closing(EndReason.LEFT, now_us)]
+        return self._send_due_lines(now_us)
+
+    def _send_due_lines(self, now_us: int) -> list[Effect]:
+        """Sends every due line, overdue ones too: a late line never causes the next one to be skipped."""
+        effects: list[Effect] = []
         while self._next_line_us <= now_us:
-            said += [Send(b"M %d" % self._next_line_us + LINE_END), LineSaid(now_us - self._next_line_us)]
-            self._said.append(self._next_line_us)
-            self._next_line_us += self.wish.line_gap_us
+            effects += [Send(b"M %d" % self._next_line_us + LINE_END), LineSent(now_us - self._next_line_us)]
+            self._unanswered_us.append(self._next_line_us)
+            self._next_line_us += self.options.line_gap_us
         self._set_due()
-        return said
+        return effects
 
-    def _leave(self, parting: Parting, now_us: int) -> list[Effect]:
+    def _start_closing(self, reason: EndReason, now_us: int) -> list[Effect]:
         if self.phase is not Phase.LEAVING:
-            self.phase, self.due_us = Phase.LEAVING, now_us + PART_US
-            self._parting = parting
+            self.phase, self.due_us = Phase.LEAVING, now_us + CLOSING_TIMEOUT_US
+            self._end_reason = reason
         return []
 
-    def _end(self, answer: Answer, parting: Parting, now_us: int, wait_us: int = 0) -> list[Effect]:
-        """By `answer` if it had none yet, else by `parting`, unless it was leaving for another reason."""
-        before, self.phase = self.phase, Phase.ENDED
-        if before in (Phase.CONNECTING, Phase.ASKED):
+    def _end(self, answer: Answer, reason: EndReason, now_us: int, wait_us: int = 0) -> list[Effect]:
+        """Ends the connection.
+
+        Reports `answer` if the request was unanswered, else `reason`, unless the connection was already
+        closing for another reason.
+        """
+        previous_phase, self.phase = self.phase, Phase.ENDED
+        if previous_phase in (Phase.CONNECTING, Phase.ASKED):
             return [Answered(answer, now_us - self.intended_us, wait_us), Close()]
-        how = self._parting if before is Phase.LEAVING else parting
-        return [Parted(how, len(self._said)), Close()]
+        how = self._end_reason if previous_phase is Phase.LEAVING else reason
+        return [ConnectionEnded(how, len(self._unanswered_us)), Close()]
 
 
 def open_line(ident: int, key: int, figures: Mapping[str, str | int]) -> bytes:
-    """`OPEN ID KEY NAME=VALUE,...`, a client's first line, with its end. Both numbers are of 64 bits; `c` and
-    `d` must be among the figures."""
+    """Returns a client's first line, `OPEN ID KEY NAME=VALUE,...`, with its line end.
+
+    `ident` and `key` have 64 bits. `figures` must include `c` (class) and `d` (deadline in ms).
+    """
     pairs = ",".join(f"{name}={value}" for name, value in figures.items())
     return f"OPEN {ident:016x} {key:016x} {pairs}".encode("ascii") + LINE_END
--- a/glenfold_lab/load/tally.py
+++ b/glenfold_lab/load/tally.py
@@ -1,4 +1,4 @@
-"""What a load measured, in bounded room: histograms and counts, which add up over worker processes."""
+"""Measurements of a load in bounded memory: histograms and counts, which add up over worker processes."""
 
 from collections import Counter
 from dataclasses import dataclass, field, fields
@@ -6,24 +6,24 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from glenfold_lab.load.client import Answer, Answered, LineBack, LineSaid, News, Parted
+from glenfold_lab.load.client import Answer, Answered, ClientEvent, ConnectionEnded, LineAnswered, LineSent
 from glenfold_lab.results import Distribution
 
-GREATEST_US = 600_000_000  # what takes longer counts as this
-DIGITS = 3
+MAX_LATENCY_US = 600_000_000  # Longer latencies are recorded as this.
+SIGNIFICANT_DIGITS = 3
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 Name = TypeVar("Name")
 
 
 class Histogram:
-    """Latencies in microseconds, to three digits."""
+    """A histogram of latencies in microseconds, precise to three significant digits."""
 
     def __init__(self) -> None:
-        self._counts = HdrHistogram(1, GREATEST_US, DIGITS)
+        self._counts = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def record(self, us: int) -> None:
-        self._counts.record_value(min(max(us, 0), GREATEST_US))
+        self._counts.record_value(min(max(us, 0), MAX_LATENCY_US))
 
     def add(self, other: "Histogram") -> None:
         self._counts.add(other._counts)
@@ -48,7 +48,7 @@
 
 
 class Histograms(dict[Name, Histogram], Generic[Name]):
-    """By name, each made when something is first recorded under it."""
+    """Histograms by name; each is created on its first use."""
 
     def __missing__(self, name: Name) -> Histogram:
         made = self[name] = Histogram()
@@ -61,11 +61,14 @@
 
 @dataclass
 class Tally:
-    """answers: by kind, and set_up: by class, from the intended start; windows: set_up by the number of the
-    window in which the start was intended, and started: how many were begun then. lines: there and back, from
-    the intended moment of each. late, lines_late: how far behind the plan the load itself was. targets:
-    answers by place of the target and kind. no_room: starts left out for want of sockets. standing: at the
-    end."""
+    """The measurements of a load. Latencies count from the intended start or the intended time of a line.
+
+    `answers` are latencies by kind of answer, `set_up` those of UP by class, and `windows` those of UP by the
+    number of the window of the intended start. `started` counts the starts of each window. `lines` are round
+    trips of lines. `late` and `lines_late` are how far the load itself ran behind its plan. `targets` counts
+    answers by index of the target and kind, `partings` ended connections by reason. `no_room` counts starts
+    skipped for lack of sockets or ports. `standing` counts the connections still up at the end.
+    """
 
     answers: Histograms[str] = field(default_factory=Histograms)
     set_up: Histograms[str] = field(default_factory=Histograms)
@@ -81,18 +84,18 @@
     standing: int = 0
 
     def add(self, other: "Tally") -> None:
-        for place in fields(self):
-            mine, theirs = getattr(self, place.name), getattr(other, place.name)
+        for field_info in fields(self):
+            mine, theirs = getattr(self, field_info.name), getattr(other, field_info.name)
             if isinstance(mine, Counter):
                 mine.update(theirs)
             elif isinstance(mine, int):
-                setattr(self, place.name, mine + theirs)
+                setattr(self, field_info.name, mine + theirs)
             else:
                 mine.add(theirs)
 
 
-class Hearing:
-    """One client's news, put where they belong."""
+class ClientRecorder:
+    """Records the events of one client in the tally."""
 
     def __init__(self, tally: Tally, request_class: str, target: int, window: int) -> None:
         self._tally = tally
@@ -100,21 +103,21 @@
         self._target = target
         self._window = window
 
-    def hear(self, news: News) -> None:
-        match news:
+    def record_event(self, event: ClientEvent) -> None:
+        match event:
             case Answered():
-                self._answered(news)
-            case LineBack(us):
+                self._record_answered(event)
+            case LineAnswered(us):
                 self._tally.lines.record(us)
-            case LineSaid(late_us):
+            case LineSent(late_us):
                 self._tally.lines_late.record(late_us)
-            case Parted(parting, unanswered):
-                self._tally.partings[parting.value] += 1
+            case ConnectionEnded(reason, unanswered):
+                self._tally.partings[reason.value] += 1
                 self._tally.lines_unanswered += unanswered
 
-    def _answered(self, news: Answered) -> None:
-        self._tally.answers[news.answer.value].record(news.us)
-        self._tally.targets[self._target, news.answer.value] += 1
-        if news.answer is Answer.UP:
-            self._tally.set_up[self._class].record(news.us)
-            self._tally.windows[self._window].record(news.us)
+    def _record_answered(self, event: Answered) -> None:
+        self._tally.answers[event.answer.value].record(event.us)
+        self._tally.targets[self._target, event.answer.value] += 1
+        if event.answer is Answer.UP:
+            self._tally.set_up[self._class].record(event.us)
+            self._tally.windows[self._window].record(event.us)
--- a/glenfold_lab/stand_ins/clients.py
+++ b/glenfold_lab/stand_ins/clients.py
@@ -14,26 +14,26 @@
 import trio
 
 from glenfold_lab.load.client import (
-    SILENT_US,
+    LINE_TIMEOUT_US,
     Answer,
     Answered,
     Broken,
     ClientState,
     Connected,
+    ConnectionEnded,
+    ConnectionOptions,
     Due,
     Effect,
-    Finish,
-    Finished,
-    Heard,
-    Incident,
-    LineBack,
-    LineSaid,
-    Parted,
-    Parting,
+    EndReason,
+    Input,
+    LineAnswered,
+    LineSent,
     Phase,
+    Received,
+    ReceivedEof,
     Send,
-    Unasked,
-    Wish,
+    SendEof,
+    UnexpectedLine,
 )
 from glenfold_lab.model.clients import (
     ANSWER_MARGIN_US,
@@ -310,7 +310,7 @@
         self._scope = trio.CancelScope()
         self._wait_us = pool.habits.deadlines[client.kind]
         self.first_line = pool.line(client, request, self._wait_us)
-        wish = Wish(
+        wish = ConnectionOptions(
             self.first_line, self._wait_us + ANSWER_MARGIN_US, client.until, LINE_INTERVAL_US, b"QUIT\r\n"
         )
         self._state = ClientState(wish, self._started_at, self._started_at)
@@ -378,7 +378,7 @@
         pool = self._pool
         if not await self._connect(sock):
             return
-        event_input: Incident = Connected()
+        event_input: Input = Connected()
         while True:
             for effect in self._state.on(event_input, pool.clock.now_us()):
                 await self._carry_out(effect, sock)
@@ -398,13 +398,13 @@
         self._outcome = Outcome.UNREACHED
         return False
 
-    async def _next_input(self, sock: SocketType) -> Incident:
+    async def _next_input(self, sock: SocketType) -> Input:
         with trio.move_on_at(self._pool.clock.to_trio(self._state.due_us)):
             try:
                 data = await sock.recv(READ_BYTES)
             except OSError:
                 return Broken()
-            return Heard(data) if data else Finished()
+            return Received(data) if data else ReceivedEof()
         return Due()
 
     async def _carry_out(self, effect: Effect, sock: SocketType) -> None:
@@ -415,18 +415,18 @@
                     await send_all(sock, data)
                 if self._state.phase is Phase.ASKED:
                     self._report_sent(before)
-            case Finish():
+            case SendEof():
                 shutdown_send(sock)
             case Answered():
                 self._handle_answer(effect)
-            case LineSaid(late):
+            case LineSent(late):
                 if self.service_period is not None:
                     self.service_period.line_sent(self._pool.clock.now_us() - late)
-            case LineBack(_, answer):
+            case LineAnswered(_, answer):
                 self._handle_reply(answer)
-            case Unasked(line):
+            case UnexpectedLine(line):
                 self._handle_unrequested(line)
-            case Parted(parting, _):
+            case ConnectionEnded(parting, _):
                 self._handle_end(parting)
 
     # ---- records ----
@@ -482,26 +482,26 @@
         if final is not None:
             self._pool.seen.answered(self._pool.clock.now_us(), self.request, final, None, 0)
 
-    def _handle_end(self, parting: Parting) -> None:
+    def _handle_end(self, parting: EndReason) -> None:
         pool, now = self._pool, self._pool.clock.now_us()
         self._end_standing()
         self._outcome = Outcome.BROKEN
         match parting:
-            case Parting.LEFT:
+            case EndReason.LEFT:
                 self._outcome = Outcome.DONE
                 pool.seen.ended(now, self.request, End.CLIENT)
-            case Parting.MOVED:
+            case EndReason.MOVED:
                 self._outcome = Outcome.MOVED
                 pool.current_second.moves += 1
                 pool.seen.ended(now, self.request, End.MOVED)
-            case Parting.SERVED:
+            case EndReason.SERVED:
                 pool.seen.ended(now, self.request, End.SERVED)
-            case Parting.SILENT:
-                pool.seen.held_back(now, self.request, SILENT_US)
+            case EndReason.SILENT:
+                pool.seen.held_back(now, self.request, LINE_TIMEOUT_US)
                 pool.seen.ended(now, self.request, End.CLIENT)
-            case Parting.GARBLED:
+            case EndReason.GARBLED:
                 pool.seen.ended(now, self.request, End.CUT)
-            case Parting.CUT | Parting.RESET:
+            case EndReason.CUT | EndReason.RESET:
                 self._has_broken = True
                 pool.seen.unsaid(now, self.request)
 
--- a/tests/glenfold_lab/test_load_client.py
+++ b/tests/glenfold_lab/test_load_client.py
@@ -1,46 +1,48 @@
-"""One client's states: whatever comes in whatever order, one answer, one end, and bounded waiting."""
+"""The state machine of one client: any inputs in any order give one answer, one end and bounded waits."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from glenfold.lines import parse_open
 from glenfold_lab.load.client import (
-    SILENT_US,
+    LINE_TIMEOUT_US,
     Answer,
     Answered,
     Broken,
     ClientState,
     Close,
     Connected,
+    ConnectionEnded,
+    ConnectionOptions,
     Due,
-    Finish,
-    Finished,
-    Heard,
-    Incident,
-    LineBack,
-    LineSaid,
-    Parted,
-    Parting,
+    EndReason,
+    Input,
+    LineAnswered,
+    LineSent,
     Phase,
+    Received,
+    ReceivedEof,
     Send,
-    Unasked,
+    SendEof,
+    UnexpectedLine,
     Unreachable,
-    Wish,
     open_line,
 )
 
-MS = 1000
-WISH = Wish(b"OPEN 1 2 c=w,d=2000\r\n", 2_000 * MS, until_us=60_000 * MS, line_gap_us=2_000 * MS)
+US_PER_MS = 1000
+OPTIONS = ConnectionOptions(
+    b"OPEN 1 2 c=w,d=2000\r\n", 2_000 * US_PER_MS, until_us=60_000 * US_PER_MS, line_gap_us=2_000 * US_PER_MS
+)
 
 
-def up(wish: Wish = WISH, at: int = 0) -> ClientState:
-    state = ClientState(wish, 0, 0)
+def answered_client(options: ConnectionOptions = OPTIONS, at_us: int = 0) -> ClientState:
+    state = ClientState(options, 0, 0)
     state.on(Connected(), 0)
-    state.on(Heard(b"UP r\r\n"), at)
+    state.on(Received(b"UP r\r\n"), at_us)
     return state
 
 
-PIECES = st.sampled_from(
+RECEIVED_PIECES = st.sampled_from(
     [
         b"UP r\r\n",
         b"UP",
@@ -55,31 +57,33 @@
         b"x" * 5000,
     ]
 )
-FIRST = st.sampled_from([Connected(), Unreachable(), Due()])
-LATER = st.one_of(st.builds(Heard, PIECES), st.sampled_from([Finished(), Broken(), Due(), Due()]))
-WAIT = st.integers(0, 3_000 * MS)
+FIRST_INPUTS = st.sampled_from([Connected(), Unreachable(), Due()])
+LATER_INPUTS = st.one_of(
+    st.builds(Received, RECEIVED_PIECES), st.sampled_from([ReceivedEof(), Broken(), Due(), Due()])
+)
+WAITS_US = st.integers(0, 3_000 * US_PER_MS)
 
 
-@given(st.tuples(FIRST, WAIT), st.lists(st.tuples(LATER, WAIT), max_size=40))
-def test_one_answer_then_at_most_one_end_and_nothing_after_it(
-    first: tuple[Incident, int], later: list[tuple[Incident, int]]
+@given(st.tuples(FIRST_INPUTS, WAITS_US), st.lists(st.tuples(LATER_INPUTS, WAITS_US), max_size=40))
+def test_a_client_reports_one_answer_at_most_one_end_and_nothing_after_close(
+    first: tuple[Input, int], later: list[tuple[Input, int]]
 ) -> None:
-    state, now, told = ClientState(WISH, 0, 0), 0, []
-    for incident, wait in (first, *later):
+    state, now, effects = ClientState(OPTIONS, 0, 0), 0, []
+    for event_input, wait in (first, *later):
         now += wait
-        told += state.on(incident, now)
-    answers = [effect for effect in told if isinstance(effect, Answered)]
-    ends = [effect for effect in told if isinstance(effect, Parted)]
-    closes = [n for n, effect in enumerate(told) if isinstance(effect, Close)]
+        effects += state.on(event_input, now)
+    answers = [effect for effect in effects if isinstance(effect, Answered)]
+    ends = [effect for effect in effects if isinstance(effect, ConnectionEnded)]
+    closes = [n for n, effect in enumerate(effects) if isinstance(effect, Close)]
     assert len(answers) <= 1 and len(ends) <= 1 and len(closes) <= 1
     assert not ends or answers[0].answer is Answer.UP
-    assert not closes or closes[0] == len(told) - 1
+    assert not closes or closes[0] == len(effects) - 1
     assert (state.phase is Phase.ENDED) == bool(closes)
 
 
 @given(st.lists(st.sampled_from(["silent", "echo", "load"]), max_size=30))
-def test_waiting_alone_always_comes_to_an_end(replies: list[str]) -> None:
-    state, now = up(), 0
+def test_deadlines_alone_always_end_a_connection(replies: list[str]) -> None:
+    state, now = answered_client(), 0
     for reply in [*replies, *["echo"] * 200]:
         if state.phase is Phase.ENDED:
             return
@@ -87,46 +91,50 @@
         now = state.due_us
         for effect in state.on(Due(), now):
             if isinstance(effect, Send) and reply != "silent":
-                state.on(Heard(b"LOAD 3\r\n" if reply == "load" else effect.data), now)
-    raise AssertionError("it never ended")
+                state.on(Received(b"LOAD 3\r\n" if reply == "load" else effect.data), now)
+    raise AssertionError("the connection never ended")
 
 
-def test_a_line_counts_from_its_intended_moment_and_load_is_no_answer_to_it() -> None:
-    state = up()
-    said = state.on(Due(), 2_500 * MS)
-    assert said == [Send(b"M 2000000\r\n"), LineSaid(500 * MS)]
-    back = state.on(Heard(b"LOAD 7\r\nM 2000000\r\nnews\r\n"), 2_600 * MS)
-    assert back == [LineBack(600 * MS, b"M 2000000"), Unasked(b"news")]
-    assert (state.phase, state.due_us) == (Phase.UP, 4_000 * MS)
+def test_line_latency_counts_from_the_intended_time_and_load_lines_do_not_answer() -> None:
+    state = answered_client()
+    sent = state.on(Due(), 2_500 * US_PER_MS)
+    assert sent == [Send(b"M 2000000\r\n"), LineSent(500 * US_PER_MS)]
+    received = state.on(Received(b"LOAD 7\r\nM 2000000\r\nnews\r\n"), 2_600 * US_PER_MS)
+    assert received == [LineAnswered(600 * US_PER_MS, b"M 2000000"), UnexpectedLine(b"news")]
+    assert (state.phase, state.due_us) == (Phase.UP, 4_000 * US_PER_MS)
 
 
-def test_lines_that_are_overdue_are_all_said_and_each_counts() -> None:
-    effects = up().on(Due(), 7_000 * MS)
-    assert [e.late_us for e in effects if isinstance(e, LineSaid)] == [5_000 * MS, 3_000 * MS, 1_000 * MS]
+def test_overdue_lines_are_all_sent_and_each_is_counted() -> None:
+    effects = answered_client().on(Due(), 7_000 * US_PER_MS)
+    assert [e.late_us for e in effects if isinstance(e, LineSent)] == [
+        5_000 * US_PER_MS,
+        3_000 * US_PER_MS,
+        1_000 * US_PER_MS,
+    ]
 
 
-def test_a_server_that_never_answers_a_line_is_given_up_by_the_first_of_them() -> None:
-    state = up()
+def test_the_first_unanswered_line_sets_the_line_timeout() -> None:
+    state = answered_client()
     while state.phase is not Phase.ENDED:
         now = state.due_us
         effects = state.on(Due(), now)
-    assert now == 2_000 * MS + SILENT_US
-    assert effects == [Parted(Parting.SILENT, 4), Close()]
+    assert now == 2_000 * US_PER_MS + LINE_TIMEOUT_US
+    assert effects == [ConnectionEnded(EndReason.SILENT, 4), Close()]
 
 
-def test_what_was_told_first_says_how_it_ended() -> None:
-    for word, parting in ((b"MOVE", Parting.MOVED), (b"BYE", Parting.SERVED)):
-        state = up()
-        assert state.on(Heard(word + b"\r\n"), 10) == []
-        assert state.on(Broken(), 20) == [Parted(parting, 0), Close()]
-    left = up()
-    while not isinstance(left.on(Due(), left.due_us)[0], Finish):
-        left.on(Heard(b"M\r\n"), left.due_us)
-    assert left.on(Heard(b"MOVE\r\n"), left.due_us) == []
-    assert left.on(Due(), left.due_us) == [Parted(Parting.LEFT, 0), Close()]
+def test_the_first_reason_to_close_is_the_one_reported() -> None:
+    for word, reason in ((b"MOVE", EndReason.MOVED), (b"BYE", EndReason.SERVED)):
+        state = answered_client()
+        assert state.on(Received(word + b"\r\n"), 10) == []
+        assert state.on(Broken(), 20) == [ConnectionEnded(reason, 0), Close()]
+    leaving = answered_client()
+    while not isinstance(leaving.on(Due(), leaving.due_us)[0], SendEof):
+        leaving.on(Received(b"M\r\n"), leaving.due_us)
+    assert leaving.on(Received(b"MOVE\r\n"), leaving.due_us) == []
+    assert leaving.on(Due(), leaving.due_us) == [ConnectionEnded(EndReason.LEFT, 0), Close()]
 
 
-def test_a_first_line_is_one_that_relays_read() -> None:
+def test_the_relay_parses_the_first_line_of_a_client() -> None:
     line = open_line(7, 0xAB, {"c": "watch", "t": "valleys", "d": 2000, "g": "5c0f", "again": 1})
     first = parse_open(bytearray(line), len(line))
     assert (first.key, first.wait_ms, first.number(b"g", 16)) == (0xAB, 2000, 0x5C0F)
