--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -23,7 +23,7 @@
 from glenfold_lab.model import world
 from glenfold_lab.results import RunResult
 from glenfold_lab.spec import Scenario
-from glenfold_lab.stand_ins.judge import SLACK_US
+from glenfold_lab.stand_ins.reconciler import SLACK_US
 from glenfold_lab.stand_ins.run import play_on_sockets, scaled
 
 FILES = Path(__file__).parent / "fleet"
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -30,8 +30,8 @@
 
 from glenfold_lab import spec
 from glenfold_lab.observe import End, Final, Record
-from glenfold_lab.stand_ins.daemons import NAME, Daemons
-from glenfold_lab.stand_ins.fleet import Course, Crowds, Played, play_fleet
+from glenfold_lab.stand_ins.daemons import FLEET_NAME, Daemons
+from glenfold_lab.stand_ins.fleet import ClientBurst, HistoryContext, PlayedHistory, play_fleet
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
 
 LENGTH_S = 62.0
@@ -78,47 +78,49 @@
     down: list[tuple[int, int, int]] = field(default_factory=list)  # killed relays: since, until
 
     async def begin(self, daemons: Daemons) -> None:
-        daemons.up()
-        await daemons.all_ready()
+        daemons.start_supervisor()
+        await daemons.wait_all_ready()
         logs = [path.read_text() for path in daemons.folder.glob("supervisor/logs/*.log")]
         self.starts = start_times(daemons, "\n".join(logs))
-        await daemons.all_answer()
+        await daemons.wait_all_answer()
 
-    async def goes(self, course: Course) -> None:
+    async def goes(self, course: HistoryContext) -> None:
         await course.until_s(MASS_S + 1.0)
         await self._kills(course, 0, draining=False)
-        await course.daemons.all_ready()
+        await course.daemons.wait_all_ready()
         await course.until_s(ROLL_S)
         await self._rolls(course)
         await self._reads_a_faulty_file(course)
         await self._kills(course, 1, draining=True)
         await self._kills_a_successor(course, 2)
 
-    async def _say(self, course: Course, what: str, *words: str) -> None:
-        said = await course.daemons.say(*words)
+    async def _say(self, course: HistoryContext, what: str, *words: str) -> None:
+        said = await course.daemons.run_command(*words)
         self.said[what] = said.status, said.out.strip()[-300:]
-        course.note(f"{what}: status {said.status}")
+        course.record_event(f"{what}: status {said.status}")
 
-    async def _rolls(self, course: Course) -> None:
+    async def _rolls(self, course: HistoryContext) -> None:
         daemons, begun = course.daemons, course.now_us()
         await self._say(course, "roll", "fleet", "roll", "--most-out", str(self.most_out), "--no-wait")
-        await daemons.when(daemons.fleet, lambda one: _done(one) >= len(daemons.relays) // 4)
+        await daemons.wait_for(daemons.fleet_status, lambda one: _done(one) >= len(daemons.relays) // 4)
         await self._say(course, "fleet reload in the roll", "fleet", "reload")
         await self._say(course, "reload of all in the roll", "reload")
-        await daemons.when(daemons.fleet, lambda one: _done(one) >= len(daemons.relays) // 2)
-        course.note("supervisor killed")
+        await daemons.wait_for(daemons.fleet_status, lambda one: _done(one) >= len(daemons.relays) // 2)
+        course.record_event("supervisor killed")
         daemons.kill_supervisor()
-        daemons.up()
-        await daemons.when(daemons.fleet, lambda one: one["roll"] is None or not one["roll"]["running"])
-        last = await daemons.fleet()
+        daemons.start_supervisor()
+        await daemons.wait_for(
+            daemons.fleet_status, lambda one: one["roll"] is None or not one["roll"]["running"]
+        )
+        last = await daemons.fleet_status()
         if last["roll"] is not None:
             self.said["roll stopped"] = 1, str(last["roll"]["reason"])
             await self._say(course, "roll continued", "fleet", "roll", "--continue")
-        await daemons.all_ready()
-        course.note("roll", begun)
+        await daemons.wait_all_ready()
+        course.record_event("roll", begun)
         self.roll = begun, course.now_us()
 
-    async def _reads_a_faulty_file(self, course: Course) -> None:
+    async def _reads_a_faulty_file(self, course: HistoryContext) -> None:
         file = course.daemons.file
         sound = file.read_text()
         file.write_text(sound.replace("max_attempts = 5", 'max_attempts = "many"'))
@@ -126,26 +128,26 @@
         await self._say(course, "reload of a faulty file", "reload")
         file.write_text(sound)
 
-    async def _kills(self, course: Course, relay: int, draining: bool) -> None:
+    async def _kills(self, course: HistoryContext, relay: int, draining: bool) -> None:
         daemons, since = course.daemons, course.now_us()
         if draining:
             await self._say(course, "drain", "drain", "--instance", str(relay + 1))
             daemons.seen.stopping(course.clock.now_us(), relay)
-            await daemons.in_state(relay, "finishing")
+            await daemons.wait_for_state(relay, "finishing")
         killed = daemons.kill(relay)
-        course.note("killed in its shutdown" if draining else "killed", relays=(relay,))
-        await daemons.comes_back(relay, killed)
+        course.record_event("killed in its shutdown" if draining else "killed", relays=(relay,))
+        await daemons.wait_for_restart(relay, killed)
         self.down.append((relay, since, course.now_us()))
 
-    async def _kills_a_successor(self, course: Course, relay: int) -> None:
+    async def _kills_a_successor(self, course: HistoryContext, relay: int) -> None:
         """The old process goes on serving, and nobody notices."""
         daemons = course.daemons
-        process = daemons.run(relay)
+        process = daemons.start_instance(relay)
         while len(daemons.processes().get(relay, ())) < 2 and process.poll() is None:
             await trio.sleep(0.005)
         process.kill()
-        course.note("new process killed before it was ready", relays=(relay,))
-        status = await daemons.instance(relay)
+        course.record_event("new process killed before it was ready", relays=(relay,))
+        status = await daemons.instance_status(relay)
         self.said["old process after that"] = 0, str(status.get("state"))
 
 
@@ -156,7 +158,7 @@
 
 def measure_day(
     world: spec.Scenario, seed: int, most_out: int, processes: int, take_over: bool = True
-) -> tuple[Played, Figures]:
+) -> tuple[PlayedHistory, Figures]:
     """`world`: as `scenario` gives it."""
     day = Day(most_out)
     restart = {"deadline_s": DEADLINE_S, "take_over": take_over}
@@ -166,13 +168,13 @@
         day.begin,
         day.goes,
         processes=processes,
-        crowds=Crowds(MASS_S, CROWD, ONE_S),
+        burst=ClientBurst(MASS_S, CROWD, ONE_S),
         tables={"fleet": {**FLEET, "most_out": most_out}, "restart": restart},
     )
     return played, told(played, day)
 
 
-def told(played: Played, day: Day) -> Figures:
+def told(played: PlayedHistory, day: Day) -> Figures:
     result = played.result
     rules: dict[str, int] = {}
     for verdict in result.verdicts:
@@ -216,7 +218,7 @@
         "worst_window": round(result.figures["worst_window"], 4),
         "late_p99_ms": result.figures["late_p99_ms"],
         "peak_mb": spread([one.peak_mb for one in played.usage.values()]),
-        "old_and_new_mb": spread([one.two_mb for one in played.usage.values()]),
+        "old_and_new_mb": spread([one.takeover_peak_mb for one in played.usage.values()]),
         "cpu_s": spread([one.cpu_s for one in played.usage.values()]),
     }
 
@@ -262,7 +264,7 @@
     """Seconds from each process's start to its being ready."""
     ready = ready_at(log)
     return [
-        ready[f"{NAME}-{relay + 1}"] - started_at(processes[-1].pid)
+        ready[f"{FLEET_NAME}-{relay + 1}"] - started_at(processes[-1].pid)
         for relay, processes in daemons.processes().items()
     ]
 
@@ -279,20 +281,22 @@
             if n:
                 daemons.end_all()
             for relay in daemons.relays:
-                daemons.run(relay)
+                daemons.start_instance(relay)
             async with trio.open_nursery() as nursery:
                 for relay in daemons.relays:
-                    nursery.start_soon(daemons.in_state, relay, "ready")
+                    nursery.start_soon(daemons.wait_for_state, relay, "ready")
             self.found += start_times(daemons, (daemons.file.parent / "log").read_text())
-        await daemons.all_answer()
+        await daemons.wait_all_answer()
 
-    async def goes(self, course: Course) -> None:
+    async def goes(self, course: HistoryContext) -> None:
         """Nothing more."""
 
 
 def measure_starts(instances: int, seed: int, one_s: float, repeats: int) -> Figures:
     course = Starts(repeats)
-    play_fleet(scenario(instances, 0.5), seed, course.begin, course.goes, crowds=Crowds(one_s=one_s))
+    play_fleet(
+        scenario(instances, 0.5), seed, course.begin, course.goes, burst=ClientBurst(full_list_s=one_s)
+    )
     return {"instances": instances, "discovery_one_s": one_s, "seed": seed, "ready_s": spread(course.found)}
 
 
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -28,16 +28,16 @@
 from glenfold_lab.load.offer import Offer
 from glenfold_lab.load.result import LoadResult, summarize, window_us
 from glenfold_lab.results import Distribution
-from glenfold_lab.stand_ins.keeper import Keeper
+from glenfold_lab.stand_ins.addresses import RELAYS, Addresses, Net
 from glenfold_lab.stand_ins.lateness import percentile
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
-from glenfold_lab.stand_ins.part import Part, Share, Times
-from glenfold_lab.stand_ins.places import RELAYS, Net, Places
+from glenfold_lab.stand_ins.relay_controller import RelayController
 from glenfold_lab.stand_ins.relay_settings import settings_json
-from glenfold_lab.stand_ins.relays import Limits, RelayProcess, ended_in_the_end, free_address
-from glenfold_lab.stand_ins.remote_part import RemotePart, remote
+from glenfold_lab.stand_ins.relays import Limits, RelayProcess, free_address, killed_on_exit
+from glenfold_lab.stand_ins.remote_worker import RemoteWorker, remote
 from glenfold_lab.stand_ins.script import draw
 from glenfold_lab.stand_ins.seen import Seen
+from glenfold_lab.stand_ins.worker import Share, StandInWorker, Times
 
 COUNT = 20  # of relays, and of push servers
 WORKERS = 2
@@ -49,10 +49,10 @@
 Figures = dict[str, Any]
 
 
-class Unsealed(Part):
+class Unsealed(StandInWorker):
     """Push servers that take the lines of any client: those of a load bear no seal of a run."""
 
-    async def bind(self) -> Places:
+    async def bind(self) -> Addresses:
         places = await super().bind()
         for server in self._servers.values():
             server.holder.seal = None
@@ -141,15 +141,15 @@
             Unsealed(self._scenario, self._seed, Share(n, (n,), (n,), None), self._net) for n in range(COUNT)
         ]
         with beside_the_load(), remote(parts) as played:
-            places = Places(relays=[free_address(self._net.host(RELAYS, n)) for n in range(COUNT)])
+            places = Addresses(relays=[free_address(self._net.host(RELAYS, n)) for n in range(COUNT)])
             for part in played:
                 places |= await part.bind()
             relays = [self._relay(n, places) for n in range(COUNT)]
-            keeper = Keeper(self._script, self._seed, relays, places, self._seen, self._clock)
-            async with ended_in_the_end(relays):
-                return await self._play(played, places, relays, keeper)
+            controller = RelayController(self._script, self._seed, relays, places, self._seen, self._clock)
+            async with killed_on_exit(relays):
+                return await self._play(played, places, relays, controller)
 
-    def _relay(self, n: int, places: Places) -> RelayProcess:
+    def _relay(self, n: int, places: Addresses) -> RelayProcess:
         settings = settings_json(self._scenario, self._script.fleet.terms, n, 0)
         return RelayProcess(
             n,
@@ -164,17 +164,21 @@
         )
 
     async def _play(
-        self, played: Sequence[RemotePart], places: Places, relays: Sequence[RelayProcess], keeper: Keeper
+        self,
+        played: Sequence[RemoteWorker],
+        places: Addresses,
+        relays: Sequence[RelayProcess],
+        controller: RelayController,
     ) -> Figures:
         async with trio.open_nursery() as nursery:
             async with trio.open_nursery() as parts:
                 for part in played:
                     parts.start_soon(part.play, places, self._begun, lambda _: None)
-                await keeper.start_all()
+                await controller.start_all()
                 start = self._clock.now_us() + SETTLE_US
                 self._times = Times(start, start)
                 self._begin.set()
-                nursery.start_soon(keeper.run, start)
+                nursery.start_soon(controller.run, start)
                 await self._clock.until(start)
                 found = await self._loaded(places, relays)
             nursery.cancel_scope.cancel()
@@ -186,7 +190,7 @@
         await self._begin.wait()
         return self._times
 
-    async def _loaded(self, places: Places, relays: Sequence[RelayProcess]) -> Figures:
+    async def _loaded(self, places: Addresses, relays: Sequence[RelayProcess]) -> Figures:
         before = cpu_s(relays)
         began = trio.current_time()
         psutil.Process().cpu_affinity(list(range(psutil.cpu_count())))
--- a/glenfold_lab/commands/demo.py
+++ b/glenfold_lab/commands/demo.py
@@ -8,9 +8,9 @@
 
 from glenfold_lab import scenario
 from glenfold_lab.reports import live
-from glenfold_lab.stand_ins.places import TooLarge
+from glenfold_lab.stand_ins.addresses import TooLarge
 from glenfold_lab.stand_ins.relays import NotReady
-from glenfold_lab.stand_ins.remote_part import PartFailed
+from glenfold_lab.stand_ins.remote_worker import WorkerFailed
 from glenfold_lab.stand_ins.run import play_on_sockets, shortened
 
 DAY = Path(__file__).with_name("demo.toml")
@@ -52,7 +52,7 @@
     try:
         with live.watch(console, live.notes(day)) as show:
             result = play_on_sockets(day, seed, on_second=show)
-    except (NotReady, PartFailed, TooLarge) as error:
+    except (NotReady, WorkerFailed, TooLarge) as error:
         raise click.ClickException(str(error)) from error
     for words in live.outcome(result):
         console.print(words, soft_wrap=True, markup=False)
--- a/glenfold_lab/commands/play.py
+++ b/glenfold_lab/commands/play.py
@@ -9,9 +9,9 @@
 
 from glenfold_lab import scenario as scenarios
 from glenfold_lab.results import RunResult, Verdict
-from glenfold_lab.stand_ins.places import TooLarge
+from glenfold_lab.stand_ins.addresses import TooLarge
 from glenfold_lab.stand_ins.relays import NotReady
-from glenfold_lab.stand_ins.remote_part import PartFailed
+from glenfold_lab.stand_ins.remote_worker import WorkerFailed
 from glenfold_lab.stand_ins.run import Snapshot, play_on_sockets, scaled
 
 SHOWN = (
@@ -83,7 +83,7 @@
             logs=logs,
             on_second=lambda second: console.print(row(second)),
         )
-    except (TooLarge, NotReady, PartFailed) as error:
+    except (TooLarge, NotReady, WorkerFailed) as error:
         raise click.ClickException(str(error)) from error
     if json_file is not None:
         json_file.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
--- a/glenfold_lab/commands/soak.py
+++ b/glenfold_lab/commands/soak.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from glenfold_lab.commands.play import words
-from glenfold_lab.soak.day import SHORTEST_S
+from glenfold_lab.soak.plan import MIN_LENGTH_S
 from glenfold_lab.soak.run import Soaked, play
-from glenfold_lab.stand_ins.places import TooLarge
+from glenfold_lab.stand_ins.addresses import TooLarge
 from glenfold_lab.stand_ins.relays import NotReady
-from glenfold_lab.stand_ins.remote_part import PartFailed
+from glenfold_lab.stand_ins.remote_worker import WorkerFailed
 
 
 @click.command("soak")
@@ -18,7 +18,7 @@
 @click.option("--count", type=click.IntRange(1, 10_000), default=3, show_default=True, help="Of runs.")
 @click.option(
     "--seconds",
-    type=click.FloatRange(SHORTEST_S, 3600),
+    type=click.FloatRange(MIN_LENGTH_S, 3600),
     default=20.0,
     show_default=True,
     help="How long each run goes.",
@@ -37,7 +37,7 @@
     for one in range(seed, seed + count):
         try:
             soaked = play(one, seconds, None if logs is None else logs / str(one))
-        except (TooLarge, NotReady, PartFailed) as error:
+        except (TooLarge, NotReady, WorkerFailed) as error:
             raise click.ClickException(f"seed {one}: {error}") from error
         tell(soaked)
         failed += not soaked.passed
--- a/glenfold_lab/scale/connections_run.py
+++ b/glenfold_lab/scale/connections_run.py
@@ -25,7 +25,7 @@
 from glenfold_lab.scale.measured_relay import MeasuredRelay, measured_relay
 from glenfold_lab.scale.measurements import Point
 from glenfold_lab.scale.reference_work import Reference
-from glenfold_lab.stand_ins.places import SERVERS, Net
+from glenfold_lab.stand_ins.addresses import SERVERS, Net
 from glenfold_lab.stand_ins.relays import NotReady
 from glenfold_lab.stand_ins.sockets import Address
 
--- a/glenfold_lab/scale/measured_relay.py
+++ b/glenfold_lab/scale/measured_relay.py
@@ -9,10 +9,10 @@
 import psutil  # type: ignore[import-untyped]
 import trio
 
+from glenfold_lab.stand_ins.addresses import AGENTS, RELAYS, Net
 from glenfold_lab.stand_ins.agent import Agent, Entry, Holding, whole_list
 from glenfold_lab.stand_ins.machine_clock import MachineClock
-from glenfold_lab.stand_ins.places import AGENTS, RELAYS, Net
-from glenfold_lab.stand_ins.relays import Limits, RelayProcess, ended_in_the_end, free_address
+from glenfold_lab.stand_ins.relays import Limits, RelayProcess, free_address, killed_on_exit
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, written
 
@@ -66,7 +66,7 @@
         seen,
         clock,
     )
-    async with trio.open_nursery() as nursery, ended_in_the_end([relay]):
+    async with trio.open_nursery() as nursery, killed_on_exit([relay]):
         await nursery.start(agent.serve)
         relay.start(whole_list(1, entries), seed=1)
         await relay.ready()
--- a/glenfold_lab/scale/relay_lists.py
+++ b/glenfold_lab/scale/relay_lists.py
@@ -29,7 +29,7 @@
 from glenfold_lab.stand_ins.agent import Change, Entry, whole_list
 from glenfold_lab.stand_ins.lateness import percentile
 from glenfold_lab.stand_ins.machine_clock import MachineClock
-from glenfold_lab.stand_ins.relays import Limits, RelayProcess, ended_in_the_end, free_address
+from glenfold_lab.stand_ins.relays import Limits, RelayProcess, free_address, killed_on_exit
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address
 from linnetspread import interface as i
@@ -150,7 +150,7 @@
             address = await self._agent.ask(list_agent.Begin(FIRST_SEQ, self._fleet.entries))
             assert isinstance(address, tuple)
             self._relays = [self._relay(number, address) for number in range(self._terms.relays)]
-            async with ended_in_the_end(self._relays), trio.open_nursery() as nursery:
+            async with killed_on_exit(self._relays), trio.open_nursery() as nursery:
                 nursery.start_soon(self._push_servers.serve)
                 await self._starts("relay.ready", whole_list(FIRST_SEQ, self._fleet.entries))
                 await self._starts("relay.ready_without_list", {})
--- a/glenfold_lab/soak/disturbance.py
+++ b/glenfold_lab/soak/disturbance.py
@@ -9,90 +9,90 @@
 import psutil  # type: ignore[import-untyped]
 import trio
 
-from glenfold_lab.soak.day import SOCKETS, Day
+from glenfold_lab.soak.plan import MAX_SOCKETS, SoakPlan
 from glenfold_lab.stand_ins.machine_clock import MachineClock
 from glenfold_lab.stand_ins.relays import RelayProcess
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import end_now
 
-LOOK_S = 0.05
-CROWD = SOCKETS + 40  # idle clients
-CROWD_AT_S = (3.0, 6.0)
-CROWD_LASTS_S = 3.0
-BETWEEN_SERIES_S = (0.5, 2.5)
-IN_SERIES = (2, 6)  # signals
-BETWEEN_SIGNALS_S = (0.0, 0.1)
-LOOK_GAP_S = 1.0  # between looks at descriptors
-KEPT_LOOKS = 4  # in a row: a relay ends the other side of a connection within a second
+POLL_INTERVAL_S = 0.05
+BURST_CLIENTS = MAX_SOCKETS + 40  # idle clients
+BURST_START_RANGE_S = (3.0, 6.0)
+BURST_LENGTH_S = 3.0
+SERIES_PAUSE_RANGE_S = (0.5, 2.5)
+SIGNALS_PER_SERIES_RANGE = (2, 6)  # signals
+SIGNAL_PAUSE_RANGE_S = (0.0, 0.1)
+CHECK_INTERVAL_S = 1.0  # between checks at descriptors
+MAX_HALF_CLOSED_CHECKS = 4  # in a row: a relay ends the other side of a connection within a second
 
 
 @dataclass(slots=True)
 class Disturbance:
     """Of one run. `signals` counts what was sent, `crowded` the idle clients that came up."""
 
-    day: Day
+    plan: SoakPlan
     seed: int
     signals: Counter[str] = field(default_factory=Counter)
     crowded: int = 0
-    _chance: random.Random = field(init=False)
+    _rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        self._chance = random.Random(f"signals {self.seed}")
+        self._rng = random.Random(f"signals {self.seed}")
 
     async def run(self, relays: Sequence[RelayProcess], seen: Seen, clock: MachineClock) -> None:
         """From the start of the history, until it is cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._reload_and_count, relays)
-            nursery.start_soon(self._signal_those_that_stop, relays)
+            nursery.start_soon(self._signal_stopping_relays, relays)
             nursery.start_soon(watch_descriptors, relays, seen, clock)
-            if self.day.crowd:
-                nursery.start_soon(self._crowd, relays)
+            if self.plan.has_client_burst:
+                nursery.start_soon(self._send_client_burst, relays)
 
     async def _reload_and_count(self, relays: Sequence[RelayProcess]) -> None:
         """SIGHUP and SIGUSR1 in series, to one relay after the other."""
         while True:
-            await trio.sleep(self._chance.uniform(*BETWEEN_SERIES_S))
-            relay = self._chance.choice(relays)
-            for _ in range(self._chance.randint(*IN_SERIES)):
-                name = self._chance.choice(["SIGHUP", "SIGUSR1"])
+            await trio.sleep(self._rng.uniform(*SERIES_PAUSE_RANGE_S))
+            relay = self._rng.choice(relays)
+            for _ in range(self._rng.randint(*SIGNALS_PER_SERIES_RANGE)):
+                name = self._rng.choice(["SIGHUP", "SIGUSR1"])
                 self._send(relay, name)
-                await trio.sleep(self._chance.uniform(*BETWEEN_SIGNALS_S))
+                await trio.sleep(self._rng.uniform(*SIGNAL_PAUSE_RANGE_S))
 
-    async def _signal_those_that_stop(self, relays: Sequence[RelayProcess]) -> None:
-        """A relay that was told to end is told again, and more."""
-        told: set[int] = set()
+    async def _signal_stopping_relays(self, relays: Sequence[RelayProcess]) -> None:
+        """A relay that was signalled to end is signalled again, and more."""
+        signalled: set[int] = set()
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
             for relay in relays:
                 if not relay.stopping:
-                    told.discard(relay.number)
-                elif relay.number not in told:
-                    told.add(relay.number)
-                    for _ in range(self._chance.randint(*IN_SERIES)):
+                    signalled.discard(relay.number)
+                elif relay.number not in signalled:
+                    signalled.add(relay.number)
+                    for _ in range(self._rng.randint(*SIGNALS_PER_SERIES_RANGE)):
                         if not (relay.stopping and relay.running):  # its next process has begun
                             break
-                        self._send(relay, self._chance.choice(["SIGTERM", "SIGINT", "SIGHUP", "SIGUSR1"]))
-                        await trio.sleep(self._chance.uniform(*BETWEEN_SIGNALS_S))
+                        self._send(relay, self._rng.choice(["SIGTERM", "SIGINT", "SIGHUP", "SIGUSR1"]))
+                        await trio.sleep(self._rng.uniform(*SIGNAL_PAUSE_RANGE_S))
 
     def _send(self, relay: RelayProcess, name: str) -> None:
         self.signals[name] += 1
         relay.signal(name)
 
-    async def _crowd(self, relays: Sequence[RelayProcess]) -> None:
+    async def _send_client_burst(self, relays: Sequence[RelayProcess]) -> None:
         """Idle clients fill the descriptors of one relay, and leave together."""
-        await trio.sleep(self._chance.uniform(*CROWD_AT_S))
+        await trio.sleep(self._rng.uniform(*BURST_START_RANGE_S))
         sockets = list[trio.socket.SocketType]()
-        while not (taking := [relay for relay in relays if relay.running and not relay.stopping]):
-            await trio.sleep(LOOK_S)
-        relay = self._chance.choice(taking)
+        while not (candidates := [relay for relay in relays if relay.running and not relay.stopping]):
+            await trio.sleep(POLL_INTERVAL_S)
+        relay = self._rng.choice(candidates)
         try:
-            for _ in range(CROWD):
+            for _ in range(BURST_CLIENTS):
                 sock = trio.socket.socket()
                 sockets.append(sock)
                 with suppress(OSError):
                     await sock.connect(relay.listen)
                     self.crowded += 1
-            await trio.sleep(CROWD_LASTS_S)
+            await trio.sleep(BURST_LENGTH_S)
         finally:
             for sock in sockets:
                 end_now(sock)
@@ -101,15 +101,17 @@
 
 async def watch_descriptors(relays: Sequence[RelayProcess], seen: Seen, clock: MachineClock) -> None:
     """A connection whose other end closed it has to be closed by the relay too."""
-    looks: Counter[tuple[int, object, object]] = Counter()
+    checks: Counter[tuple[int, object, object]] = Counter()
     while True:
-        await trio.sleep(LOOK_GAP_S)
-        now = Counter({one: looks[one] + 1 for relay in relays for one in half_closed(relay)})
+        await trio.sleep(CHECK_INTERVAL_S)
+        now = Counter(
+            {connection: checks[connection] + 1 for relay in relays for connection in half_closed(relay)}
+        )
         for (process, near, far), count in now.items():
-            if count == KEPT_LOOKS:
+            if count == MAX_HALF_CLOSED_CHECKS:
                 number = next(relay.number for relay in relays if relay.process_id == process)
                 seen.fault(clock.now_us(), number, f"{near} keeps what {far} has closed")
-        looks = now
+        checks = now
 
 
 def half_closed(relay: RelayProcess) -> list[tuple[int, object, object]]:
@@ -117,8 +119,10 @@
     if not relay.running or relay.stalled:
         return []
     with suppress(psutil.Error):
-        found = psutil.Process(relay.process_id).net_connections("tcp4")
+        connections = psutil.Process(relay.process_id).net_connections("tcp4")
         return [
-            (relay.process_id, one.laddr, one.raddr) for one in found if one.status == psutil.CONN_CLOSE_WAIT
+            (relay.process_id, one.laddr, one.raddr)
+            for one in connections
+            if one.status == psutil.CONN_CLOSE_WAIT
         ]
     return []
--- a/glenfold_lab/soak/run.py
+++ b/glenfold_lab/soak/run.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from glenfold_lab.results import Verdict
-from glenfold_lab.soak.day import drawn
 from glenfold_lab.soak.disturbance import Disturbance
+from glenfold_lab.soak.plan import draw_plan
 from glenfold_lab.stand_ins.run import play_on_sockets
 
 
@@ -33,9 +33,9 @@
 
 def play(seed: int, length_s: float, logs: Path | None = None) -> Soaked:
     """Raises as `play_on_sockets` does, and ValueError for a length that is too short."""
-    day = drawn(seed, length_s)
-    disturbance = Disturbance(day, seed)
-    result = play_on_sockets(day.scenario, seed, beside=disturbance.run, logs=logs)
+    plan = draw_plan(seed, length_s)
+    disturbance = Disturbance(plan, seed)
+    result = play_on_sockets(plan.scenario, seed, side_task=disturbance.run, logs=logs)
     return Soaked(
         seed=seed,
         verdicts=result.verdicts,
@@ -43,7 +43,7 @@
         up=result.answers["up"],
         refused=int(result.figures["refused"]),
         moves=int(result.figures["moves"]),
-        faults=tuple(fault.kind for fault in day.scenario.faults),
+        faults=tuple(fault.kind for fault in plan.scenario.faults),
         signals=dict(sorted(disturbance.signals.items())),
         crowded=disturbance.crowded,
         peak_mb=max(mb for name, mb in result.cost.items() if name.endswith("peak_mb")),
--- a/glenfold_lab/stand_ins/daemons.py
+++ b/glenfold_lab/stand_ins/daemons.py
@@ -27,23 +27,23 @@
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, written
 
-NAME = "fleet"
-LOOK_S = 0.02
-ANSWER_S = 2.0
-GONE_S = 2.0  # that the kernel may take to end them
-PATIENCE_S = 30.0  # for what is waited for to come true
+FLEET_NAME = "fleet"
+POLL_INTERVAL_S = 0.02
+STATUS_TIMEOUT_S = 2.0
+KILL_TIMEOUT_S = 2.0  # that the kernel may take to end them
+WAIT_TIMEOUT_S = 30.0  # for what is waited for to come true
 COMMAND = [sys.executable, "-m", "glenfold"]
-STARTED_BY = re.compile(rb"\0--instance\0(\d+)\0")
+INSTANCE_OPTION = re.compile(rb"\0--instance\0(\d+)\0")
 
 Answer = dict[str, Any]
 
 
-class NeverCame(Exception):
+class ConditionTimeout(Exception):
     """What was waited for."""
 
 
 def operators_file(
-    day: Scenario,
+    scenario: Scenario,
     kinds: Sequence[str],
     discovery: Address,
     listen: Sequence[Address],
@@ -57,22 +57,22 @@
             "message_aim_ms": kind.message_aim_ms,
             "worth": kind.worth,
         }
-        for kind in day.classes
+        for kind in scenario.classes
     ]
-    rules = day.rules
+    rules = scenario.rules
     document: dict[str, Any] = {
         "format": 1,
-        "instance": {"name": NAME, "folder": "state"},
-        "limits": {"sockets": day.relays.sockets or 4096},
+        "instance": {"name": FLEET_NAME, "folder": "state"},
+        "limits": {"sockets": scenario.relays.sockets or 4096},
         "list": {"discovery": written(discovery)},
         "logging": {"form": "json"},
         "settings": {
             "classes": classes,
-            "zones": list(day.zones.names),
-            "zone": day.zones.names[0],
+            "zones": list(scenario.zones.names),
+            "zone": scenario.zones.names[0],
             "kinds": list(kinds),
             "rules": {
-                "pass_through": day.relays.pass_through,
+                "pass_through": scenario.relays.pass_through,
                 "max_attempts": rules.max_attempts,
                 "cold_share": rules.cold_share,
                 "cold_s": rules.cold_s,
@@ -82,13 +82,13 @@
         },
         "fleet": {"instances": len(listen), "addresses": [[written(address)] for address in listen]},
     }
-    for name, more in tables.items():
-        document[name] = {**document.get(name, {}), **more}
+    for name, keys in tables.items():
+        document[name] = {**document.get(name, {}), **keys}
     return tomlkit.dumps(document)
 
 
 @dataclass(slots=True)
-class Said:
+class CommandResult:
     """What a command came to."""
 
     status: int
@@ -104,7 +104,7 @@
     listen: Sequence[Address]
     seen: Seen
     clock: MachineClock
-    _own: list[subprocess.Popen[bytes]] = field(default_factory=list)
+    _started: list[subprocess.Popen[bytes]] = field(default_factory=list)
     supervisor: subprocess.Popen[bytes] | None = None
 
     @property
@@ -117,50 +117,56 @@
 
     # ---- starting and ending ----
 
-    def up(self) -> None:
+    def start_supervisor(self) -> None:
         """A supervisor begins, in a process of its own."""
         self.supervisor = self._start("fleet", "up", os.fspath(self.file))
 
-    def run(self, relay: int) -> subprocess.Popen[bytes]:
+    def start_instance(self, relay: int) -> subprocess.Popen[bytes]:
         """One more process of that instance, without a supervisor."""
         return self._start("run", os.fspath(self.file), "--instance", str(relay + 1))
 
-    def _start(self, *words: str) -> subprocess.Popen[bytes]:
+    def _start(self, *arguments: str) -> subprocess.Popen[bytes]:
         with (self.file.parent / "log").open("ab") as log:
             process = subprocess.Popen(
-                [*COMMAND, *words],
+                [*COMMAND, *arguments],
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
             )
-        self._own.append(process)
+        self._started.append(process)
         return process
 
-    async def say(self, *words: str) -> Said:
+    async def run_command(self, *arguments: str) -> CommandResult:
         """A command about this file: its words before the file, options after it."""
-        place = next((n for n, word in enumerate(words) if word.startswith("-")), len(words))
-        done = await trio.run_process(
-            [*COMMAND, *words[:place], os.fspath(self.file), *words[place:]],
+        file_position = next(
+            (n for n, argument in enumerate(arguments) if argument.startswith("-")), len(arguments)
+        )
+        process = await trio.run_process(
+            [*COMMAND, *arguments[:file_position], os.fspath(self.file), *arguments[file_position:]],
             cwd=ROOT,
             capture_stdout=True,
             stderr=subprocess.STDOUT,
             check=False,
         )
-        return Said(done.returncode, done.stdout.decode())
+        return CommandResult(process.returncode, process.stdout.decode())
 
     def processes(self) -> dict[int, list[psutil.Process]]:
         """Of each relay, from the oldest on: two while one takes over."""
         found: dict[int, list[psutil.Process]] = {}
         for entry in Path("/proc").iterdir():
             with suppress(OSError, psutil.Error):
-                words = entry.name.isdigit() and (entry / "cmdline").read_bytes()
-                number = words and os.fsencode(self.file.parent) in words and STARTED_BY.search(words)
+                arguments = entry.name.isdigit() and (entry / "cmdline").read_bytes()
+                number = (
+                    arguments
+                    and os.fsencode(self.file.parent) in arguments
+                    and INSTANCE_OPTION.search(arguments)
+                )
                 if number:
                     found.setdefault(int(number[1]) - 1, []).append(psutil.Process(int(entry.name)))
         return {
-            relay: sorted(found[relay], key=lambda one: (one.create_time(), one.pid))
+            relay: sorted(found[relay], key=lambda process: (process.create_time(), process.pid))
             for relay in sorted(found)
         }
 
@@ -180,76 +186,78 @@
 
     def end_all(self) -> None:
         """Supervisors first, as they would start others."""
-        for process in self._own:
+        for process in self._started:
             process.kill()
             process.wait()
-        end = time.monotonic() + GONE_S
-        while (left := self.processes()) and time.monotonic() < end:
-            for one in (one for processes in left.values() for one in processes):
+        deadline = time.monotonic() + KILL_TIMEOUT_S
+        while (remaining := self.processes()) and time.monotonic() < deadline:
+            for process in (each for processes in remaining.values() for each in processes):
                 with suppress(psutil.Error):
-                    one.kill()
-            time.sleep(LOOK_S)
+                    process.kill()
+            time.sleep(POLL_INTERVAL_S)
 
     # ---- how they stand ----
 
-    async def fleet(self) -> Answer:
+    async def fleet_status(self) -> Answer:
         """The supervisor's status; empty if it does not answer."""
         return await self._ask(self.folder / "supervisor" / "control.sock")
 
-    async def instance(self, relay: int) -> Answer:
-        return await self._ask(self.folder / f"{NAME}-{relay + 1}.sock")
+    async def instance_status(self, relay: int) -> Answer:
+        return await self._ask(self.folder / f"{FLEET_NAME}-{relay + 1}.sock")
 
     async def _ask(self, path: Path) -> Answer:
         with suppress(NoAnswer):
-            return (await ask(path, {"ask": "status"}, trio.current_time() + ANSWER_S))[1]
+            return (await ask(path, {"ask": "status"}, trio.current_time() + STATUS_TIMEOUT_S))[1]
         return {}
 
-    async def when(self, who: Callable[[], Any], what: Callable[[Answer], bool]) -> Answer:
-        """The first answer of which that is true. Raises NeverCame."""
+    async def wait_for(self, query: Callable[[], Any], condition: Callable[[Answer], bool]) -> Answer:
+        """The first answer of which that is true. Raises ConditionTimeout."""
         answer: Answer = {}
-        with trio.move_on_after(PATIENCE_S):
+        with trio.move_on_after(WAIT_TIMEOUT_S):
             while True:
-                answer = await who()
-                if answer and what(answer):
+                answer = await query()
+                if answer and condition(answer):
                     return answer
-                await trio.sleep(LOOK_S)
-        raise NeverCame(f"the last answer was {answer}")
+                await trio.sleep(POLL_INTERVAL_S)
+        raise ConditionTimeout(f"the last answer was {answer}")
 
-    async def all_ready(self) -> Answer:
+    async def wait_all_ready(self) -> Answer:
         """By the supervisor's status."""
-        return await self.when(
-            self.fleet, lambda one: {each["phase"] for each in one["instances"]} == {"ready"}
+        return await self.wait_for(
+            self.fleet_status, lambda status: {each["phase"] for each in status["instances"]} == {"ready"}
         )
 
-    async def in_state(self, relay: int, *states: str) -> Answer:
-        return await self.when(lambda: self.instance(relay), lambda one: one["state"] in states)
+    async def wait_for_state(self, relay: int, *states: str) -> Answer:
+        return await self.wait_for(
+            lambda: self.instance_status(relay), lambda status: status["state"] in states
+        )
 
-    async def comes_back(self, relay: int, killed: Sequence[psutil.Process]) -> None:
+    async def wait_for_restart(self, relay: int, killed: Sequence[psutil.Process]) -> None:
         """Returns once one that was killed has answered PING. It counts as up as soon as a new process is
         there, since that takes clients before it says that it is ready."""
         while not set(self.processes().get(relay, ())) - set(killed):
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
         self.seen.relay_up(self.clock.now_us(), relay)
-        await self._pongs(relay)
+        await self._wait_for_pong(relay)
 
-    async def all_answer(self) -> None:
+    async def wait_all_answer(self) -> None:
         """Returns once all have answered their first PING."""
         async with trio.open_nursery() as nursery:
             for relay in self.relays:
-                nursery.start_soon(self._pongs, relay)
+                nursery.start_soon(self._wait_for_pong, relay)
         for relay in self.relays:
             self.seen.relay_up(self.clock.now_us(), relay)
 
-    async def _pongs(self, relay: int) -> None:
-        with trio.move_on_after(PATIENCE_S):
+    async def _wait_for_pong(self, relay: int) -> None:
+        with trio.move_on_after(WAIT_TIMEOUT_S):
             while await ping(self.listen[relay]) is not Ping.ANSWERED:
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
             return
-        raise NeverCame(f"relay {relay} is not ready")
+        raise ConditionTimeout(f"relay {relay} is not ready")
 
 
 @asynccontextmanager
-async def ended_in_the_end(daemons: Daemons) -> AsyncIterator[None]:
+async def killed_on_exit(daemons: Daemons) -> AsyncIterator[None]:
     """Whatever happens inside, none of their processes is left."""
     try:
         yield
--- a/glenfold_lab/stand_ins/fleet.py
+++ b/glenfold_lab/stand_ins/fleet.py
@@ -1,8 +1,8 @@
-"""One history of a fleet of real daemons: the same stand-ins as for the platform's relays, and a course of
-events that somebody else writes.
+"""Plays one history of a fleet of real daemons, with a course of events that the caller provides.
 
-All instances ask one agent and have the same addresses of push servers, as the one operators' file says. So a
-push server does not see which relay calls; a request's relay is the one that its client asked.
+The stand-ins are the same as for the platform's relays. All instances share one operators' file, so they ask
+the same agent and reach the push servers at the same addresses. A push server therefore cannot tell which
+relay calls it; the relay of a request is the one that its client connected to.
 """
 
 import tempfile
@@ -22,46 +22,50 @@
 from glenfold_lab.observe import Record, Watcher
 from glenfold_lab.results import Happened, RunResult
 from glenfold_lab.spec import Scenario
+from glenfold_lab.stand_ins.addresses import AGENTS, RELAYS, SERVERS, Addresses, Net
 from glenfold_lab.stand_ins.agent import Agent, Holding
 from glenfold_lab.stand_ins.clients import Client
-from glenfold_lab.stand_ins.daemons import Daemons, ended_in_the_end, operators_file
-from glenfold_lab.stand_ins.judge import Judge
+from glenfold_lab.stand_ins.daemons import Daemons, killed_on_exit, operators_file
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
 from glenfold_lab.stand_ins.outcome import Outcome
-from glenfold_lab.stand_ins.part import Part, Report, Share, Times, end_of
-from glenfold_lab.stand_ins.places import AGENTS, RELAYS, SERVERS, Net, Places
 from glenfold_lab.stand_ins.push_server import PushServer
+from glenfold_lab.stand_ins.reconciler import Reconciler
 from glenfold_lab.stand_ins.relays import free_address
-from glenfold_lab.stand_ins.remote_part import RemotePart, remote
+from glenfold_lab.stand_ins.remote_worker import RemoteWorker, remote
 from glenfold_lab.stand_ins.script import Script, draw
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.service import Second
 from glenfold_lab.stand_ins.sockets import SocketType
+from glenfold_lab.stand_ins.worker import Report, Share, StandInWorker, Times, end_time
 from glenfold_lab.streams import Streams
 
-BEGIN_US = SECOND_US // 2  # from the relays' being ready to the first client
-FILL_PER_S = 300
-SAMPLE_S = 1.0
+START_DELAY_US = SECOND_US // 2  # Time between readiness of all relays and the first client.
+INITIAL_CONNECTIONS_PER_S = 300
+SAMPLE_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Crowds:
-    """Beside the scenario's clients: so many that come within two seconds of that moment, each for as long as
-    one of those that stood at the start. one_s: that the agent takes for a whole list, one at a time."""
+class ClientBurst:
+    """A burst of clients in addition to those of the scenario, and a slow agent.
+
+    `clients` clients arrive within two seconds from `at_s` on. Each stays for as long as one of the clients
+    that were connected at the start. `full_list_s` is the time that the agent needs for each full list; it
+    sends full lists one at a time.
+    """
 
     at_s: float = 0.0
     clients: int = 0
-    one_s: float = 0.0
+    full_list_s: float = 0.0
 
-    OVER_US = 2 * SECOND_US
+    ARRIVAL_SPAN_US = 2 * SECOND_US
 
 
-class OneAtATime(Agent):
-    """Gives whole lists in turn; each takes `one_s` seconds."""
+class SerialAgent(Agent):
+    """An agent that sends full lists one at a time; each takes `full_list_s` seconds."""
 
     def __init__(
         self,
-        one_s: float,
+        full_list_s: float,
         relays: Sequence[int],
         host: str,
         holding: Holding,
@@ -69,52 +73,57 @@
         clock: MachineClock,
     ) -> None:
         super().__init__(relays, host, holding, seen, clock)
-        self._one_s = one_s
-        self._turn = trio.Lock()
+        self._full_list_s = full_list_s
+        self._lock = trio.Lock()
 
     async def _whole(self, connection: h11.Connection, sock: SocketType) -> int:
-        async with self._turn:
-            await trio.sleep(self._one_s)
+        async with self._lock:
+            await trio.sleep(self._full_list_s)
             return await super()._whole(connection, sock)
 
 
 @dataclass
-class FleetPart(Part):
-    """One process's stand-ins for a fleet: push servers with one address each, one agent for all relays."""
+class FleetWorker(StandInWorker):
+    """The stand-ins of one process for a fleet: servers with one address each, one agent for all relays."""
 
-    crowds: Crowds = Crowds()
+    burst: ClientBurst = ClientBurst()
 
-    async def bind(self) -> Places:
-        places, relays = await super().bind(), range(self.scenario.relays.count)
+    async def bind(self) -> Addresses:
+        addresses, relays = await super().bind(), range(self.scenario.relays.count)
         self._servers = {
             index: PushServer(server.holder, self._clock, [self.net.host(SERVERS, index)])
             for index, server in self._servers.items()
         }
-        places.servers = {index: server.addresses * len(relays) for index, server in self._servers.items()}
+        addresses.servers = {index: server.addresses * len(relays) for index, server in self._servers.items()}
         if self._agents:
-            agent = OneAtATime(
-                self.crowds.one_s, relays, self.net.host(AGENTS, 0), Holding(1, []), self.seen, self._clock
+            agent = SerialAgent(
+                self.burst.full_list_s,
+                relays,
+                self.net.host(AGENTS, 0),
+                Holding(1, []),
+                self.seen,
+                self._clock,
             )
             self._agents = {0: agent}
-            places.agents = dict.fromkeys(relays, agent.address)
-        return places
+            addresses.agents = dict.fromkeys(relays, agent.address)
+        return addresses
 
     def _draw_clients(self, start: int) -> tuple[list[Client], list[Client]]:
         standing, coming = super()._draw_clients(start)
         assert self.share.clients is not None
         random = Streams(self.seed).of("stands", "crowd", self.share.clients[0])
-        at = start + round(self.crowds.at_s * SECOND_US)
-        wanted = self.crowds.clients // self.share.clients[1]
-        for n in range(wanted if standing else 0):
-            like = standing[n % len(standing)]
-            begin = at + int(random.integers(Crowds.OVER_US))
+        at = start + round(self.burst.at_s * SECOND_US)
+        count = self.burst.clients // self.share.clients[1]
+        for n in range(count if standing else 0):
+            template = standing[n % len(standing)]
+            arrival = at + int(random.integers(ClientBurst.ARRIVAL_SPAN_US))
             coming.append(
                 replace(
-                    like,
+                    template,
                     stood=False,
                     number=len(coming) + (n + 1 << 32),
-                    at=begin,
-                    until=begin + like.until - start,
+                    at=arrival,
+                    until=arrival + template.until - start,
                     key=int(random.integers(1 << 63)),
                     host=None,
                 )
@@ -124,17 +133,23 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Of all processes that one instance has had. two_mb: most of two of them at once."""
+    """Resource usage of all processes that one instance has had.
+
+    `takeover_peak_mb` is the maximum memory of the old and the new process together during a takeover.
+    """
 
     cpu_s: float = 0.0
     peak_mb: float = 0.0
-    two_mb: float = 0.0
+    takeover_peak_mb: float = 0.0
 
 
 @dataclass(slots=True)
-class Course:
-    """What is at hand for whoever writes the course of a history. Times that `note` keeps are told in the
-    result."""
+class HistoryContext:
+    """The objects that a `RunCourse` function works with.
+
+    `start` is the start of the history on the machine's clock. Events passed to `record_event` are reported
+    in the result.
+    """
 
     daemons: Daemons
     clock: MachineClock
@@ -145,29 +160,32 @@
         await self.clock.until(self.start + at_s * SECOND_US)
 
     def now_us(self) -> int:
-        """From the history's start."""
+        """Returns the time since the start of the history."""
         return self.clock.now_us() - self.start
 
-    def note(self, what: str, since_us: int | None = None, relays: tuple[int, ...] = ()) -> Happened:
-        """`since_us`: it has lasted from then until now."""
+    def record_event(self, what: str, since_us: int | None = None, relays: tuple[int, ...] = ()) -> Happened:
+        """Records an event that happens now, or one that has lasted from `since_us` until now."""
         now = self.now_us()
-        one = (
+        event = (
             Happened(what, now, None, relays=relays)
             if since_us is None
             else Happened(what, since_us, now, relays=relays)
         )
-        self.happened.append(one)
-        return one
+        self.happened.append(event)
+        return event
 
 
-Begin = Callable[[Daemons], Awaitable[None]]
-Goes = Callable[[Course], Awaitable[None]]
+StartRelays = Callable[[Daemons], Awaitable[None]]
+RunCourse = Callable[[HistoryContext], Awaitable[None]]
 
 
 @dataclass(slots=True)
-class Played:
-    """What a history came to. records: settled, moments on the machine's clock, which was `start` at its
-    start. unreached: as in `Seen`."""
+class PlayedHistory:
+    """The outcome of a history.
+
+    `records` are the reconciled observations. Their times are on the machine's clock, and so is `start`, the
+    start of the history. `unreached` is as in `Seen`.
+    """
 
     result: RunResult
     records: list[Record]
@@ -178,26 +196,28 @@
 
 
 def play_fleet(
-    day: Scenario,
+    scenario: Scenario,
     seed: int,
-    begin: Begin,
-    goes: Goes,
+    start_relays: StartRelays,
+    run_course: RunCourse,
     *,
-    crowds: Crowds | None = None,
+    burst: ClientBurst | None = None,
     processes: int = 0,
     tables: Mapping[str, Mapping[str, Any]] | None = None,
     watchers: Sequence[Watcher] = (),
     revision: str = "work tree",
-) -> Played:
+) -> PlayedHistory:
     """Plays one history with an instance for each of the scenario's relays.
 
-    begin: starts them, and returns once all are ready. goes: the course of the history from its start on;
-    when both it and the scenario's length are over, so is the history. crowds: see there. processes: for the
-    stand-ins beside this one, an even number; 0: none. tables: merged into those of the operators' file.
+    `start_relays` starts the instances and returns once all are ready. `run_course` runs from the start of
+    the history on; the history ends when both `run_course` and the scenario's length have ended. `burst` is
+    None for no extra clients. `processes` is the number of additional processes for the stand-ins: an even
+    number, or 0 to play them in this process. `tables` are merged into the tables of the operators' file.
 
-    Whatever it started has ended when it returns. Raises `daemons.NeverCame`, `remote_part.PartFailed`.
+    All processes that were started have ended when the function returns. Raises `daemons.ConditionTimeout`
+    and `remote_worker.WorkerFailed`.
     """
-    run = _Run(day, seed, begin, goes, crowds or Crowds(), tables or {})
+    run = _Run(scenario, seed, start_relays, run_course, burst or ClientBurst(), tables or {})
     with (
         tempfile.TemporaryDirectory(prefix="glenfold-fleet-") as folder,
         ExitStack() as stack,
@@ -209,11 +229,11 @@
 
 @dataclass(slots=True)
 class _Run:
-    day: Scenario
+    scenario: Scenario
     seed: int
-    begin: Begin
-    goes: Goes
-    crowds: Crowds
+    start_relays: StartRelays
+    run_course: RunCourse
+    burst: ClientBurst
     tables: Mapping[str, Mapping[str, Any]]
     _script: Script = field(init=False)
     _daemons: Daemons = field(init=False)
@@ -224,80 +244,92 @@
     _happened: list[Happened] = field(default_factory=list)
     _logs: dict[str, str] = field(default_factory=dict)
     _times: Times = Times(0, 0)
-    _took_s: float = 0.0
+    _elapsed_s: float = 0.0
 
     async def play(self, folder: Path, stack: ExitStack, processes: int) -> None:
-        began = time.monotonic()
-        self._script = draw(self.day, self.seed)
+        started_at = time.monotonic()
+        self._script = draw(self.scenario, self.seed)
         net, clock, half = Net(), MachineClock(), max(1, processes // 2)
-        parts: list[Part] = [
-            FleetPart(self.day, self.seed, share, net, crowds=self.crowds)
+        local_workers: list[StandInWorker] = [
+            FleetWorker(self.scenario, self.seed, share, net, burst=self.burst)
             for share in self._shares(processes, half)
         ]
-        played: Sequence[Part | RemotePart] = stack.enter_context(remote(parts)) if processes else parts
-        relays = range(self.day.relays.count)
-        places = Places(relays=[free_address(net.host(RELAYS, relay)) for relay in relays])
-        for part in played:
-            places |= await part.bind()
-        self._daemons = self._make_daemons(folder, places, clock)
-        async with ended_in_the_end(self._daemons):
+        workers: Sequence[StandInWorker | RemoteWorker] = (
+            stack.enter_context(remote(local_workers)) if processes else local_workers
+        )
+        relays = range(self.scenario.relays.count)
+        addresses = Addresses(relays=[free_address(net.host(RELAYS, relay)) for relay in relays])
+        for worker in workers:
+            addresses |= await worker.bind()
+        self._daemons = self._make_daemons(folder, addresses, clock)
+        async with killed_on_exit(self._daemons):
             try:
-                await self._play_parts(played, places, clock)
+                await self._play_workers(workers, addresses, clock)
             finally:
                 self._keep_logs()
-        self._took_s = time.monotonic() - began
+        self._elapsed_s = time.monotonic() - started_at
 
     def _shares(self, processes: int, half: int) -> list[Share]:
-        servers, relays = range(len(self._script.fleet.machines)), tuple(range(self.day.relays.count))
+        servers, relays = range(len(self._script.fleet.machines)), tuple(range(self.scenario.relays.count))
         if not processes:
             return [Share(0, tuple(servers), relays, (0, 1))]
-        stands = [Share(n, tuple(servers[n::half]), () if n else relays, None) for n in range(half)]
-        return stands + [Share(half + n, (), (), (n, half)) for n in range(half)]
+        servers_and_agents = [
+            Share(n, tuple(servers[n::half]), () if n else relays, None) for n in range(half)
+        ]
+        return servers_and_agents + [Share(half + n, (), (), (n, half)) for n in range(half)]
 
-    def _make_daemons(self, folder: Path, places: Places, clock: MachineClock) -> Daemons:
-        file, kinds = folder / "glenfold.toml", [kind.name for kind in self.day.servers.kinds]
-        file.write_text(operators_file(self.day, kinds, places.agents[0], places.relays, **self.tables))
-        return Daemons(file, places.relays, self._seen, clock)
+    def _make_daemons(self, folder: Path, addresses: Addresses, clock: MachineClock) -> Daemons:
+        file, kinds = folder / "glenfold.toml", [kind.name for kind in self.scenario.servers.kinds]
+        file.write_text(
+            operators_file(self.scenario, kinds, addresses.agents[0], addresses.relays, **self.tables)
+        )
+        return Daemons(file, addresses.relays, self._seen, clock)
 
-    async def _play_parts(
-        self, played: Sequence[Part | RemotePart], places: Places, clock: MachineClock
+    async def _play_workers(
+        self, workers: Sequence[StandInWorker | RemoteWorker], addresses: Addresses, clock: MachineClock
     ) -> None:
         ready = trio.Event()
 
-        async def begun() -> Times:
+        async def times_when_ready() -> Times:
             await ready.wait()
             return self._times
 
         async with trio.open_nursery() as nursery:
-            async with trio.open_nursery() as parts:
-                for part in played:
-                    parts.start_soon(part.play, places, begun, _nobody)
-                await self.begin(self._daemons)
-                fill, standing = clock.now_us() + BEGIN_US, self._standing()
-                self._times = Times(fill, fill + BEGIN_US + standing * SECOND_US // FILL_PER_S)
+            async with trio.open_nursery() as plays:
+                for worker in workers:
+                    plays.start_soon(worker.play, addresses, times_when_ready, _ignore_second)
+                await self.start_relays(self._daemons)
+                fill, standing = clock.now_us() + START_DELAY_US, self._standing()
+                self._times = Times(
+                    fill, fill + START_DELAY_US + standing * SECOND_US // INITIAL_CONNECTIONS_PER_S
+                )
                 ready.set()
                 nursery.start_soon(self._sample)
-                course = Course(self._daemons, clock, self._times.start, self._happened)
+                course = HistoryContext(self._daemons, clock, self._times.start, self._happened)
                 await clock.until(course.start)
-                await self.goes(course)
+                await self.run_course(course)
             nursery.cancel_scope.cancel()
-        self._reports = [part.report() for part in played]
+        self._reports = [worker.report() for worker in workers]
 
     def _standing(self) -> int:
-        people = Population(self.day, self._script.fleet.terms, Streams(self.seed), 0)
-        return len(people.standing().at)
+        population = Population(self.scenario, self._script.fleet.terms, Streams(self.seed), 0)
+        return len(population.standing().at)
 
     async def _sample(self) -> None:
         while True:
             for relay, processes in self._daemons.processes().items():
                 usage = self._usage.setdefault(relay, Usage())
-                found = [self._sample_one(usage, one) for one in processes]
-                usage.peak_mb = max([usage.peak_mb, *found])
-                usage.two_mb = max(usage.two_mb, sum(found)) if len(found) > 1 else usage.two_mb
-            await trio.sleep(SAMPLE_S)
+                sizes_mb = [self._sample_process(usage, process) for process in processes]
+                usage.peak_mb = max([usage.peak_mb, *sizes_mb])
+                usage.takeover_peak_mb = (
+                    max(usage.takeover_peak_mb, sum(sizes_mb))
+                    if len(sizes_mb) > 1
+                    else usage.takeover_peak_mb
+                )
+            await trio.sleep(SAMPLE_INTERVAL_S)
 
-    def _sample_one(self, usage: Usage, process: psutil.Process) -> float:
-        """Its memory, in MB."""
+    def _sample_process(self, usage: Usage, process: psutil.Process) -> float:
+        """Adds the CPU time of `process` to `usage` and returns its memory in MB, 0 if it has exited."""
         try:
             times, memory = process.cpu_times(), process.memory_info().rss / 2**20
         except psutil.Error:
@@ -312,31 +344,32 @@
             if path.exists():
                 self._logs[path.name] = path.read_text(errors="replace")
 
-    # ---- what it came to ----
+    # ---- results ----
 
-    def played(self, revision: str, watchers: Sequence[Watcher]) -> Played:
-        end = end_of(self.day, self._times)
+    def played(self, revision: str, watchers: Sequence[Watcher]) -> PlayedHistory:
+        end = end_time(self.scenario, self._times)
         outcome = Outcome(self._script, self.seed, self._times.start, end, self._reports, self._seen)
-        first = [machine.number for machine in self._script.first]
-        judge = Judge(self.day.relays.count, first, self.day.relays.pass_through)
-        records = judge.settle(_by_their_relays(outcome.seen_by_all()), end)
+        first = [machine.number for machine in self._script.initial_servers]
+        reconciler = Reconciler(self.scenario.relays.count, first, self.scenario.relays.pass_through)
+        records = reconciler.reconcile(_with_client_relays(outcome.all_records()), end)
         result = outcome.result(records, revision, self._happened, self._cost(), watchers)
         unreached = [one for report in self._reports for one in report.unreached]
-        return Played(result, records, sorted(unreached), self._times.start, self._usage, self._logs)
+        return PlayedHistory(result, records, sorted(unreached), self._times.start, self._usage, self._logs)
 
     def _cost(self) -> dict[str, float]:
-        cost = {"seconds": self._took_s}
+        cost = {"seconds": self._elapsed_s}
         for relay, usage in sorted(self._usage.items()):
             cost[f"n{relay} cpu_s"] = round(usage.cpu_s, 3)
             cost[f"n{relay} peak_mb"] = round(usage.peak_mb, 1)
         return cost
 
 
-def _nobody(second: Second) -> None:
-    """Nobody watches second by second."""
+def _ignore_second(second: Second) -> None:
+    """Discards the report of a second, as a fleet history has no live view."""
 
 
-def _by_their_relays(records: list[Record]) -> list[Record]:
+def _with_client_relays(records: list[Record]) -> list[Record]:
+    """Returns the records with the relay of each attempt set to the one that its client connected to."""
     relay_of = {values[1]: values[2] for name, values in records if name == "taken"}
     return [
         (name, (*values[:2], relay_of.get(values[1], values[2]), *values[3:]))
--- a/glenfold_lab/stand_ins/outcome.py
+++ b/glenfold_lab/stand_ins/outcome.py
@@ -11,15 +11,15 @@
 from glenfold_lab.observe import Record, Watcher, Watchers, replay
 from glenfold_lab.results import Happened, RunResult, Series, Verdict
 from glenfold_lab.spec import Scenario
-from glenfold_lab.stand_ins.judge import SLACK_US
 from glenfold_lab.stand_ins.lateness import MOST_MS, percentile
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
-from glenfold_lab.stand_ins.part import Report
+from glenfold_lab.stand_ins.reconciler import SLACK_US
 from glenfold_lab.stand_ins.script import Script
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.service import figures
+from glenfold_lab.stand_ins.worker import Report
 
-MOST_KEPT = 100  # verdicts
+MAX_VERDICTS = 100  # verdicts
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     def _scenario(self) -> Scenario:
         return self.script.scenario
 
-    def seen_by_all(self) -> list[Record]:
+    def all_records(self) -> list[Record]:
         return [*self.seen.records, *(record for report in self.reports for record in report.records)]
 
     def result(
@@ -51,7 +51,7 @@
         """Of observations as a judge has settled them; `watchers` see them too. `happened`, beside what is in
         the script."""
         scenario, script = self._scenario, self.script
-        checker = Checker(scenario.rules, SLACK_US, MOST_KEPT, self.start)
+        checker = Checker(scenario.rules, SLACK_US, MAX_VERDICTS, self.start)
         measures = Measures(
             [kind.name for kind in scenario.classes],
             self.start,
@@ -60,7 +60,9 @@
         watcher = Watchers(checker, measures, *watchers)
         replay(records, watcher)
         watcher.finish(self.end)
-        verdicts = tuple(sorted((*checker.verdicts(), *self._faults()), key=lambda one: one.at_us))
+        verdicts = tuple(
+            sorted((*checker.verdicts(), *self._fault_verdicts()), key=lambda verdict: verdict.at_us)
+        )
         return RunResult(
             scenario=scenario.name,
             seed=self.seed,
@@ -77,21 +79,21 @@
             },
             verdicts=verdicts,
             verdicts_left_out=checker.left_out,
-            happened=tuple(sorted([*script.happened, *happened], key=lambda one: one.at_us)),
+            happened=tuple(sorted([*script.happened, *happened], key=lambda event: event.at_us)),
             cost=cost,
             guards_against=" ".join(scenario.guards_against.split()),
         )
 
-    def _faults(self) -> list[Verdict]:
-        """What relays did that no rule of the platform words."""
+    def _fault_verdicts(self) -> list[Verdict]:
+        """What relays did that no rule of the platform text."""
         seen = [*self.seen.faults, *(fault for report in self.reports for fault in report.faults)]
         return [
-            Verdict("protocol", at - self.start, None, None, relay, (words,))
-            for at, relay, words in seen
+            Verdict("protocol", at - self.start, None, None, relay, (text,))
+            for at, relay, text in seen
             if at <= self.end
         ]
 
-    def _figures(self, measures: Measures, records: list[Record], broken: int) -> dict[str, float]:
+    def _figures(self, measures: Measures, records: list[Record], verdict_count: int) -> dict[str, float]:
         wanted, served = self._clients_seconds()
         kinds = [kind.name for kind in self._scenario.classes]
         late = [ms for report in self.reports for ms in report.late_ms]
@@ -106,7 +108,7 @@
                 "requests": float(taken),
                 "attempts_per_request": sent / max(1, taken),
                 "refused": float(measures.answers()["busy"]),
-                "rules_broken": float(broken),
+                "rules_broken": float(verdict_count),
                 "late_p99_ms": round(worst, 3),
                 "late_most_ms": round(max(late, default=0.0), 3),
                 "late": float(worst > MOST_MS),
--- a/glenfold_lab/stand_ins/relays.py
+++ b/glenfold_lab/stand_ins/relays.py
@@ -27,9 +27,9 @@
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, bind, written
 
-READY_S = 30.0  # for a relay to answer its first PING
-LOOK_S = 0.02  # between two tries to reach one that starts
-TAIL = 40  # lines of a log that are kept for the report
+READY_TIMEOUT_S = 30.0  # for a relay to answer its first PING
+POLL_INTERVAL_S = 0.02  # between two tries to reach one that starts
+LOG_TAIL_LINES = 40  # lines of a log that are kept for the report
 PR_SET_PDEATHSIG = 1
 ROOT = Path(glenfold.__file__).parent.parent
 
@@ -46,7 +46,7 @@
     memory_mb: float | None = None
     sockets: int | None = None
 
-    def plain(self) -> dict[str, float]:
+    def as_dict(self) -> dict[str, float]:
         given = {"cores": self.cores, "memory_mb": self.memory_mb, "sockets": self.sockets}
         return {name: value for name, value in given.items() if value is not None}
 
@@ -88,10 +88,10 @@
         self._seen = seen
         self._clock = clock
         self._process: subprocess.Popen[bytes] | None = None
-        self._watched: psutil.Process | None = None
+        self._psutil_process: psutil.Process | None = None
         self._cpu_before = 0.0
         self._starts = 0
-        self._known: dict[str, object] = {}
+        self._initial_list: dict[str, object] = {}
         folder.mkdir(parents=True)
 
     @property
@@ -114,17 +114,17 @@
         if not self.log.exists():
             return []
         with self.log.open(errors="replace") as lines:
-            return [line.rstrip("\n") for line in deque(lines, TAIL)]
+            return [line.rstrip("\n") for line in deque(lines, LOG_TAIL_LINES)]
 
     # ---- its life ----
 
-    def start(self, known: dict[str, object], seed: int) -> None:
-        """Its process begins; `known` is the list that it starts with, in discovery's form."""
+    def start(self, initial_list: dict[str, object], seed: int) -> None:
+        """Its process begins; `initial_list` is the list that it starts with, in discovery's form."""
         self._starts += 1
         self.killed_for_memory = False
         self.stopping = self.stalled = False
-        self._known = known
-        self._write(seed)
+        self._initial_list = initial_list
+        self._write_config(seed)
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", "glenfold"],
@@ -133,18 +133,18 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                preexec_fn=self._bound,
+                preexec_fn=self._apply_limits,
                 start_new_session=True,
             )
-        self._watched = psutil.Process(self._process.pid)
+        self._psutil_process = psutil.Process(self._process.pid)
         self._cpu_before = 0.0
 
     def _environment(self) -> dict[str, str]:
         temporary = self._folder / f"tmp-{self._starts}"
         temporary.mkdir()
-        kept = {name: os.environ[name] for name in ("PATH", "LANG", "HOME") if name in os.environ}
+        inherited = {name: os.environ[name] for name in ("PATH", "LANG", "HOME") if name in os.environ}
         return {
-            **kept,
+            **inherited,
             "LB_NAME": self.name,
             "LB_LISTEN": written(self.listen),
             "TMPDIR": str(temporary),
@@ -152,49 +152,49 @@
             "LB_CONFIG": str(self._folder / "config.json"),
         }
 
-    def _write(self, seed: int) -> None:
+    def _write_config(self, seed: int) -> None:
         document = {
             "name": self.name,
             "listen": written(self.listen),
             "discovery": written(self.discovery),
             "seed": f"{seed:x}",
-            "limits": self.limits.plain(),
-            "known": self._known,
+            "limits": self.limits.as_dict(),
+            "known": self._initial_list,
             "settings": self._settings,
         }
         (self._folder / "config.json").write_text(json.dumps(document))
 
-    def _bound(self) -> None:
+    def _apply_limits(self) -> None:
         """In the new process, before the relay: its limits, and that it does not outlive its parent."""
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-        for early in (signal.SIGHUP, signal.SIGUSR1):  # as `run` of the deploy file does
-            signal.signal(early, signal.SIG_IGN)
+        for early_signal in (signal.SIGHUP, signal.SIGUSR1):  # as `run` of the deploy file does
+            signal.signal(early_signal, signal.SIG_IGN)
         if self.limits.sockets is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (self.limits.sockets, self.limits.sockets))
 
     async def ready(self) -> None:
         """Returns once it has answered PING; `NotReady` when it ended or took too long."""
-        with trio.move_on_at(trio.current_time() + READY_S):
+        with trio.move_on_at(trio.current_time() + READY_TIMEOUT_S):
             while self.running:
                 if await ping(self.listen) is Ping.ANSWERED:
                     self._seen.relay_up(self._clock.now_us(), self.number)
                     return
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
         raise NotReady("\n".join([f"{self.name} is not ready", *self.tail()]))
 
     def reload(self, discovery: Address) -> None:
         """Discovery is at another address: told by its file and SIGHUP."""
         self.discovery = discovery
-        self._write(0)
+        self._write_config(0)
         self._signal(signal.SIGHUP)
 
     def crash(self) -> None:
         """SIGKILL; returns when its process is gone."""
         if self._process is None:
             return
-        down_before = not self.running
+        was_down = not self.running
         self.sample()
-        if not down_before:
+        if not was_down:
             self._seen.relay_down(self._clock.now_us(), self.number)
         self._signal(signal.SIGCONT)
         self._signal(signal.SIGKILL)
@@ -209,7 +209,7 @@
         self.stopping = True
         while self.running and self._clock.now_us() < kill_at:
             self.sample()
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
         if self.running:
             self.crash()
         else:
@@ -236,18 +236,21 @@
 
     def sample(self, seconds: float = 0.0) -> None:
         """Reads its CPU time and memory; `seconds` since the last time, for the share of a core."""
-        if self._watched is None:
+        if self._psutil_process is None:
             return
         with suppress(psutil.Error):
-            times, memory_mb = self._watched.cpu_times(), self._watched.memory_info().rss / 2**20
+            times, memory_mb = (
+                self._psutil_process.cpu_times(),
+                self._psutil_process.memory_info().rss / 2**20,
+            )
             used = times.user + times.system
             self.usage.cpu_s += used - self._cpu_before
             if seconds:
                 self.usage.cpu_share = (used - self._cpu_before) / seconds
             self._cpu_before = used
             self.usage.peak_mb = max(self.usage.peak_mb, memory_mb)
-            over = self.limits.memory_mb is not None and memory_mb > self.limits.memory_mb
-            if over and not self.killed_for_memory:  # it is looked at once more as it is killed
+            is_over_limit = self.limits.memory_mb is not None and memory_mb > self.limits.memory_mb
+            if is_over_limit and not self.killed_for_memory:  # it is looked at once more as it is killed
                 self.killed_for_memory = True
                 self.crash()
 
@@ -260,7 +263,7 @@
 
 
 @asynccontextmanager
-async def ended_in_the_end(relays: Sequence[RelayProcess]) -> AsyncIterator[None]:
+async def killed_on_exit(relays: Sequence[RelayProcess]) -> AsyncIterator[None]:
     """Whatever happens inside, none of their processes is left."""
     try:
         yield
--- a/glenfold_lab/stand_ins/script.py
+++ b/glenfold_lab/stand_ins/script.py
@@ -25,18 +25,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deed:
-    """At `at`, `what` is done to the server or relay `who` (its place); `value` is as `what` needs it."""
+class Action:
+    """At `at`, `kind` is done to the server or relay `target` (its place); `value` is as `kind` needs it."""
 
     at: int
-    who: int
-    what: str
+    target: int
+    kind: str
     value: float = 0.0
     relays: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListUpdate:
     """At `at` the agent of a relay holds this version, or writes it once more."""
 
     at: int
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class Interval:
     """From `at` to `until`, for these relays."""
 
     at: int
@@ -72,13 +72,13 @@
     epoch: int  # the start on the clock of `Entry.started`, which tells 0 for long ago
     fleet: Fleet
     network: Network
-    first: tuple[Machine, ...]
-    servers: list[Deed] = field(default_factory=list)
-    relays: list[Deed] = field(default_factory=list)
-    news: list[News] = field(default_factory=list)
-    due: list[News] = field(default_factory=list)
-    quiet: list[Span] = field(default_factory=list)
-    cut_off: list[Span] = field(default_factory=list)
+    initial_servers: tuple[Machine, ...]
+    servers: list[Action] = field(default_factory=list)
+    relays: list[Action] = field(default_factory=list)
+    list_updates: list[ListUpdate] = field(default_factory=list)
+    list_deadlines: list[ListUpdate] = field(default_factory=list)
+    silent_agents: list[Interval] = field(default_factory=list)
+    unreachable_relays: list[Interval] = field(default_factory=list)
     drops: list[Drop] = field(default_factory=list)
     happened: list[Happened] = field(default_factory=list)
 
@@ -86,15 +86,15 @@
     def length(self) -> int:
         return round(self.scenario.length_s * SECOND_US)
 
-    def known(self, relay: int, at: int) -> tuple[int, tuple[Entry, ...]]:
+    def held_list(self, relay: int, at: int) -> tuple[int, tuple[Entry, ...]]:
         """Version and list as this relay's agent holds them at that moment."""
-        held = {machine.number: (1, Entry(machine, ListedState.READY, 0)) for machine in self.first}
-        for one in self.news:
-            if one.relay == relay and one.at <= at:
+        held = {machine.number: (1, Entry(machine, ListedState.READY, 0)) for machine in self.initial_servers}
+        for update in self.list_updates:
+            if update.relay == relay and update.at <= at:
                 held |= {
-                    entry.machine.number: (one.version, entry)
-                    for entry in one.entries
-                    if one.version >= held.get(entry.machine.number, (0,))[0]
+                    entry.machine.number: (update.version, entry)
+                    for entry in update.entries
+                    if update.version >= held.get(entry.machine.number, (0,))[0]
                 }
         version = max(version for version, _ in held.values())
         return version, tuple(entry for _, entry in held.values() if entry.state is not ListedState.GONE)
@@ -109,20 +109,22 @@
     _Machines(script, streams, kernel).run(kernel.start + script.length)
     _RelayFaults(script, streams).draw()
     for happened in script.happened:
-        _note_silence(script, happened)
-    script.relays.sort(key=lambda deed: deed.at)
+        _add_silence(script, happened)
+    script.relays.sort(key=lambda action: action.at)
     script.happened.sort(key=lambda happened: happened.at_us)
     return script
 
 
-def _note_silence(script: Script, happened: Happened) -> None:
+def _add_silence(script: Script, happened: Happened) -> None:
     until = script.length if happened.until_us is None else happened.until_us
     if happened.what == "list_silent":
-        script.quiet.append(Span(happened.at_us, until, tuple(range(script.scenario.relays.count))))
+        script.silent_agents.append(
+            Interval(happened.at_us, until, tuple(range(script.scenario.relays.count)))
+        )
     if happened.what == "zone_loss" and happened.relays:
-        span = Span(happened.at_us, until, happened.relays)
-        script.quiet.append(span)
-        script.cut_off.append(span)
+        interval = Interval(happened.at_us, until, happened.relays)
+        script.silent_agents.append(interval)
+        script.unreachable_relays.append(interval)
 
 
 class _Machines:
@@ -131,8 +133,8 @@
     def __init__(self, script: Script, streams: Streams, kernel: Kernel) -> None:
         scenario, self._kernel = script.scenario, kernel
         servers = PushServers(scenario, streams, kernel, Watcher(), script.fleet, script.network)
-        lists = _Lists(script, streams, kernel)
-        lives = _Lives(script, servers, lists.news)
+        lists = _RecordingLists(script, streams, kernel)
+        lives = _RecordingLives(script, servers, lists.news)
         lives.begin()
         MachineFaults(
             scenario, streams, kernel, servers, lives, lists, script.network, script.happened.append
@@ -142,7 +144,7 @@
         self._kernel.run(until)
 
 
-class _Lives(Lives):
+class _RecordingLives(Lives):
     """Notes what is done to which server."""
 
     def __init__(
@@ -151,55 +153,57 @@
         super().__init__(servers, script.scenario.rules, news, script.happened.append)
         self._script = script
 
-    def _deed(self, server: Server, what: str, value: float = 0.0, relays: tuple[int, ...] = ()) -> None:
+    def _add_action(
+        self, server: Server, kind: str, value: float = 0.0, relays: tuple[int, ...] = ()
+    ) -> None:
         at = self._kernel.now - self._kernel.start
-        self._script.servers.append(Deed(at, server.machine.index, what, value, relays))
+        self._script.servers.append(Action(at, server.machine.index, kind, value, relays))
 
     def _start(self, server: Server) -> None:
         if not server.running:
-            self._deed(server, "start")
+            self._add_action(server, "start")
         super()._start(server)
 
     def end(self, server: Server) -> None:
         if server.running:
-            self._deed(server, "end")
+            self._add_action(server, "end")
         super().end(server)
 
     def drain(self, server: Server, over_us: int) -> None:
         super().drain(server, over_us)
-        self._deed(server, "send_away", over_us)
+        self._add_action(server, "send_away", over_us)
 
     def turn_away(self, server: Server) -> bool:
-        turned = super().turn_away(server)
-        if turned:
-            self._deed(server, "drain")
-        return turned
+        was_turned_away = super().turn_away(server)
+        if was_turned_away:
+            self._add_action(server, "drain")
+        return was_turned_away
 
     def take_again(self, server: Server, life: int) -> None:
         super().take_again(server, life)
-        self._deed(server, "undrain")
+        self._add_action(server, "undrain")
 
     def _go_silent(self, server: Server) -> None:
         super()._go_silent(server)
-        self._deed(server, "cut", True, self._cut_from(server))
+        self._add_action(server, "cut", True, self._cut_from(server))
 
     def _come_back(self, server: Server) -> None:
         super()._come_back(server)
-        self._deed(server, "come_back")
+        self._add_action(server, "come_back")
 
     def cut(self, zone: int, relays: bool) -> list[Server]:
         """Relays that are cut off with their zone reach none of the other zones' servers."""
-        struck = super().cut(zone, relays)
+        affected = super().cut(zone, relays)
         for server in self._servers.all if relays else ():
             if server.machine.zone != zone and server.running:
-                self._deed(server, "cut", False, self._cut_from(server))
-        return struck
+                self._add_action(server, "cut", False, self._cut_from(server))
+        return affected
 
     def restore(self, zone: int) -> None:
         super().restore(zone)
         for server in self._servers.all:
             if server.machine.zone != zone and server.running:
-                self._deed(server, "come_back")
+                self._add_action(server, "come_back")
 
     def _cut_from(self, server: Server) -> tuple[int, ...]:
         network, zone = self._servers.network, server.machine.zone
@@ -211,37 +215,37 @@
 
     def take_cores(self, server: Server, share: float) -> None:
         super().take_cores(server, share)
-        self._deed(server, "take_away", share)
+        self._add_action(server, "take_away", share)
 
     def jam(self, server: Server, jammed: bool) -> None:
         super().jam(server, jammed)
-        self._deed(server, "jam", jammed)
+        self._add_action(server, "jam", jammed)
 
 
-class _Lists(RelayLists):
+class _RecordingLists(RelayLists):
     """Notes what each agent comes to hold, what it writes twice, and what counts as told by then."""
 
     def __init__(self, script: Script, streams: Streams, kernel: Kernel) -> None:
         super().__init__(script.scenario, streams, kernel, Watcher(), script.fleet, script.network)
         self._script = script
-        self._due = False
-        self._wrote: set[tuple[int, int]] = set()
+        self._counting_deadline = False
+        self._written_versions: set[tuple[int, int]] = set()
 
-    def _news_of_version(self, feed: Feed, version: int) -> News:
+    def _update_of_version(self, feed: Feed, version: int) -> ListUpdate:
         at = self._kernel.now - self._kernel.start
-        return News(at, feed.relay, version, tuple(self._versions.changed(version)))
+        return ListUpdate(at, feed.relay, version, tuple(self._versions.changed(version)))
 
     def _count_as_told(self, version: int) -> None:
-        self._due = True
+        self._counting_deadline = True
         super()._count_as_told(version)
-        self._due = False
+        self._counting_deadline = False
 
     def _tell_change(self, feed: Feed, version: int) -> None:
-        news = self._news_of_version(feed, version)
-        if not self._due:
-            self._script.news.append(news)
-        elif newest := tuple(entry for entry in news.entries if self._is_newest(feed, entry, version)):
-            self._script.due.append(replace(news, entries=newest))
+        update = self._update_of_version(feed, version)
+        if not self._counting_deadline:
+            self._script.list_updates.append(update)
+        elif newest := tuple(entry for entry in update.entries if self._is_newest(feed, entry, version)):
+            self._script.list_deadlines.append(replace(update, entries=newest))
 
     def _is_newest(self, feed: Feed, entry: Entry, version: int) -> bool:
         """Of what this agent holds."""
@@ -252,9 +256,9 @@
         """Once when it comes; the second time is a change that is doubled."""
         if whole:
             return
-        if (feed.relay, version) in self._wrote:
-            self._script.news.append(self._news_of_version(feed, version))
-        self._wrote.add((feed.relay, version))
+        if (feed.relay, version) in self._written_versions:
+            self._script.list_updates.append(self._update_of_version(feed, version))
+        self._written_versions.add((feed.relay, version))
 
 
 class _RelayFaults:
@@ -273,38 +277,38 @@
             "relay_stall": self._stall,
             "reconnect": self._reconnect,
         }
-        for place, fault in enumerate(self._script.scenario.faults):
+        for index, fault in enumerate(self._script.scenario.faults):
             if fault.kind in kinds:
-                due = Due(fault, place, self._streams)
-                until, struck = kinds[fault.kind](due)
-                self._script.happened.append(Happened(fault.kind, due.at, until, relays=struck))
+                due = Due(fault, index, self._streams)
+                until, affected = kinds[fault.kind](due)
+                self._script.happened.append(Happened(fault.kind, due.at, until, relays=affected))
 
     def _chosen(self, due: Due) -> tuple[int, ...]:
         return tuple(due.choose(range(self._count), due.count_of(self._count)))
 
-    def _add(self, at: int, relay: int, what: str, value: float = 0.0) -> None:
-        self._script.relays.append(Deed(at, relay, what, value))
+    def _add(self, at: int, relay: int, kind: str, value: float = 0.0) -> None:
+        self._script.relays.append(Action(at, relay, kind, value))
 
     def _down_us(self) -> float:
         return value(self._script.scenario.relays.restart_s, self._restarts) * SECOND_US
 
     def _crash(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
-        struck = self._chosen(due)
-        for relay in struck:
+        affected = self._chosen(due)
+        for relay in affected:
             self._add(due.at, relay, "crash", self._down_us())
-        return None, struck
+        return None, affected
 
     def _restart(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
-        struck = self._chosen(due)
-        for turn, relay in enumerate(struck):
-            self._add(due.at + due.over * turn // len(struck), relay, "restart", self._down_us())
-        return due.at + due.over or None, struck
+        affected = self._chosen(due)
+        for turn, relay in enumerate(affected):
+            self._add(due.at + due.over * turn // len(affected), relay, "restart", self._down_us())
+        return due.at + due.over or None, affected
 
     def _stall(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
-        struck = self._chosen(due)
-        for relay in struck:
+        affected = self._chosen(due)
+        for relay in affected:
             self._add(due.at, relay, "stall", due.length)
-        return due.at + due.length, struck
+        return due.at + due.length, affected
 
     def _reconnect(self, due: Due) -> tuple[int | None, tuple[int, ...]]:
         self._script.drops.append(Drop(due.at, due.drawn("size", PART), due.over))
--- a/glenfold_lab/stand_ins/part.py
+++ b/glenfold_lab/stand_ins/worker.py
@@ -1,7 +1,7 @@
 """The stand-ins that one process plays: some push servers and agents, some of the clients with their front.
 
 A part first binds its addresses, then hears where everybody else is, then when the history starts. From there
-on it needs nobody: all that befalls its stand-ins is in the script.
+on it needs nobody: all that event its stand-ins is in the script.
 """
 
 import math
@@ -22,22 +22,22 @@
 from glenfold_lab.model.world import LAST_ANSWERS_US
 from glenfold_lab.observe import Capacity, Record
 from glenfold_lab.spec import Scenario
+from glenfold_lab.stand_ins.addresses import AGENTS, SERVERS, Addresses, ListFormatter, Net
 from glenfold_lab.stand_ins.agent import Agent, Holding
 from glenfold_lab.stand_ins.bad_clients import BadClients
 from glenfold_lab.stand_ins.clients import Client, Crowd, clients_of
 from glenfold_lab.stand_ins.front import SocketFront
 from glenfold_lab.stand_ins.lateness import STEP_S, Lateness
 from glenfold_lab.stand_ins.machine_clock import SECOND_US, MachineClock
-from glenfold_lab.stand_ins.places import AGENTS, SERVERS, Net, Places, Wording
 from glenfold_lab.stand_ins.push_server import PushServer
 from glenfold_lab.stand_ins.push_states import ClassWork, Holder
-from glenfold_lab.stand_ins.script import Deed, Script, draw
+from glenfold_lab.stand_ins.script import Action, Script, draw
 from glenfold_lab.stand_ins.seal import Seal
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.service import Floats, Second, Served
 from glenfold_lab.streams import Streams
 
-STEP_US = SECOND_US // 4  # of the population, drawn at a time
+POPULATION_STEP_US = SECOND_US // 4  # of the population, drawn at a time
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     start: int
 
 
-def end_of(scenario: Scenario, times: Times) -> int:
+def end_time(scenario: Scenario, times: Times) -> int:
     """When the last answers are there to be judged."""
     longest = max(round(kind.deadline_ms * 1000) for kind in scenario.classes)
     return times.start + round(scenario.length_s * SECOND_US) + longest + LAST_ANSWERS_US
@@ -82,14 +82,14 @@
 
 
 @dataclass(slots=True)
-class Part:
+class StandInWorker:
     """One process's stand-ins, from `bind` over `play` to `report`."""
 
     scenario: Scenario
     seed: int
     share: Share
     net: Net
-    look_s: float = STEP_S  # between two looks at its own lateness
+    sample_interval_s: float = STEP_S  # between two looks at its own lateness
     script: Script = field(init=False)
     seen: Seen = field(init=False)
     _clock: MachineClock = field(init=False)
@@ -100,16 +100,16 @@
     _clients: int = 0
     _loads: dict[str, list[float]] = field(default_factory=dict)
 
-    async def bind(self) -> Places:
+    async def bind(self) -> Addresses:
         """Within the loop that will play it: draws the script and binds the addresses."""
         self.script, self.seen, self._clock = draw(self.scenario, self.seed), Seen(), MachineClock()
-        self._lateness = Lateness(self.look_s)
+        self._lateness = Lateness(self.sample_interval_s)
         relays = range(self.scenario.relays.count)
-        part = len(self.share.servers) / len(self.script.fleet.machines)
-        make = _ServerMaker(self.script, self.seed, self.seen, part)
+        fraction = len(self.share.servers) / len(self.script.fleet.machines)
+        factory = _ServerFactory(self.script, self.seed, self.seen, fraction)
         self._servers = {
             index: PushServer(
-                make.holder(self.script.fleet.machines[index]),
+                factory.holder(self.script.fleet.machines[index]),
                 self._clock,
                 [self.net.host(SERVERS, index * len(relays) + relay) for relay in relays],
             )
@@ -119,33 +119,36 @@
             relay: Agent([relay], self.net.host(AGENTS, relay), Holding(1, []), self.seen, self._clock)
             for relay in self.share.agents
         }
-        return Places(
+        return Addresses(
             {index: server.addresses for index, server in self._servers.items()},
             {relay: agent.address for relay, agent in self._agents.items()},
         )
 
     async def play(
-        self, places: Places, begin: Callable[[], Awaitable[Times]], tell: Callable[[Second], None]
+        self,
+        addresses: Addresses,
+        wait_for_start: Callable[[], Awaitable[Times]],
+        report_second: Callable[[Second], None],
     ) -> None:
-        """`begin` returns once all relays are up; `tell` hears of each second of the history."""
-        self._list_first(places)
+        """`begin` returns once all relays are up; `report_second` hears of each second of the history."""
+        self._set_initial_lists(addresses)
         async with trio.open_nursery() as nursery:
             for server in self._servers.values():
                 await nursery.start(server.serve)
             for agent in self._agents.values():
                 await nursery.start(agent.serve)
-            for machine in self.script.first:
+            for machine in self.script.initial_servers:
                 if machine.index in self._servers:
                     self._servers[machine.index].start(cold=False)
-            times = await begin()
+            times = await wait_for_start()
             nursery.start_soon(self._lateness.run)
-            for befalls in self._all_that_befalls(places, times):
-                nursery.start_soon(_run, befalls)
+            for event in self._scheduled_events(addresses, times):
+                nursery.start_soon(_run, event)
             if self.share.clients is not None:
-                self._crowd = self._make_crowd(places, times)
-                nursery.start_soon(self._live, self._crowd, times)
-            nursery.start_soon(self._tell_seconds, times, tell)
-            await self._clock.until(end_of(self.scenario, times))
+                self._crowd = self._make_crowd(addresses, times)
+                nursery.start_soon(self._run_clients, self._crowd, times)
+            nursery.start_soon(self._report_seconds, times, report_second)
+            await self._clock.until(end_time(self.scenario, times))
             if self._crowd is not None:
                 self._crowd.close_books()
             nursery.cancel_scope.cancel()
@@ -166,40 +169,42 @@
 
     # ---- push servers and agents ----
 
-    def _list_first(self, places: Places) -> None:
-        wording = Wording(self.script, places, 0)  # nobody in the first list started of late
+    def _set_initial_lists(self, addresses: Addresses) -> None:
+        formatter = ListFormatter(self.script, addresses, 0)  # nobody in the first list started of late
         for relay, agent in self._agents.items():
-            agent.holding = Holding(*wording.known(relay, 0))
+            agent.holding = Holding(*formatter.held_list(relay, 0))
 
-    def _all_that_befalls(self, places: Places, times: Times) -> Iterator[Coroutine[Any, Any, None]]:
-        yield self._do_deeds(times.start)
-        yield self._bring_news(Wording(self.script, places, times.start), times.start)
-        yield self._count_as_told(Wording(self.script, places, times.start), times.start)
-        for span in self.script.quiet:
+    def _scheduled_events(self, addresses: Addresses, times: Times) -> Iterator[Coroutine[Any, Any, None]]:
+        yield self._act_on_servers(times.start)
+        yield self._update_agents(ListFormatter(self.script, addresses, times.start), times.start)
+        yield self._note_list_deadlines(ListFormatter(self.script, addresses, times.start), times.start)
+        for span in self.script.silent_agents:
             for relay in set(span.relays) & set(self._agents):
-                yield self._be_quiet(self._agents[relay], times.start + span.at, times.start + span.until)
-
-    async def _do_deeds(self, start: int) -> None:
-        for deed in self.script.servers:
-            if deed.who in self._servers:
-                await self._clock.until(start + deed.at)
-                _do(self._servers[deed.who], deed)
-
-    async def _bring_news(self, wording: Wording, start: int) -> None:
-        for news in self.script.news:
-            if news.relay in self._agents:
-                await self._clock.until(start + news.at)
-                self._agents[news.relay].take(wording.change(news))
-
-    async def _count_as_told(self, wording: Wording, start: int) -> None:
-        for news in self.script.due:
-            if news.relay in self._agents:
-                await self._clock.until(start + news.at)
+                yield self._silence_agent(
+                    self._agents[relay], times.start + span.at, times.start + span.until
+                )
+
+    async def _act_on_servers(self, start: int) -> None:
+        for action in self.script.servers:
+            if action.target in self._servers:
+                await self._clock.until(start + action.at)
+                _act(self._servers[action.target], action)
+
+    async def _update_agents(self, formatter: ListFormatter, start: int) -> None:
+        for update in self.script.list_updates:
+            if update.relay in self._agents:
+                await self._clock.until(start + update.at)
+                self._agents[update.relay].take(formatter.change(update))
+
+    async def _note_list_deadlines(self, formatter: ListFormatter, start: int) -> None:
+        for update in self.script.list_deadlines:
+            if update.relay in self._agents:
+                await self._clock.until(start + update.at)
                 now = self._clock.now_us()
-                for entry in wording.entries(news.entries, news.relay):
-                    self.seen.due(now, news.relay, entry.number, entry.state, entry.started_us)
+                for entry in formatter.entries(update.entries, update.relay):
+                    self.seen.due(now, update.relay, entry.number, entry.state, entry.started_us)
 
-    async def _be_quiet(self, agent: Agent, begin: int, end: int) -> None:
+    async def _silence_agent(self, agent: Agent, begin: int, end: int) -> None:
         await self._clock.until(begin)
         agent.go_quiet()
         await self._clock.until(end)
@@ -207,18 +212,22 @@
 
     # ---- clients ----
 
-    def _make_crowd(self, places: Places, times: Times) -> Crowd:
+    def _make_crowd(self, addresses: Addresses, times: Times) -> Crowd:
         assert self.share.clients is not None
         scenario, streams, which = self.scenario, Streams(self.seed), self.share.clients[0]
         zones = [self.script.network.zone_of(relay) for relay in range(scenario.relays.count)]
         front = SocketFront(
-            zones, places.relays, scenario.front.notice_s, streams.of("stands", "front", which), self._clock
+            zones,
+            addresses.relays,
+            scenario.front.notice_s,
+            streams.of("stands", "front", which),
+            self._clock,
         )
         return Crowd(
             scenario,
             Habits.of(scenario, streams),
             front,
-            Seal(secret(self.seed)),
+            Seal(seal_secret(self.seed)),
             self.seen,
             self._clock,
             {machine.host: machine.number for machine in self.script.fleet.machines},
@@ -232,24 +241,24 @@
     def _draw_clients(self, start: int) -> tuple[list[Client], list[Client]]:
         """Those of this process: who stood before, and who comes."""
         assert self.share.clients is not None
-        which, of = self.share.clients
-        people = Population(self.scenario, self.script.fleet.terms, Streams(self.seed), start)
-        standing = list(clients_of(people.standing(), 0, True))
+        which, slice_count = self.share.clients
+        population = Population(self.scenario, self.script.fleet.terms, Streams(self.seed), start)
+        standing = list(clients_of(population.standing(), 0, True))
         if not self.scenario.relays.pass_through:  # else packets must go where the relays would send them
             self._choose_hosts(standing)
         coming: list[Client] = []
-        for drawn in people.coming(STEP_US):
+        for drawn in population.coming(POPULATION_STEP_US):
             coming += clients_of(drawn, len(standing) + len(coming), False)
-        return standing[which::of], coming[which::of]
+        return standing[which::slice_count], coming[which::slice_count]
 
     def _choose_hosts(self, standing: list[Client]) -> None:
         random = Streams(self.seed).of("stands", "hosts")
-        weights = np.array([machine.capacity for machine in self.script.first])
-        places = random.choice(len(weights), size=len(standing), p=weights / weights.sum())
-        for client, place in zip(standing, places.tolist(), strict=True):
-            client.host = self.script.first[place].host
+        weights = np.array([machine.capacity for machine in self.script.initial_servers])
+        indexes = random.choice(len(weights), size=len(standing), p=weights / weights.sum())
+        for client, index in zip(standing, indexes.tolist(), strict=True):
+            client.host = self.script.initial_servers[index].host
 
-    async def _live(self, crowd: Crowd, times: Times) -> None:
+    async def _run_clients(self, crowd: Crowd, times: Times) -> None:
         standing, coming = self._draw_clients(times.start)
         self._clients = len(standing) + len(coming)
         admitted = trio.Event()
@@ -258,15 +267,15 @@
             await admitted.wait()
             nursery.start_soon(crowd.fill, standing, max(times.fill, self._clock.now_us()))
             nursery.start_soon(crowd.come, coming)
-            for span in self.script.cut_off:
+            for span in self.script.unreachable_relays:
                 for relay in span.relays:
                     nursery.start_soon(
                         self._cut_off, crowd, relay, times.start + span.at, times.start + span.until
                     )
-            for deed in self.script.relays:
-                if deed.what == "restart":
-                    nursery.start_soon(self._retire, crowd, deed.who, times.start + deed.at)
-            nursery.start_soon(self._drop, crowd, times.start)
+            for action in self.script.relays:
+                if action.kind == "restart":
+                    nursery.start_soon(self._retire, crowd, action.target, times.start + action.at)
+            nursery.start_soon(self._drop_connections, crowd, times.start)
             if self.share.bad_per_s:
                 nursery.start_soon(
                     BadClients(crowd, self.share.bad_per_s).come, times.start + self.script.length
@@ -283,7 +292,7 @@
         await self._clock.until(at)
         await crowd.front.retire(relay)
 
-    async def _drop(self, crowd: Crowd, start: int) -> None:
+    async def _drop_connections(self, crowd: Crowd, start: int) -> None:
         assert self.share.clients is not None
         random = Streams(self.seed).of("stands", "drops", self.share.clients[0])
         for drop in self.script.drops:
@@ -292,7 +301,7 @@
 
     # ---- second by second ----
 
-    async def _tell_seconds(self, times: Times, tell: Callable[[Second], None]) -> None:
+    async def _report_seconds(self, times: Times, report_second: Callable[[Second], None]) -> None:
         for second in range(math.ceil(self.script.length / SECOND_US)):
             await self._clock.until(times.start + (second + 1) * SECOND_US)
             for server in self._servers.values():
@@ -301,47 +310,47 @@
                 continue
             now, self._crowd.now = self._crowd.now, Second(second + 1)
             now.second, now.standing = second, len(self._crowd.standing)
-            tell(now)
+            report_second(now)
 
 
-async def _run(befalls: Coroutine[Any, Any, None]) -> None:
-    await befalls
+async def _run(event: Coroutine[Any, Any, None]) -> None:
+    await event
 
 
-def secret(seed: int) -> bytes:
+def seal_secret(seed: int) -> bytes:
     """What clients and push servers of one run share."""
     return f"stand-ins of {seed}".encode()
 
 
-def _do(server: PushServer, deed: Deed) -> None:
-    match deed.what:
+def _act(server: PushServer, action: Action) -> None:
+    match action.kind:
         case "start":
             server.start(cold=True)
         case "send_away":
-            server.send_away(int(deed.value))
+            server.send_away(int(action.value))
         case "cut":
-            server.cut(deed.relays, ended=bool(deed.value))
+            server.cut(action.relays, ended=bool(action.value))
         case "take_away":
-            server.take_away(deed.value)
+            server.take_away(action.value)
         case "jam":
-            server.jam(bool(deed.value))
+            server.jam(bool(action.value))
         case "end" | "drain" | "undrain" | "come_back":
-            getattr(server, deed.what)()
+            getattr(server, action.kind)()
 
 
-class _ServerMaker:
+class _ServerFactory:
     """Push servers as the model has them, each with generators of its own."""
 
-    def __init__(self, script: Script, seed: int, seen: Seen, part: float) -> None:
+    def __init__(self, script: Script, seed: int, seen: Seen, fraction: float) -> None:
         scenario, streams = script.scenario, Streams(seed)
         terms, rules, servers = script.fleet.terms, scenario.rules, scenario.servers
-        self._store = store_of(scenario, streams, terms, part)
-        self._script, self._streams, self._seen, self._seal = script, streams, seen, Seal(secret(seed))
+        self._store = store_of(scenario, streams, terms, fraction)
+        self._script, self._streams, self._seen, self._seal = script, streams, seen, Seal(seal_secret(seed))
         self._group_load = terms.group_cost
         self._error_rate = value(servers.error_rate, streams.of("servers", "error_rate"))
         self._park_us = int(value(servers.park_s, streams.of("servers", "park")) * SECOND_US)
         self._cold = rules.cold_share, int(rules.cold_s * SECOND_US)
-        self._works = {
+        self._class_work = {
             kind.name: ClassWork(
                 n,
                 value(kind.set_up_ms, streams.of("classes", "set_up", n)) * 1000,
@@ -356,17 +365,17 @@
         fleet, network = self._script.fleet, self._script.network
         messages = Messages(network, [])
         messages.add_server(machine)
-        fluid = Server(machine, fleet.terms.mean_load, fleet.table_tax, self._group_load)
+        model_server = Server(machine, fleet.terms.mean_load, fleet.table_tax, self._group_load)
         zones = [network.zone_of(relay) for relay in range(self._script.scenario.relays.count)]
-        ways = tuple(2 * network.delay_us(zone, machine.zone) for zone in zones)
+        round_trips_us = tuple(2 * network.delay_us(zone, machine.zone) for zone in zones)
         return Holder(
-            fluid,
+            model_server,
             Capacity(fleet.warm_per_s(machine), *self._cold),
             messages,
             self._seen,
             self._streams.of("stands", "server", machine.index),
-            self._works,
-            ways,
+            self._class_work,
+            round_trips_us,
             self._seal,
             self._error_rate,
             self._park_us if self._script.scenario.relays.pass_through else 0,
--- a/tests/glenfold_lab/test_mutants.py
+++ b/tests/glenfold_lab/test_mutants.py
@@ -8,7 +8,7 @@
 from glenfold_lab.model.relays import CALL_UP, Relay
 from glenfold_lab.observe import AttemptOutcome, End, Final, ListedState, Record, replay
 from glenfold_lab.spec import Clients, Fault, Relays, RequestClass, Rules, Scenario, Servers
-from glenfold_lab.stand_ins.judge import SLACK_US, Judge
+from glenfold_lab.stand_ins.reconciler import SLACK_US, Reconciler
 from linnetspread import Balancer
 
 SEED = 4
@@ -200,8 +200,8 @@
 
 
 def judged(more: list[Record]) -> list[str]:
-    judge, checker = Judge(1, [SERVER], pass_through=False), Checker(Rules(), SLACK_US)
-    replay(judge.settle([*CONNECTION, *more], 20 * S), checker)
+    reconciler, checker = Reconciler(1, [SERVER], pass_through=False), Checker(Rules(), SLACK_US)
+    replay(reconciler.reconcile([*CONNECTION, *more], 20 * S), checker)
     checker.finish(20 * S)
     return [verdict.rule for verdict in checker.verdicts()]
 
--- a/tests/glenfold_lab/test_soak.py
+++ b/tests/glenfold_lab/test_soak.py
@@ -1,4 +1,4 @@
-"""Soak runs: short ones by fixed seeds, mutants of the relay that each fail one, and the draw of a day."""
+"""Soak runs: short ones by fixed seeds, mutants of the relay that each fail one, and the draw of a plan."""
 
 import shutil
 import socket
@@ -15,7 +15,7 @@
 
 from glenfold_lab.commands.soak import command
 from glenfold_lab.soak import disturbance
-from glenfold_lab.soak.day import SHORTEST_S, drawn
+from glenfold_lab.soak.plan import MIN_LENGTH_S, draw_plan
 from glenfold_lab.soak.run import play
 from glenfold_lab.stand_ins import clients, relays
 from glenfold_lab.stand_ins.machine_clock import MachineClock
@@ -26,16 +26,16 @@
 
 
 def test_a_seed_gives_one_day_and_another_seed_another() -> None:
-    assert drawn(7, 20.0) == drawn(7, 20.0)
-    assert drawn(7, 20.0) != drawn(8, 20.0)
+    assert draw_plan(7, 20.0) == draw_plan(7, 20.0)
+    assert draw_plan(7, 20.0) != draw_plan(8, 20.0)
 
 
 def test_days_of_each_kind_are_drawn_and_each_has_a_planned_restart() -> None:
-    days = [drawn(seed, 20.0) for seed in range(1, 51)]
-    assert {day.crowd for day in days} == {True, False}
-    assert {day.scenario.relays.pass_through for day in days} == {True, False}
-    assert all(day.scenario.faults[0].kind == "relay_restart" for day in days)
-    assert len({fault.kind for day in days for fault in day.scenario.faults}) == 10
+    plans = [draw_plan(seed, 20.0) for seed in range(1, 51)]
+    assert {plan.has_client_burst for plan in plans} == {True, False}
+    assert {plan.scenario.relays.pass_through for plan in plans} == {True, False}
+    assert all(plan.scenario.faults[0].kind == "relay_restart" for plan in plans)
+    assert len({fault.kind for plan in plans for fault in plan.scenario.faults}) == 10
 
 
 @pytest.mark.parametrize("seed", [2, 8, 9])  # with a crowd, with one and packets that pass through, with none
@@ -44,7 +44,7 @@
     assert not soaked.verdicts
     assert soaked.up > 20 and soaked.moves > 0
     assert {"SIGHUP", "SIGUSR1"} <= set(soaked.signals)
-    assert (soaked.crowded > 0) == drawn(seed, LENGTH_S).crowd
+    assert (soaked.crowded > 0) == draw_plan(seed, LENGTH_S).has_client_burst
 
 
 @pytest.mark.parametrize("seed", [205, 222])
@@ -130,7 +130,7 @@
 def test_a_connection_that_a_relay_keeps_after_its_client_left_is_a_fault(
     habit: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(disturbance, "LOOK_GAP_S", 0.05)
+    monkeypatch.setattr(disturbance, "CHECK_INTERVAL_S", 0.05)
     relay, seen = FakeRelay(habit), Seen()
     try:
         with socket.create_connection(("127.0.0.1", relay.port)):
@@ -142,10 +142,10 @@
     assert [fault[1] for fault in seen.faults] == ([3] if habit == "keeps" else [])
 
 
-async def _watched_until(watched: list[FakeRelay], seen: Seen, most_s: float) -> None:
+async def _watched_until(watched: list[FakeRelay], seen: Seen, time_limit_s: float) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(disturbance.watch_descriptors, watched, seen, MachineClock())
-        with trio.move_on_after(most_s):
+        with trio.move_on_after(time_limit_s):
             while not seen.faults:
                 await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
@@ -186,7 +186,7 @@
 
 def test_a_run_that_is_too_short_is_refused() -> None:
     with pytest.raises(ValueError, match="12 s at least, not 5"):
-        drawn(1, 5.0)
+        draw_plan(1, 5.0)
 
 
 @pytest.mark.parametrize(
@@ -202,4 +202,4 @@
     result = CliRunner().invoke(command, [option, value])
     assert result.exit_code == 2
     assert option in result.output and words in result.output
-    assert SHORTEST_S == 12.0
+    assert MIN_LENGTH_S == 12.0
--- a/tests/glenfold_lab/test_stand_in_mutants.py
+++ b/tests/glenfold_lab/test_stand_in_mutants.py
@@ -11,11 +11,11 @@
 from glenfold_lab.observe import replay
 from glenfold_lab.results import Verdict
 from glenfold_lab.spec import Clients, Fault, Relays, RequestClass, Scenario, ServerList, Servers
-from glenfold_lab.stand_ins.judge import SLACK_US, Judge
+from glenfold_lab.stand_ins.addresses import Addresses, Net
 from glenfold_lab.stand_ins.machine_clock import MachineClock
-from glenfold_lab.stand_ins.part import Part, Share, Times, end_of
-from glenfold_lab.stand_ins.places import Net, Places
+from glenfold_lab.stand_ins.reconciler import SLACK_US, Reconciler
 from glenfold_lab.stand_ins.service import Second
+from glenfold_lab.stand_ins.worker import Share, StandInWorker, Times, end_time
 
 DAY = Scenario(
     format=1,
@@ -130,7 +130,7 @@
 
     async def main() -> None:
         net, clock = Net(), MachineClock()
-        part = Part(day, 4, Share(0, (0, 1), (0,), (0, 1)), net, look_s=1.0)
+        part = StandInWorker(day, 4, Share(0, (0, 1), (0,), (0, 1)), net, sample_interval_s=1.0)
         places = await part.bind()
         servers = [places.servers[index][0] for index in (0, 1)]
 
@@ -156,12 +156,12 @@
 
             def nobody(second: Second) -> None: ...
 
-            await part.play(Places(places.servers, places.agents, [address]), begun, nobody)
+            await part.play(Addresses(places.servers, places.agents, [address]), begun, nobody)
             nursery.cancel_scope.cancel()
         checker = Checker(day.rules, SLACK_US, keep=1000, start_us=times.start)
         first = [machine.number for machine in part.script.first]
-        replay(Judge(1, first, False).settle(part.seen.records, end_of(day, times)), checker)
-        checker.finish(end_of(day, times))
+        replay(Reconciler(1, first, False).reconcile(part.seen.records, end_time(day, times)), checker)
+        checker.finish(end_time(day, times))
         found.extend(checker.verdicts())
         found.extend(Verdict("protocol", at, None, None, 0, (words,)) for at, _, words in part.seen.faults)
 
--- a/tests/glenfold_lab/test_stand_in_judge.py
+++ b/tests/glenfold_lab/test_stand_in_reconciler.py
@@ -5,14 +5,14 @@
 import pytest
 
 from glenfold_lab.observe import End, ListedState, Record
-from glenfold_lab.stand_ins.judge import Judge
+from glenfold_lab.stand_ins.reconciler import Reconciler
 
 S = 1_000_000
 STOOD: list[Record] = [("relay_up", (0, 0)), ("taken", (1, 7, 0, 2 * S, 0))]
 
 
-def settled(*records: Record, pass_through: bool = True, end: int = 60 * S) -> list[Record]:
-    return Judge(1, [3], pass_through).settle([*STOOD, *records], end)
+def reconciled(*records: Record, pass_through: bool = True, end: int = 60 * S) -> list[Record]:
+    return Reconciler(1, [3], pass_through).reconcile([*STOOD, *records], end)
 
 
 def of(kind: str, records: list[Record]) -> list[tuple[Any, ...]]:
@@ -32,18 +32,18 @@
     ],
 )
 def test_an_end_without_a_word_is_named(records: list[Record], pass_through: bool, how: End) -> None:
-    out = settled(*records, ("unsaid", (10 * S, 7)), pass_through=pass_through)
+    out = reconciled(*records, ("unsaid", (10 * S, 7)), pass_through=pass_through)
     assert of("ended", out) == [(10 * S, 7, how)]
 
 
 def test_a_process_that_was_stopped_holds_nothing_back() -> None:
     stalled: Record = ("stalled", (10 * S, 0, 15 * S))
-    assert not of("held_back", settled(stalled, ("held_back", (15 * S + 9, 7, 4 * S))))
-    assert of("held_back", settled(stalled, ("held_back", (18 * S, 7, 2 * S))))
+    assert not of("held_back", reconciled(stalled, ("held_back", (15 * S + 9, 7, 4 * S))))
+    assert of("held_back", reconciled(stalled, ("held_back", (18 * S, 7, 2 * S))))
 
 
 def test_a_relay_that_starts_again_counts_as_told_what_its_agent_holds() -> None:
-    out = settled(
+    out = reconciled(
         ("told", (2 * S, 0, 3, ListedState.DRAINING, 0)),
         ("due", (3 * S, 0, 3, ListedState.DRAINING, 0)),
         ("relay_down", (4 * S, 0)),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from benchmarks import fleet as day
 from glenfold_lab import spec
 from glenfold_lab.stand_ins.daemons import Daemons
-from glenfold_lab.stand_ins.fleet import Course, Played, play_fleet
+from glenfold_lab.stand_ins.fleet import HistoryContext, PlayedHistory, play_fleet
 
 SMALL = spec.Scenario(
     format=1,
@@ -35,11 +35,13 @@
 
 async def both(daemons: Daemons) -> None:
     for relay in daemons.relays:
-        daemons.run(relay)
-    await daemons.all_answer()
+        daemons.start_instance(relay)
+    await daemons.wait_all_answer()
 
 
-def play(goes: Any, begin: Any = both, world: spec.Scenario = SMALL, **tables: dict[str, Any]) -> Played:
+def play(
+    goes: Any, begin: Any = both, world: spec.Scenario = SMALL, **tables: dict[str, Any]
+) -> PlayedHistory:
     played = play_fleet(world, 3, begin, goes, tables=TABLES | tables)
     assert played.result.verdicts == (), played.logs["log"]
     assert played.result.answers["up"] > 20
@@ -73,21 +75,21 @@
 
 @pytest.mark.parametrize("step", ["ready", "draining", "finishing", "moving"])
 def test_a_relay_that_is_killed_at_a_step_of_its_shutdown_comes_back(step: str) -> None:
-    async def goes(course: Course) -> None:
+    async def goes(course: HistoryContext) -> None:
         daemons = course.daemons
-        standing = (await daemons.instance(0))["connections"]["standing"]
+        standing = (await daemons.instance_status(0))["connections"]["standing"]
         if step != "ready":
             daemons.seen.stopping(course.clock.now_us(), 0)
-            assert (await daemons.say("drain", "--instance", "1")).status == 0
-            await daemons.in_state(0, "finishing" if step == "moving" else step)
+            assert (await daemons.run_command("drain", "--instance", "1")).status == 0
+            await daemons.wait_for_state(0, "finishing" if step == "moving" else step)
         if step == "moving":
-            await daemons.when(
-                lambda: daemons.instance(0), lambda one: 0 < one["connections"]["standing"] < standing
+            await daemons.wait_for(
+                lambda: daemons.instance_status(0), lambda one: 0 < one["connections"]["standing"] < standing
             )
         killed = daemons.kill(0)
-        daemons.run(0)
-        await daemons.comes_back(0, killed)
-        await daemons.in_state(0, "ready")
+        daemons.start_instance(0)
+        await daemons.wait_for_restart(0, killed)
+        await daemons.wait_for_state(0, "ready")
 
     played = play(goes)
     assert {relay for _, relay, _ in played.unreached} <= {0}  # the other one never refused
@@ -95,33 +97,33 @@
 
 @pytest.mark.parametrize("said", ["", "takeover.offered"])
 def test_a_new_process_that_dies_before_it_is_ready_leaves_the_old_one_serving(said: str) -> None:
-    async def goes(course: Course) -> None:
+    async def goes(course: HistoryContext) -> None:
         daemons = course.daemons
         [old] = daemons.processes()[0]
-        process = daemons.run(0)
+        process = daemons.start_instance(0)
         while len(daemons.processes()[0]) < 2 or said not in (daemons.file.parent / "log").read_text():
             assert process.poll() is None
             await trio.lowlevel.checkpoint()
         process.kill()
         process.wait()
-        assert (await daemons.in_state(0, "ready")) and daemons.processes()[0] == [old]
+        assert (await daemons.wait_for_state(0, "ready")) and daemons.processes()[0] == [old]
 
     assert play(goes).unreached == []
 
 
 def test_of_several_processes_of_one_name_one_serves() -> None:
     async def begin(daemons: Daemons) -> None:
-        several = [daemons.run(0) for _ in range(4)]
-        daemons.run(1)
-        await daemons.all_answer()
+        several = [daemons.start_instance(0) for _ in range(4)]
+        daemons.start_instance(1)
+        await daemons.wait_all_answer()
         with trio.fail_after(30):
             while len([one for one in several if one.poll() is None]) > 1:
                 await trio.sleep(0.02)
         assert {one.poll() for one in several} <= {None, 0, 3}
 
-    async def goes(course: Course) -> None:
+    async def goes(course: HistoryContext) -> None:
         assert len(course.daemons.processes()[0]) == 1
-        await course.daemons.in_state(0, "ready")
+        await course.daemons.wait_for_state(0, "ready")
 
     assert play(goes, begin).unreached == []
 
@@ -134,16 +136,18 @@
         server_list=spec.ServerList(add_s=0.1, period_ms=20.0),
     )
 
-    async def goes(course: Course) -> None:
+    async def goes(course: HistoryContext) -> None:
         daemons = course.daemons
         folder: Path = daemons.folder / "snapshots"
         folder.rename(folder.with_name("aside"))
         folder.touch()
-        status = await daemons.when(lambda: daemons.instance(0), lambda one: bool(one["snapshot"]["fault"]))
+        status = await daemons.wait_for(
+            lambda: daemons.instance_status(0), lambda one: bool(one["snapshot"]["fault"])
+        )
         assert "not written" in status["snapshot"]["fault"] and status["state"] == "ready"
         folder.unlink()
         folder.with_name("aside").rename(folder)
-        await daemons.when(lambda: daemons.instance(0), lambda one: not one["snapshot"]["fault"])
+        await daemons.wait_for(lambda: daemons.instance_status(0), lambda one: not one["snapshot"]["fault"])
 
     assert play(goes, world=news, snapshot={"every_s": 0.2}).unreached == []
 
@@ -153,8 +157,8 @@
 
     async def begin(daemons: Daemons) -> None:
         played.append(daemons)
-        daemons.up()
-        await daemons.all_ready()
+        daemons.start_supervisor()
+        await daemons.wait_all_ready()
         daemons.kill_supervisor()  # the relays are nobody's children now
         assert len(daemons.processes()) == 2
         raise RuntimeError("it broke off")
