--- a/glenfold_lab/soak/__init__.py
+++ b/glenfold_lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak runs: real relays under faults that a seed draws, judged from outside by the rules of the platform."""
+"""Soak runs: real relays under faults drawn from a seed, checked by the rules of the platform."""
--- a/glenfold_lab/soak/disturbance.py
+++ b/glenfold_lab/soak/disturbance.py
@@ -1,4 +1,7 @@
-"""What happens beside the faults of a scenario: signals in series and a crowd; and what relays keep."""
+"""Disturbs relays beside the faults of a scenario, with series of signals and a burst of idle clients.
+
+A check of descriptors finds connections that a relay does not close.
+"""
 
 import random
 from collections import Counter
@@ -16,19 +19,22 @@
 from glenfold_lab.stand_ins.sockets import end_now
 
 POLL_INTERVAL_S = 0.05
-BURST_CLIENTS = MAX_SOCKETS + 40  # idle clients
+BURST_CLIENTS = MAX_SOCKETS + 40
 BURST_START_RANGE_S = (3.0, 6.0)
 BURST_LENGTH_S = 3.0
 SERIES_PAUSE_RANGE_S = (0.5, 2.5)
-SIGNALS_PER_SERIES_RANGE = (2, 6)  # signals
+SIGNALS_PER_SERIES_RANGE = (2, 6)
 SIGNAL_PAUSE_RANGE_S = (0.0, 0.1)
-CHECK_INTERVAL_S = 1.0  # between checks at descriptors
-MAX_HALF_CLOSED_CHECKS = 4  # in a row: a relay ends the other side of a connection within a second
+CHECK_INTERVAL_S = 1.0  # Time between two checks of descriptors.
+HALF_CLOSED_CHECKS = 4  # Consecutive checks; a relay ends the other side of a connection within 1 s.
 
 
 @dataclass(slots=True)
 class Disturbance:
-    """Of one run. `signals` counts what was sent, `crowded` the idle clients that came up."""
+    """The disturbance of one run.
+
+    `signals` counts the signals sent by name, `crowded` the idle clients that connected.
+    """
 
     plan: SoakPlan
     seed: int
@@ -40,7 +46,7 @@
         self._rng = random.Random(f"signals {self.seed}")
 
     async def run(self, relays: Sequence[RelayProcess], seen: Seen, clock: MachineClock) -> None:
-        """From the start of the history, until it is cancelled."""
+        """Disturbs the relays from the start of the history until the task is cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._reload_and_count, relays)
             nursery.start_soon(self._signal_stopping_relays, relays)
@@ -49,7 +55,7 @@
                 nursery.start_soon(self._send_client_burst, relays)
 
     async def _reload_and_count(self, relays: Sequence[RelayProcess]) -> None:
-        """SIGHUP and SIGUSR1 in series, to one relay after the other."""
+        """Sends series of SIGHUP and SIGUSR1, each series to one relay."""
         while True:
             await trio.sleep(self._rng.uniform(*SERIES_PAUSE_RANGE_S))
             relay = self._rng.choice(relays)
@@ -59,7 +65,7 @@
                 await trio.sleep(self._rng.uniform(*SIGNAL_PAUSE_RANGE_S))
 
     async def _signal_stopping_relays(self, relays: Sequence[RelayProcess]) -> None:
-        """A relay that was signalled to end is signalled again, and more."""
+        """Sends further signals to each relay that has been told to stop."""
         signalled: set[int] = set()
         while True:
             await trio.sleep(POLL_INTERVAL_S)
@@ -69,7 +75,8 @@
                 elif relay.number not in signalled:
                     signalled.add(relay.number)
                     for _ in range(self._rng.randint(*SIGNALS_PER_SERIES_RANGE)):
-                        if not (relay.stopping and relay.running):  # its next process has begun
+                        # A new process may have replaced the stopping one.
+                        if not (relay.stopping and relay.running):
                             break
                         self._send(relay, self._rng.choice(["SIGTERM", "SIGINT", "SIGHUP", "SIGUSR1"]))
                         await trio.sleep(self._rng.uniform(*SIGNAL_PAUSE_RANGE_S))
@@ -79,7 +86,7 @@
         relay.signal(name)
 
     async def _send_client_burst(self, relays: Sequence[RelayProcess]) -> None:
-        """Idle clients fill the descriptors of one relay, and leave together."""
+        """Fills the descriptors of one relay with idle clients, which then disconnect together."""
         await trio.sleep(self._rng.uniform(*BURST_START_RANGE_S))
         sockets = list[trio.socket.SocketType]()
         while not (candidates := [relay for relay in relays if relay.running and not relay.stopping]):
@@ -100,29 +107,29 @@
 
 
 async def watch_descriptors(relays: Sequence[RelayProcess], seen: Seen, clock: MachineClock) -> None:
-    """A connection whose other end closed it has to be closed by the relay too."""
+    """Reports connections that a relay keeps after the other end has closed them."""
     checks: Counter[tuple[int, object, object]] = Counter()
     while True:
         await trio.sleep(CHECK_INTERVAL_S)
         now = Counter(
             {connection: checks[connection] + 1 for relay in relays for connection in half_closed(relay)}
         )
-        for (process, near, far), count in now.items():
-            if count == MAX_HALF_CLOSED_CHECKS:
+        for (process, local, remote), count in now.items():
+            if count == HALF_CLOSED_CHECKS:
                 number = next(relay.number for relay in relays if relay.process_id == process)
-                seen.fault(clock.now_us(), number, f"{near} keeps what {far} has closed")
+                seen.fault(clock.now_us(), number, f"{local} keeps what {remote} has closed")
         checks = now
 
 
 def half_closed(relay: RelayProcess) -> list[tuple[int, object, object]]:
-    """Process, its address and the other's, of connections that the other end has closed."""
+    """Returns process, local and remote address of the connections that the other end has closed."""
     if not relay.running or relay.stalled:
         return []
     with suppress(psutil.Error):
         connections = psutil.Process(relay.process_id).net_connections("tcp4")
         return [
-            (relay.process_id, one.laddr, one.raddr)
-            for one in connections
-            if one.status == psutil.CONN_CLOSE_WAIT
+            (relay.process_id, connection.laddr, connection.raddr)
+            for connection in connections
+            if connection.status == psutil.CONN_CLOSE_WAIT
         ]
     return []
--- a/glenfold_lab/soak/plan.py
+++ b/glenfold_lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""The scenario of one soak run: its size, its clients and its faults are all draw_plan from the seed."""
+"""Draws the scenario of one soak run from a seed: its size, clients and faults."""
 
 import random
 from collections.abc import Callable
@@ -15,18 +15,21 @@
     Servers,
 )
 
-MIN_LENGTH_S = 12.0  # in which each fault still has its effect
+MIN_LENGTH_S = 12.0  # Minimum length in which each fault takes effect.
 FIRST_FAULT_AT_S = 2.0
-FAULT_FREE_END_S = 5.0  # without new faults, so that what they left over shows
+FAULT_FREE_END_S = 5.0  # Time without new faults at the end, in which their after-effects show.
 MEMORY_MB = 80.0
-MAX_SOCKETS = 160  # of a relay that a has_client_burst fills
-STALL_RANGE_S = (0.05, 0.15)  # the longest that a relay on a loaded machine is held up
-LINGERING_SHARE = 0.5  # of the clients go on using a connection after MOVE until it ends
+MAX_SOCKETS = 160  # Descriptor limit of relays in a run with a client burst.
+STALL_RANGE_S = (0.05, 0.15)  # The upper bound is the longest stall of a relay on a loaded machine.
+LINGERING_SHARE = 0.5  # Share of clients that use a connection after MOVE until it ends.
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """What is played. has_client_burst: idle clients come to one relay, more than it has descriptors for."""
+    """The plan of a soak run.
+
+    With `has_client_burst`, idle clients connect to one relay, more than it has descriptors for.
+    """
 
     scenario: Scenario
     has_client_burst: bool
@@ -89,7 +92,10 @@
 
 
 def draw_plan(seed: int, length_s: float) -> SoakPlan:
-    """The same seed and length give the same day. Raises ValueError if it is too short."""
+    """Draws a plan; the same seed and length give the same plan.
+
+    Raises ValueError if `length_s` is too short.
+    """
     if length_s < MIN_LENGTH_S:
         raise ValueError(f"a soak run lasts {MIN_LENGTH_S:g} s at least, not {length_s:g}")
     rng = random.Random(seed)
--- a/glenfold_lab/soak/run.py
+++ b/glenfold_lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one soak run, and says what it came to."""
+"""Plays one soak run and returns its result."""
 
 from pathlib import Path
 
@@ -11,8 +11,11 @@
 
 
 class Soaked(msgspec.Struct, frozen=True):
-    """One run. verdicts: rules that were broken, and whatever a relay kept. faults: what happened, by kind.
-    late: the stand-ins themselves ran late, so that moments are worth little."""
+    """The result of one soak run.
+
+    `verdicts` has the broken rules and the connections that a relay did not close. `faults` has the kinds of
+    the faults. `late` says that the stand-ins themselves ran late, so that measured times are unreliable.
+    """
 
     seed: int
     verdicts: tuple[Verdict, ...]
@@ -32,7 +35,7 @@
 
 
 def play(seed: int, length_s: float, logs: Path | None = None) -> Soaked:
-    """Raises as `play_on_sockets` does, and ValueError for a length that is too short."""
+    """Plays one soak run. Raises as `play_on_sockets` does, and ValueError for a length that is too short."""
     plan = draw_plan(seed, length_s)
     disturbance = Disturbance(plan, seed)
     result = play_on_sockets(plan.scenario, seed, side_task=disturbance.run, logs=logs)
--- a/glenfold_lab/stand_ins/addresses.py
+++ b/glenfold_lab/stand_ins/addresses.py
@@ -1,4 +1,4 @@
-"""Where everybody is on the loopback net of one run, and the list of servers as a relay's agent words it."""
+"""The loopback addresses of one run, and the server list in the form in which an agent sends it."""
 
 import os
 import time
@@ -11,17 +11,17 @@
 from glenfold_lab.stand_ins.sockets import Address, written
 
 SERVERS, AGENTS, RELAYS = range(3)
-ADDRESS_BLOCKS = 60  # of three nets each, for the runs on one machine
-MAX_HOSTS_PER_NET = 0xFF00  # of one net
+ADDRESS_BLOCKS = 60  # Blocks of three nets each, one block for each run on the machine.
+MAX_HOSTS_PER_NET = 0xFF00
 
 
 class TooLarge(Exception):
-    """There are not that many addresses, or descriptors, on one machine."""
+    """Raised when a run needs more addresses or descriptors than one machine has."""
 
 
 @dataclass(frozen=True, slots=True)
 class Net:
-    """Each run has addresses of its own, 127.a.b.c."""
+    """The addresses 127.a.b.c of one run, apart from those of other runs."""
 
     block: int = field(default_factory=lambda: os.getpid() % ADDRESS_BLOCKS)
 
@@ -33,7 +33,11 @@
 
 @dataclass(slots=True)
 class Addresses:
-    """servers: by index, at which address each relay finds it. agents: by the number of their relay."""
+    """The addresses of push servers, agents and relays.
+
+    `servers` has, by server index, the address at which each relay reaches the server. `agents` has the
+    address of each agent by the number of its relay.
+    """
 
     servers: dict[int, list[Address]] = field(default_factory=dict)
     agents: dict[int, Address] = field(default_factory=dict)
@@ -46,7 +50,10 @@
 
 
 class ListFormatter:
-    """`start`: when the history starts, on the machine's clock."""
+    """Turns entries of the script's server list into those that an agent sends.
+
+    `start` is the start of the history on the machine's clock.
+    """
 
     def __init__(self, script: Script, addresses: Addresses, start: int) -> None:
         self._script = script
@@ -77,6 +84,6 @@
         return Change(update.version, tuple(self.entries(update.entries, update.relay)))
 
     def held_list(self, relay: int, at: int) -> tuple[int, list[Entry]]:
-        """As the relay's agent holds it at that moment of the history."""
+        """Returns version and list that the relay's agent holds at time `at` of the history."""
         version, entries = self._script.held_list(relay, at)
         return version, self.entries(entries, relay)
--- a/glenfold_lab/stand_ins/daemons.py
+++ b/glenfold_lab/stand_ins/daemons.py
@@ -1,7 +1,7 @@
-"""Real daemons on loopback: instances of one operators' file, with or without their supervisor.
+"""Starts and stops real daemons on loopback: instances of one operators' file, with or without supervisor.
 
-Whatever was started is ended again, by its id; relays outlive their supervisor, so they are found by their
-command lines, which name a file of this run alone.
+All started processes are ended again by their ids. Relays outlive their supervisor, so they are found by
+their command lines, which name the operators' file of this run.
 """
 
 import os
@@ -30,8 +30,8 @@
 FLEET_NAME = "fleet"
 POLL_INTERVAL_S = 0.02
 STATUS_TIMEOUT_S = 2.0
-KILL_TIMEOUT_S = 2.0  # that the kernel may take to end them
-WAIT_TIMEOUT_S = 30.0  # for what is waited for to come true
+KILL_TIMEOUT_S = 2.0  # Time in which the kernel ends killed processes.
+WAIT_TIMEOUT_S = 30.0  # Time limit for a condition on a status.
 COMMAND = [sys.executable, "-m", "glenfold"]
 INSTANCE_OPTION = re.compile(rb"\0--instance\0(\d+)\0")
 
@@ -39,7 +39,7 @@
 
 
 class ConditionTimeout(Exception):
-    """What was waited for."""
+    """Raised when a condition on a status was not met within the time limit."""
 
 
 def operators_file(
@@ -49,7 +49,10 @@
     listen: Sequence[Address],
     **tables: Mapping[str, Any],
 ) -> str:
-    """For an instance at each address; `tables` are merged into those of the file."""
+    """Returns an operators' file with an instance for each address in `listen`.
+
+    `tables` are merged into the tables of the file.
+    """
     classes = [
         {
             "name": kind.name,
@@ -89,7 +92,7 @@
 
 @dataclass(slots=True)
 class CommandResult:
-    """What a command came to."""
+    """The exit status and the output of a command."""
 
     status: int
     out: str
@@ -97,8 +100,11 @@
 
 @dataclass(slots=True)
 class Daemons:
-    """`file`: of the operators, in a folder of its own. listen: by number of the relay; the instance of relay
-    n has the number n + 1."""
+    """The daemons of one fleet.
+
+    `file` is the operators' file, in a folder of its own. `listen` has the address of each relay by its
+    number; the instance of relay n has the number n + 1.
+    """
 
     file: Path
     listen: Sequence[Address]
@@ -118,11 +124,11 @@
     # ---- starting and ending ----
 
     def start_supervisor(self) -> None:
-        """A supervisor begins, in a process of its own."""
+        """Starts a supervisor in a separate process."""
         self.supervisor = self._start("fleet", "up", os.fspath(self.file))
 
     def start_instance(self, relay: int) -> subprocess.Popen[bytes]:
-        """One more process of that instance, without a supervisor."""
+        """Starts one more process of the relay's instance, without a supervisor."""
         return self._start("run", os.fspath(self.file), "--instance", str(relay + 1))
 
     def _start(self, *arguments: str) -> subprocess.Popen[bytes]:
@@ -139,7 +145,7 @@
         return process
 
     async def run_command(self, *arguments: str) -> CommandResult:
-        """A command about this file: its words before the file, options after it."""
+        """Runs a command on this file, which is placed before the first option of `arguments`."""
         file_position = next(
             (n for n, argument in enumerate(arguments) if argument.startswith("-")), len(arguments)
         )
@@ -153,7 +159,7 @@
         return CommandResult(process.returncode, process.stdout.decode())
 
     def processes(self) -> dict[int, list[psutil.Process]]:
-        """Of each relay, from the oldest on: two while one takes over."""
+        """Returns the processes of each relay, oldest first; a relay has two during a takeover."""
         found: dict[int, list[psutil.Process]] = {}
         for entry in Path("/proc").iterdir():
             with suppress(OSError, psutil.Error):
@@ -171,7 +177,7 @@
         }
 
     def kill(self, relay: int) -> list[psutil.Process]:
-        """All its processes, by SIGKILL: those."""
+        """Kills all processes of the relay by SIGKILL and returns them."""
         processes = self.processes().get(relay, [])
         self.seen.relay_down(self.clock.now_us(), relay)
         for process in processes:
@@ -185,7 +191,7 @@
             self.supervisor.wait()
 
     def end_all(self) -> None:
-        """Supervisors first, as they would start others."""
+        """Kills all processes, supervisors first, as a supervisor would start relays again."""
         for process in self._started:
             process.kill()
             process.wait()
@@ -196,10 +202,10 @@
                     process.kill()
             time.sleep(POLL_INTERVAL_S)
 
-    # ---- how they stand ----
+    # ---- status ----
 
     async def fleet_status(self) -> Answer:
-        """The supervisor's status; empty if it does not answer."""
+        """Returns the supervisor's status, empty if it does not answer."""
         return await self._ask(self.folder / "supervisor" / "control.sock")
 
     async def instance_status(self, relay: int) -> Answer:
@@ -211,7 +217,7 @@
         return {}
 
     async def wait_for(self, query: Callable[[], Any], condition: Callable[[Answer], bool]) -> Answer:
-        """The first answer of which that is true. Raises ConditionTimeout."""
+        """Returns the first answer that meets `condition`. Raises ConditionTimeout at the time limit."""
         answer: Answer = {}
         with trio.move_on_after(WAIT_TIMEOUT_S):
             while True:
@@ -219,10 +225,10 @@
                 if answer and condition(answer):
                     return answer
                 await trio.sleep(POLL_INTERVAL_S)
-        raise ConditionTimeout(f"the last answer was {answer}")
+        raise ConditionTimeout(f"condition not met in time; the last answer was {answer}")
 
     async def wait_all_ready(self) -> Answer:
-        """By the supervisor's status."""
+        """Waits until all instances are ready, by the supervisor's status."""
         return await self.wait_for(
             self.fleet_status, lambda status: {each["phase"] for each in status["instances"]} == {"ready"}
         )
@@ -233,15 +239,18 @@
         )
 
     async def wait_for_restart(self, relay: int, killed: Sequence[psutil.Process]) -> None:
-        """Returns once one that was killed has answered PING. It counts as up as soon as a new process is
-        there, since that takes clients before it says that it is ready."""
+        """Waits until a relay whose processes `killed` were killed answers PING again.
+
+        The relay counts as up as soon as a new process exists, as the process accepts clients before it
+        reports that it is ready.
+        """
         while not set(self.processes().get(relay, ())) - set(killed):
             await trio.sleep(POLL_INTERVAL_S)
         self.seen.relay_up(self.clock.now_us(), relay)
         await self._wait_for_pong(relay)
 
     async def wait_all_answer(self) -> None:
-        """Returns once all have answered their first PING."""
+        """Waits until all relays have answered their first PING."""
         async with trio.open_nursery() as nursery:
             for relay in self.relays:
                 nursery.start_soon(self._wait_for_pong, relay)
@@ -253,12 +262,12 @@
             while await ping(self.listen[relay]) is not Ping.ANSWERED:
                 await trio.sleep(POLL_INTERVAL_S)
             return
-        raise ConditionTimeout(f"relay {relay} is not ready")
+        raise ConditionTimeout(f"relay {relay} is not ready: no answer to PING")
 
 
 @asynccontextmanager
 async def killed_on_exit(daemons: Daemons) -> AsyncIterator[None]:
-    """Whatever happens inside, none of their processes is left."""
+    """Kills all processes of the daemons when the context ends, also after an error."""
     try:
         yield
     finally:
--- a/glenfold_lab/stand_ins/fleet.py
+++ b/glenfold_lab/stand_ins/fleet.py
@@ -111,12 +111,12 @@
     def _draw_clients(self, start: int) -> tuple[list[Client], list[Client]]:
         standing, coming = super()._draw_clients(start)
         assert self.share.clients is not None
-        random = Streams(self.seed).of("stands", "crowd", self.share.clients[0])
+        rng = Streams(self.seed).of("stands", "crowd", self.share.clients[0])
         at = start + round(self.burst.at_s * SECOND_US)
         count = self.burst.clients // self.share.clients[1]
         for n in range(count if standing else 0):
             template = standing[n % len(standing)]
-            arrival = at + int(random.integers(ClientBurst.ARRIVAL_SPAN_US))
+            arrival = at + int(rng.integers(ClientBurst.ARRIVAL_SPAN_US))
             coming.append(
                 replace(
                     template,
@@ -124,7 +124,7 @@
                     number=len(coming) + (n + 1 << 32),
                     at=arrival,
                     until=arrival + template.until - start,
-                    key=int(random.integers(1 << 63)),
+                    key=int(rng.integers(1 << 63)),
                     host=None,
                 )
             )
@@ -353,7 +353,7 @@
         reconciler = Reconciler(self.scenario.relays.count, first, self.scenario.relays.pass_through)
         records = reconciler.reconcile(_with_client_relays(outcome.all_records()), end)
         result = outcome.result(records, revision, self._happened, self._cost(), watchers)
-        unreached = [one for report in self._reports for one in report.unreached]
+        unreached = [attempt for report in self._reports for attempt in report.unreached]
         return PlayedHistory(result, records, sorted(unreached), self._times.start, self._usage, self._logs)
 
     def _cost(self) -> dict[str, float]:
--- a/glenfold_lab/stand_ins/outcome.py
+++ b/glenfold_lab/stand_ins/outcome.py
@@ -1,4 +1,4 @@
-"""What one history on sockets came to, from what all of its stand-ins saw."""
+"""Builds the result of one history on sockets from the records of all its stand-ins."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -19,12 +19,16 @@
 from glenfold_lab.stand_ins.service import figures
 from glenfold_lab.stand_ins.worker import Report
 
-MAX_VERDICTS = 100  # verdicts
+MAX_VERDICTS = 100
 
 
 @dataclass(slots=True)
 class Outcome:
-    """`start` and `end` are moments of the machine's clock; `seen`: by whoever keeps the relays."""
+    """The reports of one history.
+
+    `start` and `end` are on the machine's clock. `seen` has the records of the process that controls the
+    relays.
+    """
 
     script: Script
     seed: int
@@ -48,8 +52,10 @@
         cost: dict[str, float],
         watchers: Sequence[Watcher] = (),
     ) -> RunResult:
-        """Of observations as a judge has settled them; `watchers` see them too. `happened`, beside what is in
-        the script."""
+        """Returns the result for the reconciled `records`, which `watchers` receive too.
+
+        `happened` has the events that are not in the script.
+        """
         scenario, script = self._scenario, self.script
         checker = Checker(scenario.rules, SLACK_US, MAX_VERDICTS, self.start)
         measures = Measures(
@@ -85,11 +91,11 @@
         )
 
     def _fault_verdicts(self) -> list[Verdict]:
-        """What relays did that no rule of the platform text."""
-        seen = [*self.seen.faults, *(fault for report in self.reports for fault in report.faults)]
+        """Returns verdicts on faults of relays that no rule of the platform covers."""
+        faults = [*self.seen.faults, *(fault for report in self.reports for fault in report.faults)]
         return [
             Verdict("protocol", at - self.start, None, None, relay, (text,))
-            for at, relay, text in seen
+            for at, relay, text in faults
             if at <= self.end
         ]
 
@@ -121,7 +127,7 @@
         return np.sum(wanted, axis=0), np.sum(served, axis=0)
 
     def _series(self) -> dict[str, Series]:
-        """service: by second, of what was wanted; wanted: how many clients wanted a connection."""
+        """Returns series by second: the share of wanted connections that was served, and both counts."""
         wanted, served = (table.sum(axis=0) for table in self._clients_seconds())
         share = np.divide(served, wanted, out=np.ones_like(wanted), where=wanted > 0)
         return {
--- a/glenfold_lab/stand_ins/reconciler.py
+++ b/glenfold_lab/stand_ins/reconciler.py
@@ -113,7 +113,7 @@
     def _list_entry_sent(
         self, at: int, relay: int, server: int, list_state: ListedState, started: int
     ) -> None:
-        """Records a list entry when it first reaches the relay, for a relay that is down at its next start."""
+        """Records the first arrival of a list entry; a relay that is down receives it at its next start."""
         state = self._relays[relay]
         if list_state == ListedState.GONE:
             state.held.pop(server, None)
--- a/glenfold_lab/stand_ins/relay_controller.py
+++ b/glenfold_lab/stand_ins/relay_controller.py
@@ -1,4 +1,4 @@
-"""Keeps the relays of one run: starts them, does to them what the script says, and watches what they use."""
+"""Controls the relays of one run: starts them, carries out the script's actions and samples their usage."""
 
 from collections.abc import Sequence
 
@@ -14,14 +14,19 @@
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.streams import Streams
 
-POLL_INTERVAL_S = 0.05  # between two looks whether all still run
+POLL_INTERVAL_S = 0.05  # Time between two checks that all relays still run.
 SAMPLE_INTERVAL_S = 1.0
-MIN_STOP_US = 3_000_000  # SIGKILL comes so long after SIGTERM, or the longest deadline, and
-STOP_MARGIN_US = 700_000  # so much later
+# SIGKILL follows SIGTERM after MIN_STOP_US or the longest deadline, whichever is longer, plus STOP_MARGIN_US.
+MIN_STOP_US = 3_000_000
+STOP_MARGIN_US = 700_000
 
 
 class RelayController:
-    """`down` names relays that are not expected to run. start: of the history, on the machine's clock."""
+    """Starts, stops and restarts the relays of one run.
+
+    `_down` has the numbers of the relays that are not expected to run. `start` is the start of the history on
+    the machine's clock.
+    """
 
     def __init__(
         self,
@@ -46,7 +51,7 @@
         return sum(relay.running for relay in self._relays)
 
     async def start_all(self) -> None:
-        """Returns once all have answered PING."""
+        """Starts all relays and returns once they have answered PING."""
         formatter = ListFormatter(self._script, self._addresses, 0)
         async with trio.open_nursery() as nursery:
             for relay in self._relays:
@@ -58,7 +63,7 @@
         relay.start(initial_list, int(self._seeds[relay.number].integers(1 << 63)))
 
     async def run(self, start: int) -> None:
-        """Until it is cancelled."""
+        """Carries out the script's actions and watches the relays until the task is cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_for_crashes, start)
             nursery.start_soon(self._sample)
@@ -80,7 +85,7 @@
         await self._restart(relay, int(action.value), start)
 
     async def _restart(self, relay: RelayProcess, down_us: int, start: int) -> None:
-        """With the list that its agent held when it ended_at."""
+        """Starts the relay again after `down_us`, with the list that its agent held when the relay ended."""
         ended_at = self._clock.now_us() - start
         await self._clock.until(start + ended_at + down_us)
         self._start(relay, ListFormatter(self._script, self._addresses, start), ended_at)
@@ -95,7 +100,7 @@
         relay.go_on()
 
     async def _watch_for_crashes(self, start: int) -> None:
-        """Whoever ends unasked has crashed; it starts again like one that was killed."""
+        """Restarts relays that end by themselves, as these have crashed, like relays that were killed."""
         restarts = Streams(len(self._relays)).of("relays", "unasked")
         async with trio.open_nursery() as nursery:
             while True:
--- a/glenfold_lab/stand_ins/relays.py
+++ b/glenfold_lab/stand_ins/relays.py
@@ -1,7 +1,7 @@
-"""Real relays: each a `python -m glenfold` process with a loopback address and a folder of its own.
+"""Real relays: each is a `python -m glenfold` process with a loopback address and a folder of its own.
 
-Whatever starts one ends it again, by its id: also when the run is broken off, and by the kernel if this
-process is killed.
+Each relay process is ended by its id, also when the run is interrupted. If this process is killed, the kernel
+ends the relays.
 """
 
 import ctypes
@@ -27,20 +27,24 @@
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, bind, written
 
-READY_TIMEOUT_S = 30.0  # for a relay to answer its first PING
-POLL_INTERVAL_S = 0.02  # between two tries to reach one that starts
-LOG_TAIL_LINES = 40  # lines of a log that are kept for the report
+READY_TIMEOUT_S = 30.0  # Time limit for a relay to answer its first PING.
+POLL_INTERVAL_S = 0.02  # Time between two attempts to reach a relay that starts.
+LOG_TAIL_LINES = 40  # Lines of a log that appear in a report.
 PR_SET_PDEATHSIG = 1
 ROOT = Path(glenfold.__file__).parent.parent
 
 
 class NotReady(Exception):
-    """A relay has ended, or answers no PING."""
+    """Raised when a relay has ended or does not answer PING."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """memory_mb: it is killed when seen over it. sockets: descriptors, enforced by the kernel."""
+    """Resource limits of a relay.
+
+    A relay is killed when a sample shows more than `memory_mb`. `sockets` limits descriptors, enforced by the
+    kernel.
+    """
 
     cores: float = 1.0
     memory_mb: float | None = None
@@ -53,15 +57,15 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Of all the processes that one relay has had."""
+    """Resource usage of all processes that one relay has had."""
 
     cpu_s: float = 0.0
     peak_mb: float = 0.0
-    cpu_share: float = 0.0  # of a core, between the last two samples
+    cpu_share: float = 0.0  # Share of a core between the last two samples.
 
 
 class RelayProcess:
-    """One relay, through its restarts; it keeps its name and its address."""
+    """One relay across its restarts, with the same name and address."""
 
     def __init__(
         self,
@@ -100,7 +104,7 @@
 
     @property
     def process_id(self) -> int:
-        """Of its present process. Raises NotReady if there has been none."""
+        """Returns the id of the latest process. Raises NotReady if the relay was never started."""
         if self._process is None:
             raise NotReady(f"{self.name} was not started")
         return self._process.pid
@@ -110,16 +114,16 @@
         return self._folder / "log"
 
     def tail(self) -> list[str]:
-        """The last lines that it has logged."""
+        """Returns the last lines of the relay's log."""
         if not self.log.exists():
             return []
         with self.log.open(errors="replace") as lines:
             return [line.rstrip("\n") for line in deque(lines, LOG_TAIL_LINES)]
 
-    # ---- its life ----
+    # ---- start, stop and signals ----
 
     def start(self, initial_list: dict[str, object], seed: int) -> None:
-        """Its process begins; `initial_list` is the list that it starts with, in discovery's form."""
+        """Starts a process. `initial_list` is the server list of its configuration, in discovery's form."""
         self._starts += 1
         self.killed_for_memory = False
         self.stopping = self.stalled = False
@@ -165,15 +169,15 @@
         (self._folder / "config.json").write_text(json.dumps(document))
 
     def _apply_limits(self) -> None:
-        """In the new process, before the relay: its limits, and that it does not outlive its parent."""
+        """Sets limits in the child process before the relay starts, and makes it end with its parent."""
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-        for early_signal in (signal.SIGHUP, signal.SIGUSR1):  # as `run` of the deploy file does
+        for early_signal in (signal.SIGHUP, signal.SIGUSR1):  # As `run` of the deploy file does.
             signal.signal(early_signal, signal.SIG_IGN)
         if self.limits.sockets is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (self.limits.sockets, self.limits.sockets))
 
     async def ready(self) -> None:
-        """Returns once it has answered PING; `NotReady` when it ended or took too long."""
+        """Waits until the relay answers PING. Raises NotReady if it ends first or exceeds the time limit."""
         with trio.move_on_at(trio.current_time() + READY_TIMEOUT_S):
             while self.running:
                 if await ping(self.listen) is Ping.ANSWERED:
@@ -183,13 +187,13 @@
         raise NotReady("\n".join([f"{self.name} is not ready", *self.tail()]))
 
     def reload(self, discovery: Address) -> None:
-        """Discovery is at another address: told by its file and SIGHUP."""
+        """Moves the relay to another discovery address, by its configuration file and SIGHUP."""
         self.discovery = discovery
         self._write_config(0)
         self._signal(signal.SIGHUP)
 
     def crash(self) -> None:
-        """SIGKILL; returns when its process is gone."""
+        """Kills the process by SIGKILL and returns when it has exited."""
         if self._process is None:
             return
         was_down = not self.running
@@ -201,7 +205,7 @@
         self._process.wait()
 
     async def stop(self, kill_at: int) -> None:
-        """SIGTERM, and SIGKILL if it is still there at that moment."""
+        """Sends SIGTERM, and SIGKILL if the process still runs at `kill_at`."""
         if not self.running:
             return
         self._seen.stopping(self._clock.now_us(), self.number)
@@ -216,7 +220,7 @@
             self._seen.relay_down(self._clock.now_us(), self.number)
 
     def stall(self) -> None:
-        """Its process stops (SIGSTOP) until `go_on`."""
+        """Suspends the process (SIGSTOP) until `go_on`."""
         self._signal(signal.SIGSTOP)
         self.stalled = True
 
@@ -225,17 +229,17 @@
         self.stalled = False
 
     def signal(self, name: str) -> None:
-        """Sends a signal by its name, as SIGUSR1, if its process runs."""
+        """Sends the signal `name`, such as "SIGUSR1", if the process runs."""
         self._signal(signal.Signals[name])
 
     def _signal(self, number: int) -> None:
         if self.running and self._process is not None:
             self._process.send_signal(number)
 
-    # ---- what it uses ----
+    # ---- resource usage ----
 
     def sample(self, seconds: float = 0.0) -> None:
-        """Reads its CPU time and memory; `seconds` since the last time, for the share of a core."""
+        """Reads CPU time and memory. `seconds` is the time since the last sample, for the share of a core."""
         if self._psutil_process is None:
             return
         with suppress(psutil.Error):
@@ -250,13 +254,13 @@
             self._cpu_before = used
             self.usage.peak_mb = max(self.usage.peak_mb, memory_mb)
             is_over_limit = self.limits.memory_mb is not None and memory_mb > self.limits.memory_mb
-            if is_over_limit and not self.killed_for_memory:  # it is looked at once more as it is killed
+            if is_over_limit and not self.killed_for_memory:  # crash() takes a sample itself.
                 self.killed_for_memory = True
                 self.crash()
 
 
 def free_address(host: str) -> Address:
-    """A port at that loopback address which nobody listens on."""
+    """Returns an address with a free port at the loopback address `host`."""
     with bind(host) as sock:
         address: Address = sock.getsockname()
         return address
@@ -264,7 +268,7 @@
 
 @asynccontextmanager
 async def killed_on_exit(relays: Sequence[RelayProcess]) -> AsyncIterator[None]:
-    """Whatever happens inside, none of their processes is left."""
+    """Kills all relay processes when the context ends, also after an error."""
     try:
         yield
     finally:
--- a/glenfold_lab/stand_ins/remote_worker.py
+++ b/glenfold_lab/stand_ins/remote_worker.py
@@ -16,7 +16,7 @@
 
 
 class WorkerFailed(Exception):
-    """A process of stand-ins ended without its report."""
+    """Raised when a process of stand-ins ends without sending its report."""
 
 
 class RemoteWorker:
@@ -62,7 +62,7 @@
             raise WorkerFailed(text) from None
 
     def end(self) -> None:
-        """Its process hears the end of the pipe; one that does not heed it is killed."""
+        """Closes the pipe, which ends the child process; a child that does not end within 2 s is killed."""
         self._pipe.close()
         self._process.join(2)
         if self._process.is_alive():
@@ -72,7 +72,7 @@
 
 @contextmanager
 def remote(workers: Sequence[StandInWorker]) -> Iterator[list[RemoteWorker]]:
-    """Whatever happens inside, none of their processes is left."""
+    """Starts a child process for each worker and ends all of them with the context, also after an error."""
     remotes: list[RemoteWorker] = []
     try:
         for worker in workers:
@@ -90,9 +90,9 @@
 
 
 def _child_main(pipe: Connection, worker: StandInWorker) -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # it ends with its pipe
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # The child ends when its pipe is closed.
     descriptors()
-    gc.disable()  # a collection would stop its loop for longer than the lateness that is allowed
+    gc.disable()  # A collection would block the event loop for longer than the permitted lateness.
     with suppress(EOFError, BrokenPipeError):
         trio.run(_play, pipe, worker)
 
@@ -117,7 +117,7 @@
 
 
 async def _cancel_at_pipe_end(pipe: Connection, started: trio.Event, scope: trio.CancelScope) -> None:
-    """After the start nothing more comes but the end of the pipe."""
+    """Cancels `scope` at the end of the pipe, the only thing that can arrive after the start."""
     await started.wait()
     await trio.lowlevel.wait_readable(pipe.fileno())
     scope.cancel()
--- a/glenfold_lab/stand_ins/run.py
+++ b/glenfold_lab/stand_ins/run.py
@@ -120,18 +120,18 @@
     ):
         try:
             trio.run(run.play, Path(folder), stack)
-        except BaseExceptionGroup as several:
-            raise _main_cause(several) from several
+        except BaseExceptionGroup as group:
+            raise _main_cause(group) from group
         finally:
             if logs is not None:
                 run.keep_logs(logs)
     return run.result(revision, watchers)
 
 
-def _main_cause(several: BaseExceptionGroup[BaseException]) -> BaseException:
+def _main_cause(group: BaseExceptionGroup[BaseException]) -> BaseException:
     """Returns the exception that names the cause: an expected one, without its group if it is alone."""
-    expected = several.subgroup((NotReady, WorkerFailed, TooLarge, KeyboardInterrupt))
-    cause: BaseException = expected or several
+    expected = group.subgroup((NotReady, WorkerFailed, TooLarge, KeyboardInterrupt))
+    cause: BaseException = expected or group
     while isinstance(cause, BaseExceptionGroup) and len(cause.exceptions) == 1:
         cause = cause.exceptions[0]
     return cause
@@ -142,7 +142,7 @@
     scale = seconds / scenario.length_s
 
     def scaled_time(at: Range) -> Range:
-        return tuple(one * scale for one in at) if isinstance(at, tuple) else at * scale
+        return tuple(bound * scale for bound in at) if isinstance(at, tuple) else at * scale
 
     faults = tuple(msgspec.structs.replace(fault, at_s=scaled_time(fault.at_s)) for fault in scenario.faults)
     warm_up = min(scenario.warm_up_s, seconds / 2)
@@ -341,13 +341,13 @@
         return Snapshot(
             number,
             sum(relay.up for relay in relays_now),
-            sum(one.standing for one in reports),
-            sum(one.new for one in reports),
+            sum(second.standing for second in reports),
+            sum(second.new for second in reports),
             answers,
             percentile(set_ups, 50),
             percentile(set_ups, 99),
-            sum(one.lines for one in reports),
-            sum(one.moves for one in reports),
+            sum(second.lines for second in reports),
+            sum(second.moves for second in reports),
             relays_now,
         )
 
--- a/glenfold_lab/stand_ins/script.py
+++ b/glenfold_lab/stand_ins/script.py
@@ -1,6 +1,8 @@
-"""What befalls the stand-ins of one history, known ahead: the model's machines and their list, run through
-with nobody connected. So the same scenario and seed strike the same servers at the same moments, with the
-same news on the same ways, in virtual time and on sockets.
+"""The script of one history: all events of its stand-ins, drawn in advance.
+
+The script comes from a run of the model's machines and server list without any client. The same scenario and
+seed therefore affect the same servers at the same times, with the same list updates on the same paths, in
+virtual time and on sockets.
 
 Times are microseconds from the start of the history. Each process of a run draws the script by itself.
 """
@@ -26,7 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """At `at`, `kind` is done to the server or relay `target` (its place); `value` is as `kind` needs it."""
+    """An action of `kind` on the server or relay with index `target` at time `at`.
+
+    The meaning of `value` depends on `kind`.
+    """
 
     at: int
     target: int
@@ -37,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """At `at` the agent of a relay holds this version, or writes it once more."""
+    """The agent of a relay receives this list version at time `at`, or writes it once more."""
 
     at: int
     relay: int
@@ -47,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """From `at` to `until`, for these relays."""
+    """A time interval from `at` to `until` for these relays."""
 
     at: int
     until: int
@@ -56,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """At `at` this part of the standing clients loses its connection and comes again within `over`."""
+    """A loss of connections at `at`: the fraction `part` of the clients, which reconnect within `over`."""
 
     at: int
     part: float
@@ -65,11 +70,15 @@
 
 @dataclass(slots=True)
 class Script:
-    """news: in the order of their moments, as all lists here. due: when what each relay had to hear counts as
-    told at the latest. quiet: agents that say nothing. cut_off: relays that no client reaches."""
+    """All events of the stand-ins of one history; every list is ordered by time.
+
+    `list_deadlines` has the times at which the updates for each relay count as received at the latest.
+    `silent_agents` has the intervals in which agents send nothing, `unreachable_relays` those in which no
+    client reaches a relay.
+    """
 
     scenario: Scenario
-    epoch: int  # the start on the clock of `Entry.started`, which tells 0 for long ago
+    epoch: int  # Start on the clock of `Entry.started`, in which 0 means long ago.
     fleet: Fleet
     network: Network
     initial_servers: tuple[Machine, ...]
@@ -87,7 +96,7 @@
         return round(self.scenario.length_s * SECOND_US)
 
     def held_list(self, relay: int, at: int) -> tuple[int, tuple[Entry, ...]]:
-        """Version and list as this relay's agent holds them at that moment."""
+        """Returns version and list that the relay's agent holds at time `at`."""
         held = {machine.number: (1, Entry(machine, ListedState.READY, 0)) for machine in self.initial_servers}
         for update in self.list_updates:
             if update.relay == relay and update.at <= at:
@@ -101,7 +110,7 @@
 
 
 def draw(scenario: Scenario, seed: int) -> Script:
-    """Everything that is not the doing of relays or clients."""
+    """Draws all events that do not depend on relays or clients."""
     streams, kernel = Streams(seed), Kernel()
     fleet = Fleet(scenario, streams)
     network = Network(scenario.zones, streams)
@@ -128,7 +137,7 @@
 
 
 class _Machines:
-    """The model's push servers and their list, without any relay."""
+    """Runs the model's push servers and their list without any relay."""
 
     def __init__(self, script: Script, streams: Streams, kernel: Kernel) -> None:
         scenario, self._kernel = script.scenario, kernel
@@ -145,7 +154,7 @@
 
 
 class _RecordingLives(Lives):
-    """Notes what is done to which server."""
+    """Records each action on a server in the script."""
 
     def __init__(
         self, script: Script, servers: PushServers, news: Callable[[Machine, ListedState, int, bool], None]
@@ -192,7 +201,7 @@
         self._add_action(server, "come_back")
 
     def cut(self, zone: int, relays: bool) -> list[Server]:
-        """Relays that are cut off with their zone reach none of the other zones' servers."""
+        """Cuts off a zone; relays cut off with it reach no server of another zone."""
         affected = super().cut(zone, relays)
         for server in self._servers.all if relays else ():
             if server.machine.zone != zone and server.running:
@@ -223,7 +232,7 @@
 
 
 class _RecordingLists(RelayLists):
-    """Notes what each agent comes to hold, what it writes twice, and what counts as told by then."""
+    """Records the updates that each agent receives or writes twice, and the deadlines of updates."""
 
     def __init__(self, script: Script, streams: Streams, kernel: Kernel) -> None:
         super().__init__(script.scenario, streams, kernel, Watcher(), script.fleet, script.network)
@@ -248,12 +257,12 @@
             self._script.list_deadlines.append(replace(update, entries=newest))
 
     def _is_newest(self, feed: Feed, entry: Entry, version: int) -> bool:
-        """Of what this agent holds."""
+        """Returns whether `version` has the newest state of the entry that this agent holds."""
         latest = self._versions.changed_last(entry.machine.number)
         return latest == version or latest > feed.held or latest in feed.missing
 
     def _write(self, feed: Feed, version: int, whole: bool) -> None:
-        """Once when it comes; the second time is a change that is doubled."""
+        """Records a change that is written a second time; the first write is already recorded."""
         if whole:
             return
         if (feed.relay, version) in self._written_versions:
@@ -262,7 +271,7 @@
 
 
 class _RelayFaults:
-    """Drawn as the model draws them, and by the same generators."""
+    """Draws faults of relays as the model does, with the same random generators."""
 
     def __init__(self, script: Script, streams: Streams) -> None:
         self._script = script
--- a/glenfold_lab/stand_ins/worker.py
+++ b/glenfold_lab/stand_ins/worker.py
@@ -1,7 +1,7 @@
-"""The stand-ins that one process plays: some push servers and agents, some of the clients with their front.
+"""The stand-ins that one process plays: some push servers and agents, or some clients with their front.
 
-A part first binds its addresses, then hears where everybody else is, then when the history starts. From there
-on it needs nobody: all that event its stand-ins is in the script.
+A worker first binds its addresses, then receives the addresses of all others, then the time when the history
+starts. From then on it needs no other process, as the script has all events of its stand-ins.
 """
 
 import math
@@ -37,13 +37,17 @@
 from glenfold_lab.stand_ins.service import Floats, Second, Served
 from glenfold_lab.streams import Streams
 
-POPULATION_STEP_US = SECOND_US // 4  # of the population, drawn at a time
+POPULATION_STEP_US = SECOND_US // 4  # Length of the part of the population that is drawn at a time.
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """What one process plays. servers, agents: which. clients: which slice, of how many; None: no clients.
-    bad_per_s: bad clients."""
+    """The share of a history that one process plays.
+
+    `servers` and `agents` have the indexes of its push servers and agents. `clients` is the index of its
+    slice of the clients and the number of slices, None for no clients. `bad_per_s` is the rate of misbehaving
+    clients.
+    """
 
     number: int
     servers: tuple[int, ...]
@@ -54,22 +58,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """On the machine's clock: clients that stood before open from `fill`; the history goes from `start`."""
+    """Times on the machine's clock.
+
+    Clients that are connected at the start of the history open their connections from `fill` on. The history
+    begins at `start`.
+    """
 
     fill: int
     start: int
 
 
 def end_time(scenario: Scenario, times: Times) -> int:
-    """When the last answers are there to be judged."""
+    """Returns the time at slice_index the last answers have arrived and can be checked."""
     longest = max(round(kind.deadline_ms * 1000) for kind in scenario.classes)
     return times.start + round(scenario.length_s * SECOND_US) + longest + LAST_ANSWERS_US
 
 
 @dataclass(slots=True)
 class Report:
-    """What a part saw. wanted, served: seconds of its clients, by class and second. loads: by host, the load
-    over the limit at the end of each second. unreached: as in `Seen`."""
+    """The records of one worker.
+
+    `wanted` and `served` are connection seconds of its clients, by class and second. `loads` has, by host,
+    the load relative to the limit at the end of each second. `unreached` is as in `Seen`.
+    """
 
     records: list[Record]
     faults: list[tuple[int, int, str]]
@@ -83,13 +94,13 @@
 
 @dataclass(slots=True)
 class StandInWorker:
-    """One process's stand-ins, from `bind` over `play` to `report`."""
+    """The stand-ins of one process. Call `bind`, `play` and `report` in this order."""
 
     scenario: Scenario
     seed: int
     share: Share
     net: Net
-    sample_interval_s: float = STEP_S  # between two looks at its own lateness
+    sample_interval_s: float = STEP_S  # Time between two samples of the worker's own lateness.
     script: Script = field(init=False)
     seen: Seen = field(init=False)
     _clock: MachineClock = field(init=False)
@@ -101,7 +112,7 @@
     _loads: dict[str, list[float]] = field(default_factory=dict)
 
     async def bind(self) -> Addresses:
-        """Within the loop that will play it: draws the script and binds the addresses."""
+        """Draws the script and binds the addresses, within the event loop that plays the history."""
         self.script, self.seen, self._clock = draw(self.scenario, self.seed), Seen(), MachineClock()
         self._lateness = Lateness(self.sample_interval_s)
         relays = range(self.scenario.relays.count)
@@ -130,7 +141,11 @@
         wait_for_start: Callable[[], Awaitable[Times]],
         report_second: Callable[[Second], None],
     ) -> None:
-        """`begin` returns once all relays are up; `report_second` hears of each second of the history."""
+        """Plays the history.
+
+        `wait_for_start` returns once all relays are up. `report_second` is called for each second of the
+        history.
+        """
         self._set_initial_lists(addresses)
         async with trio.open_nursery() as nursery:
             for server in self._servers.values():
@@ -170,7 +185,8 @@
     # ---- push servers and agents ----
 
     def _set_initial_lists(self, addresses: Addresses) -> None:
-        formatter = ListFormatter(self.script, addresses, 0)  # nobody in the first list started of late
+        # No server in the initial list is newly started.
+        formatter = ListFormatter(self.script, addresses, 0)
         for relay, agent in self._agents.items():
             agent.holding = Holding(*formatter.held_list(relay, 0))
 
@@ -178,10 +194,10 @@
         yield self._act_on_servers(times.start)
         yield self._update_agents(ListFormatter(self.script, addresses, times.start), times.start)
         yield self._note_list_deadlines(ListFormatter(self.script, addresses, times.start), times.start)
-        for span in self.script.silent_agents:
-            for relay in set(span.relays) & set(self._agents):
+        for interval in self.script.silent_agents:
+            for relay in set(interval.relays) & set(self._agents):
                 yield self._silence_agent(
-                    self._agents[relay], times.start + span.at, times.start + span.until
+                    self._agents[relay], times.start + interval.at, times.start + interval.until
                 )
 
     async def _act_on_servers(self, start: int) -> None:
@@ -214,13 +230,13 @@
 
     def _make_crowd(self, addresses: Addresses, times: Times) -> Crowd:
         assert self.share.clients is not None
-        scenario, streams, which = self.scenario, Streams(self.seed), self.share.clients[0]
+        scenario, streams, slice_index = self.scenario, Streams(self.seed), self.share.clients[0]
         zones = [self.script.network.zone_of(relay) for relay in range(scenario.relays.count)]
         front = SocketFront(
             zones,
             addresses.relays,
             scenario.front.notice_s,
-            streams.of("stands", "front", which),
+            streams.of("stands", "front", slice_index),
             self._clock,
         )
         return Crowd(
@@ -232,29 +248,30 @@
             self._clock,
             {machine.host: machine.number for machine in self.script.fleet.machines},
             value(scenario.front.reshuffle, streams.of("front", "reshuffle")),
-            which,
+            slice_index,
             times.start,
             times.start + self.script.length,
             Served(len(scenario.classes), times.start, self.script.length),
         )
 
     def _draw_clients(self, start: int) -> tuple[list[Client], list[Client]]:
-        """Those of this process: who stood before, and who comes."""
+        """Returns the clients of this process: those connected at the start, and those that arrive later."""
         assert self.share.clients is not None
-        which, slice_count = self.share.clients
+        slice_index, slice_count = self.share.clients
         population = Population(self.scenario, self.script.fleet.terms, Streams(self.seed), start)
         standing = list(clients_of(population.standing(), 0, True))
-        if not self.scenario.relays.pass_through:  # else packets must go where the relays would send them
+        # With pass-through, packets must go where the relays would send them.
+        if not self.scenario.relays.pass_through:
             self._choose_hosts(standing)
         coming: list[Client] = []
         for drawn in population.coming(POPULATION_STEP_US):
             coming += clients_of(drawn, len(standing) + len(coming), False)
-        return standing[which::slice_count], coming[which::slice_count]
+        return standing[slice_index::slice_count], coming[slice_index::slice_count]
 
     def _choose_hosts(self, standing: list[Client]) -> None:
-        random = Streams(self.seed).of("stands", "hosts")
+        rng = Streams(self.seed).of("stands", "hosts")
         weights = np.array([machine.capacity for machine in self.script.initial_servers])
-        indexes = random.choice(len(weights), size=len(standing), p=weights / weights.sum())
+        indexes = rng.choice(len(weights), size=len(standing), p=weights / weights.sum())
         for client, index in zip(standing, indexes.tolist(), strict=True):
             client.host = self.script.initial_servers[index].host
 
@@ -267,10 +284,10 @@
             await admitted.wait()
             nursery.start_soon(crowd.fill, standing, max(times.fill, self._clock.now_us()))
             nursery.start_soon(crowd.come, coming)
-            for span in self.script.unreachable_relays:
-                for relay in span.relays:
+            for interval in self.script.unreachable_relays:
+                for relay in interval.relays:
                     nursery.start_soon(
-                        self._cut_off, crowd, relay, times.start + span.at, times.start + span.until
+                        self._cut_off, crowd, relay, times.start + interval.at, times.start + interval.until
                     )
             for action in self.script.relays:
                 if action.kind == "restart":
@@ -294,12 +311,12 @@
 
     async def _drop_connections(self, crowd: Crowd, start: int) -> None:
         assert self.share.clients is not None
-        random = Streams(self.seed).of("stands", "drops", self.share.clients[0])
+        rng = Streams(self.seed).of("stands", "drops", self.share.clients[0])
         for drop in self.script.drops:
             await self._clock.until(start + drop.at)
-            crowd.drop(drop.part, drop.over, random)
+            crowd.drop(drop.part, drop.over, rng)
 
-    # ---- second by second ----
+    # ---- reports by second ----
 
     async def _report_seconds(self, times: Times, report_second: Callable[[Second], None]) -> None:
         for second in range(math.ceil(self.script.length / SECOND_US)):
@@ -318,7 +335,7 @@
 
 
 def seal_secret(seed: int) -> bytes:
-    """What clients and push servers of one run share."""
+    """Returns the key of the seal that clients and push servers of one run share."""
     return f"stand-ins of {seed}".encode()
 
 
@@ -339,7 +356,7 @@
 
 
 class _ServerFactory:
-    """Push servers as the model has them, each with generators of its own."""
+    """Creates push servers as in the model, each with its own random generators."""
 
     def __init__(self, script: Script, seed: int, seen: Seen, fraction: float) -> None:
         scenario, streams = script.scenario, Streams(seed)
--- a/tests/glenfold_lab/standing.py
+++ b/tests/glenfold_lab/standing.py
@@ -45,28 +45,28 @@
     discovery: Discovery
     shared: Relay
     port: int
-    asked: int = 0
+    requests_sent: int = 0
 
     async def open(self, key: int = 7, wait_ms: int = 2000, more: tuple[str, ...] = ()) -> trio.SocketStream:
-        self.asked += 1
+        self.requests_sent += 1
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
-        await stream.send_all(SEAL.line(self.asked, key, ["c=watch", *more], wait_ms))
+        await stream.send_all(SEAL.line(self.requests_sent, key, ["c=watch", *more], wait_ms))
         return stream
 
     async def answer(self, key: int = 7) -> bytes:
         return await relaying.read_line(await self.open(key))
 
-    def overs(self, server: PushServer) -> list[AttemptOutcome]:
+    def attempt_outcomes(self, server: PushServer) -> list[AttemptOutcome]:
         return [
             values[3]
             for name, values in self.seen.records
             if name == "attempt_over" and values[2] == server.holder.number
         ]
 
-    def seen_of(self, kind: str) -> list[tuple[Any, ...]]:
+    def observations_of(self, kind: str) -> list[tuple[Any, ...]]:
         return [values for name, values in self.seen.records if name == kind]
 
-    async def heard(self, test: Callable[[DestinationSet], bool]) -> None:
+    async def wait_for_list(self, test: Callable[[DestinationSet], bool]) -> None:
         while not test(self.shared.destinations):
             await trio.sleep(0.01)
 
@@ -113,41 +113,47 @@
 
 @asynccontextmanager
 async def world(folder: Path, servers: int = 2, **more: Any) -> AsyncIterator[World]:
-    clock, seen, conf = MachineClock(), Seen(), relaying.config(folder)
+    clock, seen, config = MachineClock(), Seen(), relaying.config(folder)
     async with trio.open_nursery() as nursery:
-        stands = [PushServer(holder(n, seen, **more), clock, [f"127.9.1.{n + 1}"]) for n in range(servers)]
-        entries = [entry(n, written(stand.addresses[0])) for n, stand in enumerate(stands)]
+        push_servers = [
+            PushServer(holder(n, seen, **more), clock, [f"127.9.1.{n + 1}"]) for n in range(servers)
+        ]
+        entries = [entry(n, written(push_server.addresses[0])) for n, push_server in enumerate(push_servers)]
         agent = Agent([0], "127.9.2.1", Holding(1, entries), seen, clock)
-        relay_clock, destinations = Clock(), DestinationSet(conf.names)
-        decisions = Decisions(conf.settings, conf.seed, relay_clock)
-        shared = Relay(conf, relay_clock, decisions, destinations, Counters())
+        relay_clock, destinations = Clock(), DestinationSet(config.names)
+        decisions = Decisions(config.settings, config.seed, relay_clock)
+        shared = Relay(config, relay_clock, decisions, destinations, Counters())
         shared.ready.set()
         discovery = Discovery(agent.address, destinations, decisions.submit, shared.counters)
         listener = trio.socket.socket()
         await listener.bind(("127.0.0.1", 0))
         listener.listen()
-        for serve in (*(stand.serve for stand in stands), agent.serve):
+        for serve in (*(push_server.serve for push_server in push_servers), agent.serve):
             await nursery.start(serve)
         for task in (decisions.run, discovery.follow):
             nursery.start_soon(task)
         nursery.start_soon(Inbound(shared).serve, listener, nursery)
-        for stand in stands:
-            stand.start(cold=False)
-        made = World(seen, clock, stands, entries, agent, discovery, shared, listener.getsockname()[1])
-        await made.heard(lambda known: all(known.address(entry.number) for entry in entries))
-        yield made
+        for push_server in push_servers:
+            push_server.start(cold=False)
+        world_state = World(
+            seen, clock, push_servers, entries, agent, discovery, shared, listener.getsockname()[1]
+        )
+        await world_state.wait_for_list(
+            lambda destinations: all(destinations.address(entry.number) for entry in entries)
+        )
+        yield world_state
         nursery.cancel_scope.cancel()
         listener.close()
 
 
 def play(folder: Path, script: Any, **more: Any) -> Seen:
-    """In virtual time: it goes on by itself once nothing more happens at the present moment."""
+    """Runs `script` in virtual time, which advances when no task has more to do at the current time."""
     seen: list[Seen] = []
 
     async def main() -> None:
-        async with world(folder, **more) as made:
-            seen.append(made.seen)
-            await script(made)
+        async with world(folder, **more) as world_state:
+            seen.append(world_state.seen)
+            await script(world_state)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.01))
     return seen[0]
--- a/tests/glenfold_lab/test_demo.py
+++ b/tests/glenfold_lab/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo: each second as a line, service and verdicts at the end, and its exit status."""
+"""The demo prints a line for each second, then service and verdicts, and sets its exit status."""
 
 import io
 
@@ -38,11 +38,13 @@
 
 
 def test_without_a_terminal_each_second_is_one_plain_line():
-    out = io.StringIO()
-    with live.watch(Console(file=out, force_terminal=False, width=100), {1: "a server [drains]"}) as show:
-        show(second(0))
-        show(second(1, answers={}))
-    assert out.getvalue().splitlines() == [
+    output = io.StringIO()
+    with live.watch(
+        Console(file=output, force_terminal=False, width=100), {1: "a server [drains]"}
+    ) as on_second:
+        on_second(second(0))
+        on_second(second(1, answers={}))
+    assert output.getvalue().splitlines() == [
         "second 0, clients up 1000, new/s 11, set-up p50 ms 12, set-up p99 ms 35, lines/s 77, moves 3, "
         "answers up 9 busy 2, n0 25% 33 MB, n1 down",
         "second 1, clients up 1001, new/s 11, set-up p50 ms 12, set-up p99 ms 35, lines/s 77, moves 3, "
@@ -51,15 +53,15 @@
 
 
 @pytest.mark.parametrize(
-    ("played", "status", "says"),
+    ("played", "status", "expected_text"),
     [
         (result(), 0, "rule move      MOVE before a cut: kept"),
         (result(BROKEN), 1, "broken 1 times\n  4.0 s: [bold]told relay 1\n  4.5 s: cut"),
         (NotReady("n1 did not answer"), 1, "Error: n1 did not answer"),
     ],
 )
-def test_it_ends_with_service_and_verdicts_and_with_status_1_if_a_rule_was_broken(
-    monkeypatch, tmp_path, played, status, says
+def test_the_demo_prints_service_and_verdicts_and_exits_1_if_a_rule_was_broken(
+    monkeypatch, tmp_path, played, status, expected_text
 ):
     def play(*_: object, on_second: object) -> RunResult:
         if isinstance(played, Exception):
@@ -67,8 +69,8 @@
         return played
 
     monkeypatch.setattr(demo, "play_on_sockets", play)
-    done = CliRunner().invoke(demo.command, ["--json", str(tmp_path / "out.json")])
-    assert done.exit_code == status and says in done.output
+    invocation = CliRunner().invoke(demo.command, ["--json", str(tmp_path / "out.json")])
+    assert invocation.exit_code == status and expected_text in invocation.output
     if isinstance(played, RunResult):
-        assert "99.4% of what they wanted, 90.0% in the worst 10 s\nup 9 answers" in done.output
+        assert "99.4% of what they wanted, 90.0% in the worst 10 s\nup 9 answers" in invocation.output
         assert msgspec.json.decode((tmp_path / "out.json").read_bytes(), type=RunResult) == played
--- a/tests/glenfold_lab/test_play.py
+++ b/tests/glenfold_lab/test_play.py
@@ -1,4 +1,4 @@
-"""Real relay processes: one short history, with a crash and a planned restart; and the command."""
+"""One short history with real relay processes, a crash and a planned restart; and scaled scenarios."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 from glenfold_lab.spec import Clients, Fault, Front, Relays, RequestClass, Scenario, Servers
 from glenfold_lab.stand_ins.run import Snapshot, TooLarge, play_on_sockets, scaled, shortened
 
-DAY = Scenario(
+SCENARIO = Scenario(
     format=1,
     name="small",
     guards_against="nothing",
@@ -25,20 +25,23 @@
 )
 
 
-def test_a_history_with_real_relays_is_played_and_nothing_of_it_is_left(tmp_path: Path) -> None:
+def test_a_history_with_real_relays_is_played_and_leaves_no_process(tmp_path: Path) -> None:
     seconds: list[Snapshot] = []
-    result = play_on_sockets(DAY, 3, 4.0, processes=2, bad_per_s=4.0, logs=tmp_path, on_second=seconds.append)
+    result = play_on_sockets(
+        SCENARIO, 3, 4.0, processes=2, bad_per_s=4.0, logs=tmp_path, on_second=seconds.append
+    )
     assert result.verdicts == () and result.answers["up"] > 0 and result.figures["relays_down_s"] > 0
     assert [second.second for second in seconds] == list(range(4)) and seconds[0].new > 10
     assert sorted(path.name for path in tmp_path.iterdir()) == ["n0.log", "n1.log"]
-    left = [" ".join(child.cmdline()) for child in psutil.Process().children(recursive=True)]
-    assert not [line for line in left if "resource_tracker" not in line]  # that is Python's own
+    child_commands = [" ".join(child.cmdline()) for child in psutil.Process().children(recursive=True)]
+    # Python starts the resource tracker itself.
+    assert not [line for line in child_commands if "resource_tracker" not in line]
     assert msgspec.json.decode(msgspec.json.encode(result), type=RunResult) == result
 
 
-def test_a_history_is_cut_to_size() -> None:
-    short = shortened(scaled(DAY, 0.5, None, 7), 3.0)
+def test_a_scenario_is_shortened_and_scaled() -> None:
+    short = shortened(scaled(SCENARIO, 0.5, None, 7), 3.0)
     assert (short.relays.count, short.servers.count, short.length_s) == (1, 7, 3.0)
     assert [fault.at_s for fault in short.faults] == [0.5, 1.0]
     with pytest.raises(TooLarge, match="smaller scale"):
-        play_on_sockets(scaled(DAY, 1, 200, 2000), 1)
+        play_on_sockets(scaled(SCENARIO, 1, 200, 2000), 1)
--- a/tests/glenfold_lab/test_soak.py
+++ b/tests/glenfold_lab/test_soak.py
@@ -1,4 +1,4 @@
-"""Soak runs: short ones by fixed seeds, mutants of the relay that each fail one, and the draw of a plan."""
+"""Soak runs: short ones with fixed seeds, mutants of the relay that each break a rule, and drawn plans."""
 
 import shutil
 import socket
@@ -25,12 +25,12 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_a_seed_gives_one_day_and_another_seed_another() -> None:
+def test_a_seed_determines_the_plan() -> None:
     assert draw_plan(7, 20.0) == draw_plan(7, 20.0)
     assert draw_plan(7, 20.0) != draw_plan(8, 20.0)
 
 
-def test_days_of_each_kind_are_drawn_and_each_has_a_planned_restart() -> None:
+def test_plans_of_each_kind_are_drawn_and_each_has_a_planned_restart() -> None:
     plans = [draw_plan(seed, 20.0) for seed in range(1, 51)]
     assert {plan.has_client_burst for plan in plans} == {True, False}
     assert {plan.scenario.relays.pass_through for plan in plans} == {True, False}
@@ -38,26 +38,29 @@
     assert len({fault.kind for plan in plans for fault in plan.scenario.faults}) == 10
 
 
-@pytest.mark.parametrize("seed", [2, 8, 9])  # with a crowd, with one and packets that pass through, with none
-def test_relays_keep_every_rule_and_leave_nothing_over(seed: int) -> None:
-    soaked = play(seed, LENGTH_S)
-    assert not soaked.verdicts
-    assert soaked.up > 20 and soaked.moves > 0
-    assert {"SIGHUP", "SIGUSR1"} <= set(soaked.signals)
-    assert (soaked.crowded > 0) == draw_plan(seed, LENGTH_S).has_client_burst
+# Seed 2 has a client burst, seed 8 a client burst and pass-through, seed 9 pass-through alone.
+@pytest.mark.parametrize("seed", [2, 8, 9])
+def test_relays_keep_every_rule_and_leave_no_connection_open(seed: int) -> None:
+    result = play(seed, LENGTH_S)
+    assert not result.verdicts
+    assert result.up > 20 and result.moves > 0
+    assert {"SIGHUP", "SIGUSR1"} <= set(result.signals)
+    assert (result.crowded > 0) == draw_plan(seed, LENGTH_S).has_client_burst
 
 
 @pytest.mark.parametrize("seed", [205, 222])
 def test_a_seed_of_the_long_run_that_failed_once_keeps_every_rule(seed: int) -> None:
-    """Found beside other work, not traced, and not seen again in two more plays each. 205: an attempt reached
-    its server 54 ms after its client had been answered BUSY. 222: while a crowd filled a relay, eight of its
-    requests were answered BUSY 0.46 s after their deadlines."""
+    """Each seed failed once on a busy machine, was not traced, and did not fail in two more plays.
+
+    Seed 205: an attempt reached its server 54 ms after its client had been answered BUSY. Seed 222: while a
+    client burst filled a relay, eight requests were answered BUSY 0.46 s after their deadlines.
+    """
     assert not play(seed, 16.0).verdicts
 
 
 @dataclass(frozen=True)
 class Mutant:
-    """A fault of the relay: in `file` each `sound` becomes `faulty`. A run of `seed` breaks the `rule`."""
+    """A fault of the relay: in `file`, `faulty` replaces each `sound`; a run of `seed` then breaks `rule`."""
 
     file: str
     sound: str
@@ -81,29 +84,29 @@
 
 
 @pytest.fixture
-def mutated(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Path]:
-    """A copy of the program that relays of a soak run are started from."""
+def program_copy(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Path]:
+    """Makes a copy of the program and starts the relays of a soak run from the copy."""
     for package in ("glenfold", "linnetspread"):
         shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
     monkeypatch.setattr(relays, "ROOT", tmp_path)
     yield tmp_path
 
 
-def mutate(tree: Path, mutant: Mutant) -> None:
-    text = (tree / mutant.file).read_text()
+def mutate(program_folder: Path, mutant: Mutant) -> None:
+    text = (program_folder / mutant.file).read_text()
     assert mutant.sound in text
-    (tree / mutant.file).write_text(text.replace(mutant.sound, mutant.faulty))
+    (program_folder / mutant.file).write_text(text.replace(mutant.sound, mutant.faulty))
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_mutant_of_the_relay_fails_a_soak_run(name: str, mutated: Path) -> None:
+def test_a_mutant_of_the_relay_fails_a_soak_run(name: str, program_copy: Path) -> None:
     mutant = MUTANTS[name]
-    mutate(mutated, mutant)
-    soaked = play(mutant.seed, LENGTH_S)
-    assert mutant.rule in {verdict.rule for verdict in soaked.verdicts}
+    mutate(program_copy, mutant)
+    result = play(mutant.seed, LENGTH_S)
+    assert mutant.rule in {verdict.rule for verdict in result.verdicts}
 
 
-KEEPS = """
+ACCEPTS_ONE_CONNECTION = """
 import socket, sys, time
 listener = socket.create_server(("127.0.0.1", 0))
 print(listener.getsockname()[1], flush=True)
@@ -115,31 +118,33 @@
 
 
 class FakeRelay:
-    """A process that takes one connection."""
+    """A process that accepts one connection."""
 
     number, running, stalled = 3, True, False
 
-    def __init__(self, habit: str) -> None:
-        self.process = subprocess.Popen([sys.executable, "-c", KEEPS, habit], stdout=subprocess.PIPE)
+    def __init__(self, behaviour: str) -> None:
+        self.process = subprocess.Popen(
+            [sys.executable, "-c", ACCEPTS_ONE_CONNECTION, behaviour], stdout=subprocess.PIPE
+        )
         assert self.process.stdout is not None
         self.port = int(self.process.stdout.readline())
         self.process_id = self.process.pid
 
 
-@pytest.mark.parametrize("habit", ["keeps", "closes"])
+@pytest.mark.parametrize("behaviour", ["keeps", "closes"])
 def test_a_connection_that_a_relay_keeps_after_its_client_left_is_a_fault(
-    habit: str, monkeypatch: pytest.MonkeyPatch
+    behaviour: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(disturbance, "CHECK_INTERVAL_S", 0.05)
-    relay, seen = FakeRelay(habit), Seen()
+    relay, seen = FakeRelay(behaviour), Seen()
     try:
         with socket.create_connection(("127.0.0.1", relay.port)):
             pass
-        trio.run(_watched_until, [relay], seen, 3.0 if habit == "keeps" else 0.5)
+        trio.run(_watched_until, [relay], seen, 3.0 if behaviour == "keeps" else 0.5)
     finally:
         relay.process.kill()
         relay.process.wait()
-    assert [fault[1] for fault in seen.faults] == ([3] if habit == "keeps" else [])
+    assert [fault[1] for fault in seen.faults] == ([3] if behaviour == "keeps" else [])
 
 
 async def _watched_until(watched: list[FakeRelay], seen: Seen, time_limit_s: float) -> None:
@@ -159,7 +164,7 @@
         ("talks", "a line came after MOVE"),
     ],
 )
-def test_a_client_that_lingers_after_move_tells_what_the_relay_did(
+def test_a_client_that_lingers_after_move_reports_what_the_relay_did(
     relay: str, fault: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clients, "LINGER_S", 0.2)
@@ -169,19 +174,19 @@
 
 
 async def _linger(relay: str, seen: Seen) -> None:
-    """A client that was told MOVE, and the relay's end of its connection."""
-    near, far = trio.socket.socketpair()
+    """Runs a client that was sent MOVE against the relay's end of its connection."""
+    client_end, relay_end = trio.socket.socketpair()
     connection = clients.Connection.__new__(clients.Connection)
     connection.relay = 0
     front = SimpleNamespace(reaches=lambda relay: True)
     connection._crowd = SimpleNamespace(seen=seen, clock=MachineClock(), front=front)  # type: ignore[assignment]
-    with near, far:
+    with client_end, relay_end:
         if relay == "talks":
-            await far.send(b"one more line\r\n")
+            await relay_end.send(b"one more line\r\n")
         if relay != "keeps":
-            far.shutdown(socket.SHUT_WR)
-        await connection._linger(near)
-        assert relay == "closes" or (await far.recv(100)).startswith(b"still here\r\n")
+            relay_end.shutdown(socket.SHUT_WR)
+        await connection._linger(client_end)
+        assert relay == "closes" or (await relay_end.recv(100)).startswith(b"still here\r\n")
 
 
 def test_a_run_that_is_too_short_is_refused() -> None:
@@ -190,7 +195,7 @@
 
 
 @pytest.mark.parametrize(
-    ("option", "value", "words"),
+    ("option", "value", "text"),
     [
         ("--seconds", "5", "5.0 is not in the range 12.0<=x<=3600"),
         ("--count", "0", "0 is not in the range 1<=x<=10000"),
@@ -198,8 +203,8 @@
         ("--seed", "soon", "'soon' is not a valid integer"),
     ],
 )
-def test_a_faulty_option_is_named_with_what_would_be_right(option: str, value: str, words: str) -> None:
-    result = CliRunner().invoke(command, [option, value])
-    assert result.exit_code == 2
-    assert option in result.output and words in result.output
+def test_an_invalid_option_is_reported_with_the_valid_range(option: str, value: str, text: str) -> None:
+    invocation = CliRunner().invoke(command, [option, value])
+    assert invocation.exit_code == 2
+    assert option in invocation.output and text in invocation.output
     assert MIN_LENGTH_S == 12.0
--- a/tests/glenfold_lab/test_stand_in_agent.py
+++ b/tests/glenfold_lab/test_stand_in_agent.py
@@ -16,7 +16,7 @@
 def gone(world: World, n: int) -> tuple[int, int]:
     """The server's number, and how many of the told observations say that it is gone."""
     number = world.entries[n].number
-    return number, sum(values[2:4] == (number, ListedState.GONE) for values in world.seen_of("told"))
+    return number, sum(values[2:4] == (number, ListedState.GONE) for values in world.observations_of("told"))
 
 
 def test_a_change_is_told_once_it_was_written_and_comes_but_once(tmp_path: Path) -> None:
@@ -24,10 +24,10 @@
         left = replace(world.entries[0], state=ListedState.GONE)
         world.change(2, left)
         number, _ = gone(world, 0)
-        await world.heard(lambda known: known.address(number) is None and known.version == 2)
+        await world.wait_for_list(lambda known: known.address(number) is None and known.version == 2)
         world.change(2, left)  # doubled
         world.change(3, world.entries[1])
-        await world.heard(lambda known: known.version == 3)
+        await world.wait_for_list(lambda known: known.version == 3)
         assert gone(world, 0)[1] == 2 and world.shared.destinations.problems == []
 
     play(tmp_path, script)
@@ -43,10 +43,10 @@
         assert (world.shared.counters.lists, gone(world, 0)[1]) == (lists, 0)
         assert world.shared.destinations.address(number) is not None
         world.agent.speak()
-        await world.heard(lambda known: known.address(number) is None)
+        await world.wait_for_list(lambda known: known.address(number) is None)
         world.agent.cut()
         world.change(3, world.entries[0])
-        await world.heard(lambda known: known.address(number) is not None)
+        await world.wait_for_list(lambda known: known.address(number) is not None)
 
     play(tmp_path, script)
 
@@ -58,7 +58,7 @@
         await world.clock.until(world.clock.now_us() + 5_000_000)
         assert gone(world, 0)[1] == 0
         world.discovery.move_to(address)
-        await world.heard(lambda known: known.version == 2)
+        await world.wait_for_list(lambda known: known.version == 2)
         assert gone(world, 0)[1] == 1
 
     play(tmp_path, script)
@@ -74,7 +74,7 @@
             end_now(stream.socket)
             await stream.aclose()
         world.change(2, replace(world.entries[0], state=ListedState.GONE))
-        await world.heard(lambda known: known.version == 2)
+        await world.wait_for_list(lambda known: known.version == 2)
         await trio.testing.wait_all_tasks_blocked()
         assert gone(world, 0)[1] == 1
 
@@ -98,7 +98,7 @@
         world.change(2, replace(world.entries[0], state=ListedState.DRAINING))
         await trio.lowlevel.checkpoint()  # the watch has woken, and is writing that change
         world.change(3, replace(world.entries[1], state=ListedState.DRAINING))
-        await world.heard(lambda known: known.version == 3)
+        await world.wait_for_list(lambda known: known.version == 3)
         assert trio.current_time() - began < 1.0
 
     play(tmp_path, script)
--- a/tests/glenfold_lab/test_stand_in_servers.py
+++ b/tests/glenfold_lab/test_stand_in_servers.py
@@ -43,7 +43,7 @@
             elif not key:
                 getattr(faulty, fault)()
             assert (await world.answer(key)).startswith(b"UP s-1.")
-        assert world.overs(faulty)[:1] == ([over] if over else []) and not sound.holder.syntax
+        assert world.attempt_outcomes(faulty)[:1] == ([over] if over else []) and not sound.holder.syntax
 
     play(tmp_path, script)
 
@@ -68,7 +68,7 @@
             assert await read_line(stream) == last
         except trio.BrokenResourceError:
             assert last is None
-        assert [values[1] for values in world.seen_of("broke")] == [1]
+        assert [values[1] for values in world.observations_of("broke")] == [1]
 
     play(tmp_path, script)
 
@@ -77,7 +77,7 @@
     async def script(world: World) -> None:
         world.servers[0].from_now(Fault.SLOW)
         assert (await world.answer()).startswith(b"UP s-0.")
-        first, last = world.seen_of("sent")[0][4], world.seen_of("sent")[0][0]
+        first, last = world.observations_of("sent")[0][4], world.observations_of("sent")[0][0]
         assert last - first >= 300_000  # from its first byte to its last
 
     play(tmp_path, script, servers=1)
@@ -125,7 +125,7 @@
         assert (await world.answer(key=8)).startswith(b"BUSY ")
         await stream.send_all(b"QUIT\r\n")
         assert await read_line(stream) == b"BYE\r\n"
-        assert world.overs(world.servers[0]) == [AttemptOutcome.UP, AttemptOutcome.BUSY]
+        assert world.attempt_outcomes(world.servers[0]) == [AttemptOutcome.UP, AttemptOutcome.BUSY]
 
     play(tmp_path, script, servers=1, cap=0.01)
 
@@ -192,7 +192,9 @@
         await again.aclose()
         await trio.sleep(5.0)
         assert not (await read_line(await world.open(more=("mid=1",)))).startswith(b"UP")
-        assert sum((world.overs(server) for server in world.servers), [])[-1] is AttemptOutcome.RESET
+        assert (
+            sum((world.attempt_outcomes(server) for server in world.servers), [])[-1] is AttemptOutcome.RESET
+        )
         assert not any(server.holder.fluid.demand or server.holder.fluid.held for server in world.servers)
 
     play(tmp_path, script, park_us=4_000_000, group_load=60_000.0)
--- a/tests/glenfold_lab/test_stand_in_settings.py
+++ b/tests/glenfold_lab/test_stand_in_settings.py
@@ -1,4 +1,4 @@
-"""A real relay and one of the model are told the same of every shipped scenario."""
+"""A real relay and a relay of the model get the same settings for every shipped scenario."""
 
 import json
 from pathlib import Path
@@ -14,15 +14,15 @@
 
 
 @pytest.mark.parametrize("name", scenario.shipped())
-def test_a_real_relay_is_told_what_one_of_the_model_is(tmp_path: Path, name: str) -> None:
-    day = scenario.load(name)
-    terms = Fleet(day, Streams(5)).terms
+def test_a_real_relay_gets_the_settings_of_a_model_relay(tmp_path: Path, name: str) -> None:
+    shipped_scenario = scenario.load(name)
+    terms = Fleet(shipped_scenario, Streams(5)).terms
     document = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
-        "settings": settings_json(day, terms, 1, 0),
+        "settings": settings_json(shipped_scenario, terms, 1, 0),
     }
     (tmp_path / "config.json").write_text(json.dumps(document))
-    read = read_config({"LB_CONFIG": str(tmp_path / "config.json")})
-    assert read.settings == settings_of(day, terms, 1, 0)
-    assert list(read.names.classes) == [kind.name for kind in day.classes]
+    config = read_config({"LB_CONFIG": str(tmp_path / "config.json")})
+    assert config.settings == settings_of(shipped_scenario, terms, 1, 0)
+    assert list(config.names.classes) == [kind.name for kind in shipped_scenario.classes]
