--- a/glenfold_lab/soak/disturbance.py
+++ b/glenfold_lab/soak/disturbance.py
@@ -65,7 +65,7 @@
                 await trio.sleep(self._rng.uniform(*SIGNAL_PAUSE_RANGE_S))
 
     async def _signal_stopping_relays(self, relays: Sequence[RelayProcess]) -> None:
-        """Sends further signals to each relay that has been told to stop."""
+        """Sends further signals to each relay that is stopping."""
         signalled: set[int] = set()
         while True:
             await trio.sleep(POLL_INTERVAL_S)
--- a/glenfold_lab/stand_ins/script.py
+++ b/glenfold_lab/stand_ins/script.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A time interval from `at` to `until` for these relays."""
+    """A time interval from `at` to `until` that concerns `relays`."""
 
     at: int
     until: int
@@ -257,7 +257,7 @@
             self._script.list_deadlines.append(replace(update, entries=newest))
 
     def _is_newest(self, feed: Feed, entry: Entry, version: int) -> bool:
-        """Returns whether `version` has the newest state of the entry that this agent holds."""
+        """Returns whether this agent holds no later version that changes `entry`."""
         latest = self._versions.changed_last(entry.machine.number)
         return latest == version or latest > feed.held or latest in feed.missing
 
