--- a/glenfold_lab/stand_ins/daemons.py
+++ b/glenfold_lab/stand_ins/daemons.py
@@ -1,7 +1,7 @@
-"""Real daemons on loopback: instances of one operators' file, with or without their supervisor.
+"""Starts and stops real daemons on loopback: instances of one operators' file, with or without supervisor.
 
-Whatever was started is ended again, by its id; relays outlive their supervisor, so they are found by their
-command lines, which name a file of this run alone.
+All started processes are ended again by their ids. Relays outlive their supervisor, so they are found by
+their command lines, which name the operators' file of this run.
 """
 
 import os
@@ -27,29 +27,32 @@
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, format_address
 
-NAME = "fleet"
-LOOK_S = 0.02
-ANSWER_S = 2.0
-GONE_S = 2.0  # that the kernel may take to end them
-PATIENCE_S = 30.0  # for what is waited for to come true
+FLEET_NAME = "fleet"
+POLL_INTERVAL_S = 0.02
+STATUS_TIMEOUT_S = 2.0
+KILL_TIMEOUT_S = 2.0  # Time in which the kernel ends killed processes.
+WAIT_TIMEOUT_S = 30.0  # Time limit for a condition on a status.
 COMMAND = [sys.executable, "-m", "glenfold"]
-STARTED_BY = re.compile(rb"\0--instance\0(\d+)\0")
+INSTANCE_OPTION = re.compile(rb"\0--instance\0(\d+)\0")
 
 Answer = dict[str, Any]
 
 
-class NeverCame(Exception):
-    """What was waited for."""
+class ConditionTimeout(Exception):
+    """Raised when a condition on a status was not met within the time limit."""
 
 
 def operators_file(
-    day: Scenario,
+    scenario: Scenario,
     kinds: Sequence[str],
     discovery: Address,
     listen: Sequence[Address],
     **tables: Mapping[str, Any],
 ) -> str:
-    """For an instance at each address; `tables` are merged into those of the file."""
+    """Returns an operators' file with an instance for each address in `listen`.
+
+    `tables` are merged into the tables of the file.
+    """
     classes = [
         {
             "name": kind.name,
@@ -57,22 +60,22 @@
             "message_aim_ms": kind.message_aim_ms,
             "worth": kind.worth,
         }
-        for kind in day.classes
+        for kind in scenario.classes
     ]
-    rules = day.rules
+    rules = scenario.rules
     document: dict[str, Any] = {
         "format": 1,
-        "instance": {"name": NAME, "folder": "state"},
-        "limits": {"sockets": day.relays.sockets or 4096},
+        "instance": {"name": FLEET_NAME, "folder": "state"},
+        "limits": {"sockets": scenario.relays.sockets or 4096},
         "list": {"discovery": format_address(discovery)},
         "logging": {"form": "json"},
         "settings": {
             "classes": classes,
-            "zones": list(day.zones.names),
-            "zone": day.zones.names[0],
+            "zones": list(scenario.zones.names),
+            "zone": scenario.zones.names[0],
             "kinds": list(kinds),
             "rules": {
-                "pass_through": day.relays.pass_through,
+                "pass_through": scenario.relays.pass_through,
                 "max_attempts": rules.max_attempts,
                 "cold_share": rules.cold_share,
                 "cold_s": rules.cold_s,
@@ -82,14 +85,14 @@
         },
         "fleet": {"instances": len(listen), "addresses": [[format_address(address)] for address in listen]},
     }
-    for name, more in tables.items():
-        document[name] = {**document.get(name, {}), **more}
+    for name, keys in tables.items():
+        document[name] = {**document.get(name, {}), **keys}
     return tomlkit.dumps(document)
 
 
 @dataclass(slots=True)
-class Said:
-    """What a command came to."""
+class CommandResult:
+    """The exit status and the output of a command."""
 
     status: int
     out: str
@@ -97,14 +100,17 @@
 
 @dataclass(slots=True)
 class Daemons:
-    """`file`: of the operators, in a folder of its own. listen: by number of the relay; the instance of relay
-    n has the number n + 1."""
+    """The daemons of one fleet.
+
+    `file` is the operators' file, in a folder of its own. `listen` has the address of each relay by its
+    number; the instance of relay n has the number n + 1.
+    """
 
     file: Path
     listen: Sequence[Address]
     seen: Seen
     clock: MachineClock
-    _own: list[subprocess.Popen[bytes]] = field(default_factory=list)
+    _started: list[subprocess.Popen[bytes]] = field(default_factory=list)
     supervisor: subprocess.Popen[bytes] | None = None
 
     @property
@@ -117,55 +123,61 @@
 
     # ---- starting and ending ----
 
-    def up(self) -> None:
-        """A supervisor begins, in a process of its own."""
+    def start_supervisor(self) -> None:
+        """Starts a supervisor in a separate process."""
         self.supervisor = self._start("fleet", "up", os.fspath(self.file))
 
-    def run(self, relay: int) -> subprocess.Popen[bytes]:
-        """One more process of that instance, without a supervisor."""
+    def start_instance(self, relay: int) -> subprocess.Popen[bytes]:
+        """Starts one more process of the relay's instance, without a supervisor."""
         return self._start("run", os.fspath(self.file), "--instance", str(relay + 1))
 
-    def _start(self, *words: str) -> subprocess.Popen[bytes]:
+    def _start(self, *arguments: str) -> subprocess.Popen[bytes]:
         with (self.file.parent / "log").open("ab") as log:
             process = subprocess.Popen(
-                [*COMMAND, *words],
+                [*COMMAND, *arguments],
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
             )
-        self._own.append(process)
+        self._started.append(process)
         return process
 
-    async def say(self, *words: str) -> Said:
-        """A command about this file: its words before the file, options after it."""
-        place = next((n for n, word in enumerate(words) if word.startswith("-")), len(words))
-        done = await trio.run_process(
-            [*COMMAND, *words[:place], os.fspath(self.file), *words[place:]],
+    async def run_command(self, *arguments: str) -> CommandResult:
+        """Runs a command on this file, which is placed before the first option of `arguments`."""
+        file_position = next(
+            (n for n, argument in enumerate(arguments) if argument.startswith("-")), len(arguments)
+        )
+        process = await trio.run_process(
+            [*COMMAND, *arguments[:file_position], os.fspath(self.file), *arguments[file_position:]],
             cwd=ROOT,
             capture_stdout=True,
             stderr=subprocess.STDOUT,
             check=False,
         )
-        return Said(done.returncode, done.stdout.decode())
+        return CommandResult(process.returncode, process.stdout.decode())
 
     def processes(self) -> dict[int, list[psutil.Process]]:
-        """Of each relay, from the oldest on: two while one takes over."""
+        """Returns the processes of each relay, oldest first; a relay has two during a takeover."""
         found: dict[int, list[psutil.Process]] = {}
         for entry in Path("/proc").iterdir():
             with suppress(OSError, psutil.Error):
-                words = entry.name.isdigit() and (entry / "cmdline").read_bytes()
-                number = words and os.fsencode(self.file.parent) in words and STARTED_BY.search(words)
+                arguments = entry.name.isdigit() and (entry / "cmdline").read_bytes()
+                number = (
+                    arguments
+                    and os.fsencode(self.file.parent) in arguments
+                    and INSTANCE_OPTION.search(arguments)
+                )
                 if number:
                     found.setdefault(int(number[1]) - 1, []).append(psutil.Process(int(entry.name)))
         return {
-            relay: sorted(found[relay], key=lambda one: (one.create_time(), one.pid))
+            relay: sorted(found[relay], key=lambda process: (process.create_time(), process.pid))
             for relay in sorted(found)
         }
 
     def kill(self, relay: int) -> list[psutil.Process]:
-        """All its processes, by SIGKILL: those."""
+        """Kills all processes of the relay by SIGKILL and returns them."""
         processes = self.processes().get(relay, [])
         self.seen.relay_down(self.clock.now_us(), relay)
         for process in processes:
@@ -179,78 +191,83 @@
             self.supervisor.wait()
 
     def end_all(self) -> None:
-        """Supervisors first, as they would start others."""
-        for process in self._own:
+        """Kills all processes, supervisors first, as a supervisor would start relays again."""
+        for process in self._started:
             process.kill()
             process.wait()
-        end = time.monotonic() + GONE_S
-        while (left := self.processes()) and time.monotonic() < end:
-            for one in (one for processes in left.values() for one in processes):
+        deadline = time.monotonic() + KILL_TIMEOUT_S
+        while (remaining := self.processes()) and time.monotonic() < deadline:
+            for process in (each for processes in remaining.values() for each in processes):
                 with suppress(psutil.Error):
-                    one.kill()
-            time.sleep(LOOK_S)
+                    process.kill()
+            time.sleep(POLL_INTERVAL_S)
 
-    # ---- how they stand ----
+    # ---- status ----
 
-    async def fleet(self) -> Answer:
-        """The supervisor's status; empty if it does not answer."""
+    async def fleet_status(self) -> Answer:
+        """Returns the supervisor's status, empty if it does not answer."""
         return await self._ask(self.folder / "supervisor" / "control.sock")
 
-    async def instance(self, relay: int) -> Answer:
-        return await self._ask(self.folder / f"{NAME}-{relay + 1}.sock")
+    async def instance_status(self, relay: int) -> Answer:
+        return await self._ask(self.folder / f"{FLEET_NAME}-{relay + 1}.sock")
 
     async def _ask(self, path: Path) -> Answer:
         with suppress(NoAnswer):
-            return (await ask(path, {"ask": "status"}, trio.current_time() + ANSWER_S))[1]
+            return (await ask(path, {"ask": "status"}, trio.current_time() + STATUS_TIMEOUT_S))[1]
         return {}
 
-    async def when(self, who: Callable[[], Any], what: Callable[[Answer], bool]) -> Answer:
-        """The first answer of which that is true. Raises NeverCame."""
+    async def wait_for(self, query: Callable[[], Any], condition: Callable[[Answer], bool]) -> Answer:
+        """Returns the first answer that meets `condition`. Raises ConditionTimeout at the time limit."""
         answer: Answer = {}
-        with trio.move_on_after(PATIENCE_S):
+        with trio.move_on_after(WAIT_TIMEOUT_S):
             while True:
-                answer = await who()
-                if answer and what(answer):
+                answer = await query()
+                if answer and condition(answer):
                     return answer
-                await trio.sleep(LOOK_S)
-        raise NeverCame(f"the last answer was {answer}")
+                await trio.sleep(POLL_INTERVAL_S)
+        raise ConditionTimeout(f"condition not met in time; the last answer was {answer}")
+
+    async def wait_all_ready(self) -> Answer:
+        """Waits until all instances are ready, by the supervisor's status."""
+        return await self.wait_for(
+            self.fleet_status, lambda status: {each["phase"] for each in status["instances"]} == {"ready"}
+        )
 
-    async def all_ready(self) -> Answer:
-        """By the supervisor's status."""
-        return await self.when(
-            self.fleet, lambda one: {each["phase"] for each in one["instances"]} == {"ready"}
+    async def wait_for_state(self, relay: int, *states: str) -> Answer:
+        return await self.wait_for(
+            lambda: self.instance_status(relay), lambda status: status["state"] in states
         )
 
-    async def in_state(self, relay: int, *states: str) -> Answer:
-        return await self.when(lambda: self.instance(relay), lambda one: one["state"] in states)
+    async def wait_for_restart(self, relay: int, killed: Sequence[psutil.Process]) -> None:
+        """Waits until a relay whose processes `killed` were killed answers PING again.
 
-    async def comes_back(self, relay: int, killed: Sequence[psutil.Process]) -> None:
-        """Returns once one that was killed has answered PING. It counts as up as soon as a new process is
-        there, since that takes clients before it says that it is ready."""
+        The relay counts as up as soon as a new process exists, as the process accepts clients before it
+        reports that it is ready.
+        """
         while not set(self.processes().get(relay, ())) - set(killed):
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
         self.seen.relay_up(self.clock.now_us(), relay)
-        await self._pongs(relay)
+        await self._wait_for_pong(relay)
 
-    async def all_answer(self) -> None:
-        """Returns once all have answered their first PING."""
+    async def wait_all_answer(self) -> None:
+        """Waits until all relays have answered their first PING."""
         async with trio.open_nursery() as nursery:
             for relay in self.relays:
-                nursery.start_soon(self._pongs, relay)
+                nursery.start_soon(self._wait_for_pong, relay)
         for relay in self.relays:
             self.seen.relay_up(self.clock.now_us(), relay)
 
-    async def _pongs(self, relay: int) -> None:
-        with trio.move_on_after(PATIENCE_S):
+    async def _wait_for_pong(self, relay: int) -> None:
+        with trio.move_on_after(WAIT_TIMEOUT_S):
             while await ping(self.listen[relay]) is not PingResult.ANSWERED:
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
             return
-        raise NeverCame(f"relay {relay} is not ready")
+        raise ConditionTimeout(f"relay {relay} is not ready: no answer to PING")
 
 
 @asynccontextmanager
-async def ended_in_the_end(daemons: Daemons) -> AsyncIterator[None]:
-    """Whatever happens inside, none of their processes is left."""
+async def killed_on_exit(daemons: Daemons) -> AsyncIterator[None]:
+    """Kills all processes of the daemons when the context ends, also after an error."""
     try:
         yield
     finally:
--- a/glenfold_lab/stand_ins/relays.py
+++ b/glenfold_lab/stand_ins/relays.py
@@ -1,7 +1,7 @@
-"""Real relays: each a `python -m glenfold` process with a loopback address and a folder of its own.
+"""Real relays: each is a `python -m glenfold` process with a loopback address and a folder of its own.
 
-Whatever starts one ends it again, by its id: also when the run is broken off, and by the kernel if this
-process is killed.
+Each relay process is ended by its id, also when the run is interrupted. If this process is killed, the kernel
+ends the relays.
 """
 
 import ctypes
@@ -27,41 +27,45 @@
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, bind, format_address
 
-READY_S = 30.0  # for a relay to answer its first PING
-LOOK_S = 0.02  # between two tries to reach one that starts
-TAIL = 40  # lines of a log that are kept for the report
+READY_TIMEOUT_S = 30.0  # Time limit for a relay to answer its first PING.
+POLL_INTERVAL_S = 0.02  # Time between two attempts to reach a relay that starts.
+LOG_TAIL_LINES = 40  # Lines of a log that appear in a report.
 PR_SET_PDEATHSIG = 1
 ROOT = Path(glenfold.__file__).parent.parent
 
 
 class NotReady(Exception):
-    """A relay has ended, or answers no PING."""
+    """Raised when a relay has ended or does not answer PING."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """memory_mb: it is killed when seen over it. sockets: descriptors, enforced by the kernel."""
+    """Resource limits of a relay.
+
+    A relay is killed when a sample shows more than `memory_mb`. `sockets` limits descriptors, enforced by the
+    kernel.
+    """
 
     cores: float = 1.0
     memory_mb: float | None = None
     sockets: int | None = None
 
-    def plain(self) -> dict[str, float]:
+    def as_dict(self) -> dict[str, float]:
         given = {"cores": self.cores, "memory_mb": self.memory_mb, "sockets": self.sockets}
         return {name: value for name, value in given.items() if value is not None}
 
 
 @dataclass(slots=True)
 class Usage:
-    """Of all the processes that one relay has had."""
+    """Resource usage of all processes that one relay has had."""
 
     cpu_s: float = 0.0
     peak_mb: float = 0.0
-    cpu_share: float = 0.0  # of a core, between the last two samples
+    cpu_share: float = 0.0  # Share of a core between the last two samples.
 
 
 class RelayProcess:
-    """One relay, through its restarts; it keeps its name and its address."""
+    """One relay across its restarts, with the same name and address."""
 
     def __init__(
         self,
@@ -88,10 +92,10 @@
         self._seen = seen
         self._clock = clock
         self._process: subprocess.Popen[bytes] | None = None
-        self._watched: psutil.Process | None = None
+        self._psutil_process: psutil.Process | None = None
         self._cpu_before = 0.0
         self._starts = 0
-        self._known: dict[str, object] = {}
+        self._initial_list: dict[str, object] = {}
         folder.mkdir(parents=True)
 
     @property
@@ -100,7 +104,7 @@
 
     @property
     def process_id(self) -> int:
-        """Of its present process. Raises NotReady if there has been none."""
+        """Returns the id of the latest process. Raises NotReady if the relay was never started."""
         if self._process is None:
             raise NotReady(f"{self.name} was not started")
         return self._process.pid
@@ -110,21 +114,21 @@
         return self._folder / "log"
 
     def tail(self) -> list[str]:
-        """The last lines that it has logged."""
+        """Returns the last lines of the relay's log."""
         if not self.log.exists():
             return []
         with self.log.open(errors="replace") as lines:
-            return [line.rstrip("\n") for line in deque(lines, TAIL)]
+            return [line.rstrip("\n") for line in deque(lines, LOG_TAIL_LINES)]
 
-    # ---- its life ----
+    # ---- start, stop and signals ----
 
-    def start(self, known: dict[str, object], seed: int) -> None:
-        """Its process begins; `known` is the list that it starts with, in discovery's form."""
+    def start(self, initial_list: dict[str, object], seed: int) -> None:
+        """Starts a process. `initial_list` is the server list of its configuration, in discovery's form."""
         self._starts += 1
         self.killed_for_memory = False
         self.stopping = self.stalled = False
-        self._known = known
-        self._write(seed)
+        self._initial_list = initial_list
+        self._write_config(seed)
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", "glenfold"],
@@ -133,18 +137,18 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                preexec_fn=self._bound,
+                preexec_fn=self._apply_limits,
                 start_new_session=True,
             )
-        self._watched = psutil.Process(self._process.pid)
+        self._psutil_process = psutil.Process(self._process.pid)
         self._cpu_before = 0.0
 
     def _environment(self) -> dict[str, str]:
         temporary = self._folder / f"tmp-{self._starts}"
         temporary.mkdir()
-        kept = {name: os.environ[name] for name in ("PATH", "LANG", "HOME") if name in os.environ}
+        inherited = {name: os.environ[name] for name in ("PATH", "LANG", "HOME") if name in os.environ}
         return {
-            **kept,
+            **inherited,
             "LB_NAME": self.name,
             "LB_LISTEN": format_address(self.listen),
             "TMPDIR": str(temporary),
@@ -152,56 +156,56 @@
             "LB_CONFIG": str(self._folder / "config.json"),
         }
 
-    def _write(self, seed: int) -> None:
+    def _write_config(self, seed: int) -> None:
         document = {
             "name": self.name,
             "listen": format_address(self.listen),
             "discovery": format_address(self.discovery),
             "seed": f"{seed:x}",
-            "limits": self.limits.plain(),
-            "known": self._known,
+            "limits": self.limits.as_dict(),
+            "known": self._initial_list,
             "settings": self._settings,
         }
         (self._folder / "config.json").write_text(json.dumps(document))
 
-    def _bound(self) -> None:
-        """In the new process, before the relay: its limits, and that it does not outlive its parent."""
+    def _apply_limits(self) -> None:
+        """Sets limits in the child process before the relay starts, and makes it end with its parent."""
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-        for early in (signal.SIGHUP, signal.SIGUSR1):  # as `run` of the deploy file does
-            signal.signal(early, signal.SIG_IGN)
+        for early_signal in (signal.SIGHUP, signal.SIGUSR1):  # As `run` of the deploy file does.
+            signal.signal(early_signal, signal.SIG_IGN)
         if self.limits.sockets is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (self.limits.sockets, self.limits.sockets))
 
     async def ready(self) -> None:
-        """Returns once it has answered PING; `NotReady` when it ended or took too long."""
-        with trio.move_on_at(trio.current_time() + READY_S):
+        """Waits until the relay answers PING. Raises NotReady if it ends first or exceeds the time limit."""
+        with trio.move_on_at(trio.current_time() + READY_TIMEOUT_S):
             while self.running:
                 if await ping(self.listen) is PingResult.ANSWERED:
                     self._seen.relay_up(self._clock.now_us(), self.number)
                     return
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
         raise NotReady("\n".join([f"{self.name} is not ready", *self.tail()]))
 
     def reload(self, discovery: Address) -> None:
-        """Discovery is at another address: told by its file and SIGHUP."""
+        """Moves the relay to another discovery address, by its configuration file and SIGHUP."""
         self.discovery = discovery
-        self._write(0)
+        self._write_config(0)
         self._signal(signal.SIGHUP)
 
     def crash(self) -> None:
-        """SIGKILL; returns when its process is gone."""
+        """Kills the process by SIGKILL and returns when it has exited."""
         if self._process is None:
             return
-        down_before = not self.running
+        was_down = not self.running
         self.sample()
-        if not down_before:
+        if not was_down:
             self._seen.relay_down(self._clock.now_us(), self.number)
         self._signal(signal.SIGCONT)
         self._signal(signal.SIGKILL)
         self._process.wait()
 
     async def stop(self, kill_at: int) -> None:
-        """SIGTERM, and SIGKILL if it is still there at that moment."""
+        """Sends SIGTERM, and SIGKILL if the process still runs at `kill_at`."""
         if not self.running:
             return
         self._seen.stopping(self._clock.now_us(), self.number)
@@ -209,14 +213,14 @@
         self.stopping = True
         while self.running and self._clock.now_us() < kill_at:
             self.sample()
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
         if self.running:
             self.crash()
         else:
             self._seen.relay_down(self._clock.now_us(), self.number)
 
     def stall(self) -> None:
-        """Its process stops (SIGSTOP) until `go_on`."""
+        """Suspends the process (SIGSTOP) until `go_on`."""
         self._signal(signal.SIGSTOP)
         self.stalled = True
 
@@ -225,43 +229,46 @@
         self.stalled = False
 
     def signal(self, name: str) -> None:
-        """Sends a signal by its name, as SIGUSR1, if its process runs."""
+        """Sends the signal `name`, such as "SIGUSR1", if the process runs."""
         self._signal(signal.Signals[name])
 
     def _signal(self, number: int) -> None:
         if self.running and self._process is not None:
             self._process.send_signal(number)
 
-    # ---- what it uses ----
+    # ---- resource usage ----
 
     def sample(self, seconds: float = 0.0) -> None:
-        """Reads its CPU time and memory; `seconds` since the last time, for the share of a core."""
-        if self._watched is None:
+        """Reads CPU time and memory. `seconds` is the time since the last sample, for the share of a core."""
+        if self._psutil_process is None:
             return
         with suppress(psutil.Error):
-            times, memory_mb = self._watched.cpu_times(), self._watched.memory_info().rss / 2**20
+            times, memory_mb = (
+                self._psutil_process.cpu_times(),
+                self._psutil_process.memory_info().rss / 2**20,
+            )
             used = times.user + times.system
             self.usage.cpu_s += used - self._cpu_before
             if seconds:
                 self.usage.cpu_share = (used - self._cpu_before) / seconds
             self._cpu_before = used
             self.usage.peak_mb = max(self.usage.peak_mb, memory_mb)
-            over = self.limits.memory_mb is not None and memory_mb > self.limits.memory_mb
-            if over and not self.killed_for_memory:  # it is looked at once more as it is killed
+            is_over_limit = self.limits.memory_mb is not None and memory_mb > self.limits.memory_mb
+            if is_over_limit and not self.killed_for_memory:  # crash() takes a sample itself.
                 self.killed_for_memory = True
                 self.crash()
 
 
 def free_address(host: str) -> Address:
-    """A port at that loopback address which nobody listens on."""
+    """Returns an address with a free port at the loopback address `host`."""
     with bind(host) as sock:
         address: Address = sock.getsockname()
         return address
 
 
 @asynccontextmanager
-async def ended_in_the_end(relays: Sequence[RelayProcess]) -> AsyncIterator[None]:
-    """Whatever happens inside, none of their processes is left."""
+async def killed_on_exit(relays: Sequence[RelayProcess]) -> AsyncIterator[None]:
+    """Kills all relay processes when the context ends, also after an error."""
     try:
         yield
     finally:
--- a/tests/glenfold_lab/test_stand_in_agent.py
+++ b/tests/glenfold_lab/test_stand_in_agent.py
@@ -16,7 +16,7 @@
 def removals_told(world: World, n: int) -> tuple[int, int]:
     """Returns the server's number, and how many told observations report the server as removed."""
     number = world.entries[n].number
-    return number, sum(values[2:4] == (number, ListedState.GONE) for values in world.seen_of("told"))
+    return number, sum(values[2:4] == (number, ListedState.GONE) for values in world.observations_of("told"))
 
 
 def test_a_change_is_recorded_once_written_and_its_duplicate_does_no_harm(tmp_path: Path) -> None:
@@ -24,10 +24,10 @@
         removed = replace(world.entries[0], state=ListedState.GONE)
         world.change(2, removed)
         number, _ = removals_told(world, 0)
-        await world.heard(lambda known: known.address(number) is None and known.version == 2)
+        await world.wait_for_list(lambda known: known.address(number) is None and known.version == 2)
         world.change(2, removed)  # A duplicate.
         world.change(3, world.entries[1])
-        await world.heard(lambda known: known.version == 3)
+        await world.wait_for_list(lambda known: known.version == 3)
         assert removals_told(world, 0)[1] == 2 and world.shared.destinations.problems == []
 
     play(tmp_path, script)
@@ -43,10 +43,10 @@
         assert (world.shared.counters.lists, removals_told(world, 0)[1]) == (lists, 0)
         assert world.shared.destinations.address(number) is not None
         world.agent.unmute()
-        await world.heard(lambda known: known.address(number) is None)
+        await world.wait_for_list(lambda known: known.address(number) is None)
         world.agent.reset_connections()
         world.change(3, world.entries[0])
-        await world.heard(lambda known: known.address(number) is not None)
+        await world.wait_for_list(lambda known: known.address(number) is not None)
 
     play(tmp_path, script)
 
@@ -58,7 +58,7 @@
         await world.clock.until(world.clock.now_us() + 5_000_000)
         assert removals_told(world, 0)[1] == 0
         world.discovery.move_to(address)
-        await world.heard(lambda known: known.version == 2)
+        await world.wait_for_list(lambda known: known.version == 2)
         assert removals_told(world, 0)[1] == 1
 
     play(tmp_path, script)
@@ -74,7 +74,7 @@
             reset_on_close(stream.socket)
             await stream.aclose()
         world.change(2, replace(world.entries[0], state=ListedState.GONE))
-        await world.heard(lambda known: known.version == 2)
+        await world.wait_for_list(lambda known: known.version == 2)
         await trio.testing.wait_all_tasks_blocked()
         assert removals_told(world, 0)[1] == 1
 
@@ -98,7 +98,7 @@
         world.change(2, replace(world.entries[0], state=ListedState.DRAINING))
         await trio.lowlevel.checkpoint()  # The watch has woken and is writing the first change.
         world.change(3, replace(world.entries[1], state=ListedState.DRAINING))
-        await world.heard(lambda known: known.version == 3)
+        await world.wait_for_list(lambda known: known.version == 3)
         assert trio.current_time() - started_at < 1.0
 
     play(tmp_path, script)
--- a/tests/glenfold_lab/test_stand_in_servers.py
+++ b/tests/glenfold_lab/test_stand_in_servers.py
@@ -43,7 +43,9 @@
             elif not key:
                 getattr(faulty, fault)()
             assert (await world.answer(key)).startswith(b"UP s-1.")
-        assert world.overs(faulty)[:1] == ([over] if over else []) and not sound.process.syntax_errors
+        assert (
+            world.attempt_outcomes(faulty)[:1] == ([over] if over else []) and not sound.process.syntax_errors
+        )
 
     play(tmp_path, script)
 
@@ -68,7 +70,7 @@
             assert await read_line(stream) == last
         except trio.BrokenResourceError:
             assert last is None
-        assert [values[1] for values in world.seen_of("broke")] == [1]
+        assert [values[1] for values in world.observations_of("broke")] == [1]
 
     play(tmp_path, script)
 
@@ -77,7 +79,7 @@
     async def script(world: World) -> None:
         world.servers[0].set_fault(Fault.SLOW)
         assert (await world.answer()).startswith(b"UP s-0.")
-        first, last = world.seen_of("sent")[0][4], world.seen_of("sent")[0][0]
+        first, last = world.observations_of("sent")[0][4], world.observations_of("sent")[0][0]
         assert last - first >= 300_000  # The time from the first byte to the last.
 
     play(tmp_path, script, servers=1)
@@ -125,7 +127,7 @@
         assert (await world.answer(key=8)).startswith(b"BUSY ")
         await stream.send_all(b"QUIT\r\n")
         assert await read_line(stream) == b"BYE\r\n"
-        assert world.overs(world.servers[0]) == [AttemptOutcome.UP, AttemptOutcome.BUSY]
+        assert world.attempt_outcomes(world.servers[0]) == [AttemptOutcome.UP, AttemptOutcome.BUSY]
 
     play(tmp_path, script, servers=1, cap=0.01)
 
@@ -192,7 +194,9 @@
         await again.aclose()
         await trio.sleep(5.0)
         assert not (await read_line(await world.open(more=("mid=1",)))).startswith(b"UP")
-        assert sum((world.overs(server) for server in world.servers), [])[-1] is AttemptOutcome.RESET
+        assert (
+            sum((world.attempt_outcomes(server) for server in world.servers), [])[-1] is AttemptOutcome.RESET
+        )
         assert not any(server.process.fluid.demand or server.process.fluid.held for server in world.servers)
 
     play(tmp_path, script, park_us=4_000_000, group_load=60_000.0)
