--- a/glenfold_lab/commands/demo.py
+++ b/glenfold_lab/commands/demo.py
@@ -50,11 +50,11 @@
     servers, relays = day.servers.count, day.relays.count
     console.print(f"Starting {relays} relays, stand-ins for {servers} push servers, and clients ...")
     try:
-        with live.watch(console, live.notes(day)) as show:
+        with live.live_display(console, live.notes_by_second(day)) as show:
             result = play_on_sockets(day, seed, on_second=show)
     except (NotReady, PartFailed, TooLarge) as error:
         raise click.ClickException(str(error)) from error
-    for words in live.outcome(result):
+    for words in live.outcome_lines(result):
         console.print(words, soft_wrap=True, markup=False)
     if json_file is not None:
         json_file.write_bytes(msgspec.json.encode(result) + b"\n")
--- a/glenfold_lab/commands/report.py
+++ b/glenfold_lab/commands/report.py
@@ -5,7 +5,7 @@
 import click
 import msgspec
 
-from glenfold_lab.reports.read import read
+from glenfold_lab.reports.read import read_results
 
 
 @click.command("report")
@@ -18,13 +18,13 @@
     Several results are compared. Exit status: 0 done, 1 a file can't be written, 2 one can't be read; then
     nothing is written.
     """
-    given = read(results)
-    from glenfold_lab.reports.page import page  # draws, which takes half a second to load
-    from glenfold_lab.reports.summary import one_by_one, summarize
+    report_input = read_results(results)
+    from glenfold_lab.reports.page import render_page  # draws, which takes half a second to load
+    from glenfold_lab.reports.summary import select_histories, summarize
 
-    told = one_by_one(given.histories)
-    report = summarize(given, told)
-    content = page(report, told)
+    results_shown = select_histories(report_input.histories)
+    report = summarize(report_input, results_shown)
+    content = render_page(report, results_shown)
     try:
         out.write_text(content, encoding="utf-8")
         if json_out is not None:
@@ -32,4 +32,4 @@
     except OSError as error:
         raise click.ClickException(f"{error.filename}: {error.strerror}") from error
     broken = sum(group.rules_broken for group in report.groups)
-    click.echo(f"{out}: {len(given.histories)} histories, rules broken {broken} times")
+    click.echo(f"{out}: {len(report_input.histories)} histories, rules broken {broken} times")
--- a/glenfold_lab/reports/page.py
+++ b/glenfold_lab/reports/page.py
@@ -7,18 +7,18 @@
 
 from glenfold_lab.experiments.compare import Difference
 from glenfold_lab.reports import plots, terms
-from glenfold_lab.reports.plots import Day
+from glenfold_lab.reports.plots import TimeAxis
 from glenfold_lab.reports.read import Experiment
 from glenfold_lab.reports.summary import Group, History, Report
-from glenfold_lab.reports.thin import loads
+from glenfold_lab.reports.thin import server_loads
 from glenfold_lab.results import RunResult
 
-TOC_PARTS = 3  # histories whose parts are in the table of contents
-OTHERS = 12  # series without a picture of their own that are drawn
-COMPARED = 6  # figures that are compared in pictures
-GROUPS = 60  # that a comparison shows
-PAIRS = 150  # in its table
-FOREST = 40  # of them in a picture
+MAX_HISTORIES_WITH_PARTS = 3  # histories whose parts are in the table of contents
+MAX_OTHER_PLOTS = 12  # series without a picture of their own that are drawn
+MAX_COMPARED_FIGURES = 6  # figures that are compared in pictures
+MAX_GROUPS = 60  # that a comparison shows
+MAX_PAIRS = 150  # in its table
+MAX_FOREST_ROWS = 40  # of them in a picture
 PARTS = {
     "figures": "Figures",
     "service": "Service over time",
@@ -32,7 +32,7 @@
 }
 
 
-def page(report: Report, told: Sequence[RunResult]) -> str:
+def render_page(report: Report, results: Sequence[RunResult]) -> str:
     """told: the results of the report's histories."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("glenfold_lab.reports"),
@@ -47,31 +47,31 @@
     environment.globals.update(
         rules=terms.RULES, parts=PARTS, in_order=terms.in_order, quantile_marks=quantile_marks
     )
-    groups = report.groups[:GROUPS]
-    names = compared(groups)
-    pairs = pairs_of(report.experiments, terms.in_order([*names, "rules_broken"]))
+    groups = report.groups[:MAX_GROUPS]
+    names = compared_figures(groups)
+    pairs = compared_pairs(report.experiments, terms.in_order([*names, "rules_broken"]))
     return environment.get_template("page.html.j2").render(
         report=report,
-        toc_parts=len(report.histories) <= TOC_PARTS,
-        groups_shown=GROUPS,
+        toc_parts=len(report.histories) <= MAX_HISTORIES_WITH_PARTS,
+        groups_shown=MAX_GROUPS,
         compared_names=names,
-        pairs=pairs[:PAIRS],
-        pairs_left_out=len(pairs[PAIRS:]),
+        pairs=pairs[:MAX_PAIRS],
+        pairs_left_out=len(pairs[MAX_PAIRS:]),
         pictures={
             history.name: dict(pictures(history.name, result))
-            for history, result in zip(report.histories, told, strict=True)
+            for history, result in zip(report.histories, results, strict=True)
         },
         spreads=list(spreads(groups, names)),
         forests=list(forests(pairs, names)),
     )
 
 
-def compared(groups: Sequence[Group]) -> list[str]:
+def compared_figures(groups: Sequence[Group]) -> list[str]:
     names = {name for group in groups for name in group.figures} - {"rules_broken"}  # has a column already
-    return terms.in_order(names)[:COMPARED]
+    return terms.in_order(names)[:MAX_COMPARED_FIGURES]
 
 
-def pairs_of(experiments: Sequence[Experiment], names: Sequence[str]) -> list[Difference]:
+def compared_pairs(experiments: Sequence[Experiment], names: Sequence[str]) -> list[Difference]:
     """Those of the figures that are compared, figure by figure."""
     pairs = [one for experiment in experiments for one in experiment.differences if one.figure in names]
     return sorted(pairs, key=lambda one: names.index(one.figure))
@@ -108,24 +108,26 @@
 
 def pictures(name: str, result: RunResult) -> Iterator[tuple[str, Markup]]:
     """All drawings of one history, by what they show; empty where there is nothing to draw."""
-    day = Day(name, result.length_us, result.happened)
+    time_axis = TimeAxis(name, result.length_us, result.happened)
     for one in terms.PICTURES:
         drawn = {key: result.series[key] for key in one.series if key in result.series}
         shown = {terms.title(key): series for key, series in drawn.items()}
         draw = plots.stacked if one.stacked else plots.lines
-        yield one.name, Markup(draw(day, one.name, shown, one.unit, one.top))
-    of_servers = loads(result.server_load)
-    yield "heat", Markup(plots.heat(day, of_servers))
-    yield "worst", Markup(plots.worst(day, of_servers))
-    yield "percentiles", Markup(plots.percentiles(day, result.set_up))
-    yield "happened", Markup(plots.time_line(day))
+        yield one.name, Markup(draw(time_axis, one.name, shown, one.unit, one.top))
+    loads = server_loads(result.server_load)
+    yield "heat", Markup(plots.heat(time_axis, loads))
+    yield "worst", Markup(plots.worst(time_axis, loads))
+    yield "percentiles", Markup(plots.percentiles(time_axis, result.set_up))
+    yield "happened", Markup(plots.time_line(time_axis))
     in_pictures = {key for one in terms.PICTURES for key in one.series}
     others = [key for key in result.series if key not in in_pictures]
     yield (
         "others",
         Markup("").join(
-            Markup(plots.lines(day, f"other{n}", {terms.title(key): result.series[key]}, terms.unit(key)))
-            for n, key in enumerate(others[:OTHERS])
+            Markup(
+                plots.lines(time_axis, f"other{n}", {terms.title(key): result.series[key]}, terms.unit(key))
+            )
+            for n, key in enumerate(others[:MAX_OTHER_PLOTS])
         ),
     )
 
@@ -153,7 +155,10 @@
                 terms.title(name),
                 Markup(
                     plots.forest(
-                        f"forest{n}", terms.title(name), terms.unit(name), dict(list(drawn.items())[:FOREST])
+                        f"forest{n}",
+                        terms.title(name),
+                        terms.unit(name),
+                        dict(list(drawn.items())[:MAX_FOREST_ROWS]),
                     )
                 ),
             )
--- a/glenfold_lab/reports/plots.py
+++ b/glenfold_lab/reports/plots.py
@@ -8,17 +8,17 @@
 from matplotlib.colors import LinearSegmentedColormap
 from matplotlib.ticker import FuncFormatter, LogLocator, MaxNLocator, NullLocator
 
-from glenfold_lab.reports.svg import COLOURS, LINES, Drawing, label
-from glenfold_lab.reports.thin import POINTS, ROWS, Loads, Values, blocks, thin
+from glenfold_lab.reports.svg import COLOURS, LINE_COLOURS, Drawing, short_label
+from glenfold_lab.reports.thin import MAX_HEAT_ROWS, MAX_POINTS, ServerLoads, Values, block_maxima, downsample
 from glenfold_lab.results import Distribution, Happened, Series
 
-EVENTS = 40  # that are shaded, or have a row of their own in the time line
-HEAT_TOP = 2.0  # the load at which the colours of the heat map end
-WORST = 5  # servers drawn one by one
-DASHES = ((0, (4, 2)), (0, (1, 1.5)), (0, (6, 2, 1, 2)), (0, (9, 3)))
+MAX_EVENTS = 40  # that are shaded, or have a row of their own in the time line
+MAX_HEAT_LOAD = 2.0  # the load at which the colours of the heat map end
+MAX_WORST_SERVERS = 5  # servers drawn one by one
+DASH_STYLES = ((0, (4, 2)), (0, (1, 1.5)), (0, (6, 2, 1, 2)), (0, (9, 3)))
 
 # Nothing at 0, so that it does on a light and a dark page; blue up to the limit, from there on red.
-HEAT = LinearSegmentedColormap.from_list(
+LOAD_COLORMAP = LinearSegmentedColormap.from_list(
     "load",
     [
         (0.0, (0.25, 0.5, 0.85, 0.0)),
@@ -30,18 +30,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
+class TimeAxis:
     """What all drawings of one history share. name: as of the drawings, without spaces."""
 
     name: str
     length_us: int
     happened: tuple[Happened, ...] = ()
 
-    def over_time(self, axes: Axes, unit: str) -> None:
+    def set_up_axes(self, axes: Axes, unit: str) -> None:
         axes.set_xlim(0.0, self.length_us / 1e6)
         axes.set_xlabel("time, s")
         axes.set_ylabel(unit)
-        for event in self.happened[:EVENTS]:
+        for event in self.happened[:MAX_EVENTS]:
             since, until = event.at_us / 1e6, (event.until_us or event.at_us) / 1e6
             if until <= since:
                 axes.axvline(since, color=COLOURS["faint"], linewidth=0.8, linestyle=":")
@@ -49,17 +49,25 @@
                 axes.axvspan(since, until, facecolor=COLOURS["shade"], alpha=0.22, linewidth=0)
 
 
-def lines(day: Day, name: str, series: Mapping[str, Series], unit: str, top: float | None = None) -> str:
+def lines(
+    time_axis: TimeAxis, name: str, series: Mapping[str, Series], unit: str, top: float | None = None
+) -> str:
     """Series over time in one picture, by their labels. top: of the axis, where the unit has an end."""
-    drawn = {shown: thin(one) for shown, one in series.items() if one.values}
+    drawn = {shown: downsample(one) for shown, one in series.items() if one.values}
     if not drawn:
         return ""
-    with Drawing(f"{day.name}-{name}", 2.5) as drawing:
+    with Drawing(f"{time_axis.name}-{name}", 2.5) as drawing:
         axes = drawing.axes()
-        alone = label(next(iter(drawn))) if len(drawn) == 1 else ""
-        day.over_time(axes, ", ".join(filter(None, (alone, unit))))
+        alone = short_label(next(iter(drawn))) if len(drawn) == 1 else ""
+        time_axis.set_up_axes(axes, ", ".join(filter(None, (alone, unit))))
         for n, (shown, one) in enumerate(drawn.items()):
-            _steps(axes, one.step_us, one.values, label=label(shown), linestyle="-" if n < LINES else "--")
+            _steps(
+                axes,
+                one.step_us,
+                one.values,
+                label=short_label(shown),
+                linestyle="-" if n < LINE_COLOURS else "--",
+            )
         axes.set_ylim(0.0, top and top * 1.02)
         _thousands(axes)
         if len(drawn) > 1:
@@ -67,22 +75,24 @@
         return drawing.svg(f"{', '.join(drawn)} over time")
 
 
-def stacked(day: Day, name: str, series: Mapping[str, Series], unit: str, top: float | None = None) -> str:
+def stacked(
+    time_axis: TimeAxis, name: str, series: Mapping[str, Series], unit: str, top: float | None = None
+) -> str:
     """Series on top of each other, in their order."""
-    drawn = {shown: thin(one) for shown, one in series.items() if one.values}
+    drawn = {shown: downsample(one) for shown, one in series.items() if one.values}
     if not drawn:
         return ""
-    with Drawing(f"{day.name}-{name}", 2.5) as drawing:
+    with Drawing(f"{time_axis.name}-{name}", 2.5) as drawing:
         axes = drawing.axes()
-        day.over_time(axes, unit)
+        time_axis.set_up_axes(axes, unit)
         longest = max(drawn.values(), key=lambda one: len(one.values))
         heights = [np.interp(_ends(longest), _ends(one), one.values) for one in drawn.values()]
         axes.stackplot(
             _ends(longest),
             heights,
             step="pre",
-            labels=[label(shown) for shown in drawn],
-            colors=[COLOURS[f"line{n % LINES}"] for n in range(len(drawn))],
+            labels=[short_label(shown) for shown in drawn],
+            colors=[COLOURS[f"line{n % LINE_COLOURS}"] for n in range(len(drawn))],
             alpha=0.85,
         )
         axes.set_ylim(0.0, top)
@@ -91,25 +101,25 @@
         return drawing.svg(f"{', '.join(drawn)} over time, on top of each other")
 
 
-def heat(day: Day, loads: Loads) -> str:
+def heat(time_axis: TimeAxis, loads: ServerLoads) -> str:
     """The load of each server against its limit at the moment; of many servers the greatest of neighbours."""
     if not loads.names:
         return ""
-    shown = blocks(loads.values)
-    with Drawing(f"{day.name}-heat", 2.1 + 2.4 * min(1.0, len(shown) / ROWS)) as drawing:
+    shown = block_maxima(loads.values)
+    with Drawing(f"{time_axis.name}-heat", 2.1 + 2.4 * min(1.0, len(shown) / MAX_HEAT_ROWS)) as drawing:
         axes = drawing.axes()
         span_s = loads.values.shape[1] * loads.step_us / 1e6
         image = axes.imshow(
             shown,
-            cmap=HEAT,
+            cmap=LOAD_COLORMAP,
             vmin=0.0,
-            vmax=HEAT_TOP,
+            vmax=MAX_HEAT_LOAD,
             aspect="auto",
             interpolation="none",
             extent=(0.0, span_s, len(loads.names), 0),
         )
         axes.grid(False)
-        axes.set_xlim(0.0, day.length_us / 1e6)
+        axes.set_xlim(0.0, time_axis.length_us / 1e6)
         axes.set_xlabel("time, s")
         axes.set_ylabel("servers, worst first")
         axes.yaxis.set_major_locator(MaxNLocator(nbins=6, integer=True, min_n_ticks=1))
@@ -121,25 +131,25 @@
         return drawing.svg("load of each server against its limit over time")
 
 
-def worst(day: Day, loads: Loads) -> str:
+def worst(time_axis: TimeAxis, loads: ServerLoads) -> str:
     """The servers longest over their limit, the median of all (or what is known of all), and the limit."""
     if not loads.names:
         return ""
-    with Drawing(f"{day.name}-worst", 2.6) as drawing:
+    with Drawing(f"{time_axis.name}-worst", 2.6) as drawing:
         axes = drawing.axes()
-        day.over_time(axes, "load, of the limit")
-        for name, values in zip(loads.names[:WORST], loads.values, strict=False):
-            _row(axes, loads, values, label=label(name), linewidth=1.2)
+        time_axis.set_up_axes(axes, "load, of the limit")
+        for name, values in zip(loads.names[:MAX_WORST_SERVERS], loads.values, strict=False):
+            _row(axes, loads, values, label=short_label(name), linewidth=1.2)
         of_all = loads.percentiles or (("median of all", np.nanmedian(loads.values, axis=0)),)
         for n, (name, values) in enumerate(of_all):
             _row(
                 axes,
                 loads,
                 values,
-                label=label(name),
+                label=short_label(name),
                 color=COLOURS["ink"],
                 linewidth=1.0,
-                linestyle=DASHES[n % len(DASHES)],
+                linestyle=DASH_STYLES[n % len(DASH_STYLES)],
             )
         axes.axhline(1.0, color=COLOURS["bad"], linewidth=1.6, label="limit")
         axes.set_ylim(bottom=0.0)
@@ -147,25 +157,25 @@
         return drawing.svg("load of the worst servers against the limit over time")
 
 
-def percentiles(day: Day, set_up: Mapping[str, Distribution]) -> str:
+def percentiles(time_axis: TimeAxis, set_up: Mapping[str, Distribution]) -> str:
     """Set-up latencies by class, from the median to the greatest."""
     slowest_first = sorted(
         ((name, one) for name, one in set_up.items() if one.count and one.quantiles),
         key=lambda pair: (-max(pair[1].quantiles.values()), pair[0]),
-    )[:LINES]
+    )[:LINE_COLOURS]
     if not slowest_first:
         return ""
     marks = sorted({mark for _, one in slowest_first for mark in one.quantiles}, key=float)
-    with Drawing(f"{day.name}-percentiles", 2.6) as drawing:
+    with Drawing(f"{time_axis.name}-percentiles", 2.6) as drawing:
         axes = drawing.axes()
         for name, one in slowest_first:
-            places = [place for place, mark in enumerate(marks) if mark in one.quantiles]
+            positions = [position for position, mark in enumerate(marks) if mark in one.quantiles]
             axes.plot(
-                places,
-                [max(one.quantiles[marks[place]], 1) / 1e3 for place in places],
+                positions,
+                [max(one.quantiles[marks[position]], 1) / 1e3 for position in positions],
                 marker="o",
                 markersize=4,
-                label=label(name),
+                label=short_label(name),
             )
         axes.set_yscale("log")
         axes.yaxis.set_major_locator(LogLocator(subs=(1.0, 2.0, 5.0)))
@@ -178,29 +188,29 @@
         return drawing.svg("set-up latency by share of set-ups")
 
 
-def time_line(day: Day) -> str:
+def time_line(time_axis: TimeAxis) -> str:
     """What failed when: a row for each kind of event, in the order of their first."""
-    events = sorted(day.happened, key=lambda event: event.at_us)
-    rows = list(dict.fromkeys(event.what for event in events))[:EVENTS]
+    events = sorted(time_axis.happened, key=lambda event: event.at_us)
+    rows = list(dict.fromkeys(event.what for event in events))[:MAX_EVENTS]
     if not rows:
         return ""
-    with Drawing(f"{day.name}-happened", 0.8 + 0.24 * len(rows)) as drawing:
+    with Drawing(f"{time_axis.name}-happened", 0.8 + 0.24 * len(rows)) as drawing:
         axes = drawing.axes()
-        for place, what in enumerate(rows):
-            mine = [event for event in events if event.what == what][:POINTS]
+        for row, what in enumerate(rows):
+            same_kind = [event for event in events if event.what == what][:MAX_POINTS]
             spans = [
                 (event.at_us / 1e6, (event.until_us - event.at_us) / 1e6)
-                for event in mine
+                for event in same_kind
                 if event.until_us is not None
             ]
-            axes.broken_barh(spans, (place - 0.3, 0.6), facecolor=COLOURS["shade"], alpha=0.6, linewidth=0)
-            moments = [event.at_us / 1e6 for event in mine]
+            axes.broken_barh(spans, (row - 0.3, 0.6), facecolor=COLOURS["shade"], alpha=0.6, linewidth=0)
+            times_s = [event.at_us / 1e6 for event in same_kind]
             axes.plot(
-                moments, [place] * len(moments), linestyle="", marker="|", markersize=9, color=COLOURS["bad"]
+                times_s, [row] * len(times_s), linestyle="", marker="|", markersize=9, color=COLOURS["bad"]
             )
-        axes.set_yticks(range(len(rows)), [label(what.replace("_", " "), 60) for what in rows])
+        axes.set_yticks(range(len(rows)), [short_label(what.replace("_", " "), 60) for what in rows])
         axes.set_ylim(len(rows) - 0.5, -0.5)
-        axes.set_xlim(0.0, day.length_us / 1e6)
+        axes.set_xlim(0.0, time_axis.length_us / 1e6)
         axes.set_xlabel("time, s")
         return drawing.svg("what failed when")
 
@@ -209,10 +219,10 @@
     """One figure by group: a dot for each seed, a bar at the mean."""
     with Drawing(name, 0.8 + 0.26 * len(groups)) as drawing:
         axes = drawing.axes()
-        for place, values in enumerate(groups.values()):
+        for row, values in enumerate(groups.values()):
             axes.plot(
                 values,
-                [place] * len(values),
+                [row] * len(values),
                 linestyle="",
                 marker="o",
                 markersize=4.5,
@@ -221,13 +231,13 @@
             )
             axes.plot(
                 [float(np.mean(values))],
-                [place],
+                [row],
                 marker="|",
                 markersize=13,
                 markeredgewidth=2.2,
                 color=COLOURS["ink"],
             )
-        axes.set_yticks(range(len(groups)), [label(group, 60) for group in groups])
+        axes.set_yticks(range(len(groups)), [short_label(group, 60) for group in groups])
         axes.set_ylim(len(groups) - 0.5, -0.5)
         axes.set_xlabel(f"{title}, {unit}" if unit else title)
         return drawing.svg(f"{title} by group, a dot for each seed")
@@ -237,8 +247,8 @@
     return np.arange(1, len(series.values) + 1, dtype=np.float64) * (series.step_us / 1e6)
 
 
-def _row(axes: Axes, loads: Loads, values: Values, **style: object) -> None:
-    shown = blocks(values[np.newaxis], steps=POINTS)[0]
+def _row(axes: Axes, loads: ServerLoads, values: Values, **style: object) -> None:
+    shown = block_maxima(values[np.newaxis], steps=MAX_POINTS)[0]
     _steps(axes, loads.step_us * -(-len(values) // len(shown)), shown, **style)
 
 
@@ -247,11 +257,11 @@
     with Drawing(name, 0.8 + 0.26 * len(pairs)) as drawing:
         axes = drawing.axes()
         axes.axvline(0.0, color=COLOURS["faint"], linewidth=1.2)
-        for place, (mean, low, high) in enumerate(pairs.values()):
+        for row, (mean, low, high) in enumerate(pairs.values()):
             colour = COLOURS["line0" if low > 0 or high < 0 else "faint"]
-            axes.plot([low, high], [place, place], color=colour, linewidth=2.2)
-            axes.plot([mean], [place], linestyle="", marker="o", markersize=5, color=colour)
-        axes.set_yticks(range(len(pairs)), [label(pair, 70) for pair in pairs])
+            axes.plot([low, high], [row, row], color=colour, linewidth=2.2)
+            axes.plot([mean], [row], linestyle="", marker="o", markersize=5, color=colour)
+        axes.set_yticks(range(len(pairs)), [short_label(pair, 70) for pair in pairs])
         axes.set_ylim(len(pairs) - 0.5, -0.5)
         axes.set_xlabel(", ".join(filter(None, (f"difference of {title}", unit))))
         return drawing.svg(f"differences of {title} with their intervals")
--- a/glenfold_lab/reports/read.py
+++ b/glenfold_lab/reports/read.py
@@ -18,7 +18,7 @@
 
 T = TypeVar("T")
 
-EXPORTED = 1  # the format of an experiment's JSON file
+EXPORT_FORMAT = 1  # the format of an experiment's JSON file
 
 
 class _Head(msgspec.Struct):
@@ -42,29 +42,29 @@
         return len(self.verdicts) + self.verdicts_left_out
 
 
-class Found(NamedTuple):
+class StoredHistory(NamedTuple):
     """One history. file and place: where it was found."""
 
     file: str
-    place: str
+    location: str
     short: Short
     content: msgspec.Raw
 
     @property
-    def of(self) -> tuple[object, ...]:
+    def identity(self) -> tuple[object, ...]:
         """What tells it from others."""
         short = self.short
         return short.scenario, short.seed, short.revision, *sorted(short.factors.items())
 
-    def whole(self) -> RunResult:
+    def read_full(self) -> RunResult:
         """Raises BadFile."""
-        result = _decode(self.file, self.place, self.content, RunResult)
+        result = _decode(self.file, self.location, self.content, RunResult)
         if result.length_us <= 0:
-            raise BadFile(self.file, f"{self.place}: length_us must be over 0")
+            raise BadFile(self.file, f"{self.location}: length_us must be over 0")
         for kind, by_name in (("series", result.series), ("server_load", result.server_load)):
             for name, series in by_name.items():
                 if series.step_us <= 0:
-                    raise BadFile(self.file, f"{self.place}: {kind}.{name}: step_us must be over 0")
+                    raise BadFile(self.file, f"{self.location}: {kind}.{name}: step_us must be over 0")
         return result
 
 
@@ -104,57 +104,57 @@
     differences: tuple[Difference, ...] = ()
 
 
-class Input(NamedTuple):
-    histories: list[Found]
+class ReportInput(NamedTuple):
+    histories: list[StoredHistory]
     experiments: list[Experiment]
 
 
-def read(paths: Iterable[Path]) -> Input:
+def read_results(paths: Iterable[Path]) -> ReportInput:
     """All that these files hold, in their order. Raises BadFile with file, place and reason."""
-    found = Input([], [])
+    found = ReportInput([], [])
     for path in paths:
         try:
             with path.open("rb") as file:
                 kept = file.read(len(store.MAGIC)) == store.MAGIC
-            _read_kept(str(path), found) if kept else _read_json(str(path), path.read_bytes(), found)
+            _read_store(str(path), found) if kept else _read_json(str(path), path.read_bytes(), found)
         except OSError as error:
             raise BadFile(str(path), f"can't be read: {error.strerror}") from error
     return found
 
 
-def _read_kept(file: str, found: Input) -> None:
+def _read_store(file: str, found: ReportInput) -> None:
     """The file that an experiment appends to. It has no pairs: which there are, only its plan tells."""
     with closing(store.look(file)) as kept:
         outcomes = list(kept.outcomes(_Outcome))
     seen = set()
     for one in outcomes:
         if one.failed is None:
-            history = _found(file, f"cell {one.cell}", one.result)
-            if history.of not in seen:  # a repeat has the same bytes
+            history = _stored_history(file, f"cell {one.cell}", one.result)
+            if history.identity not in seen:  # a repeat has the same bytes
                 found.histories.append(history)
-            seen.add(history.of)
+            seen.add(history.identity)
     failed = tuple(f"cell {one.cell}: {one.failed}" for one in outcomes if one.failed is not None)
     found.experiments.append(Experiment(kept.header.name, kept.header.asks, failed=failed))
 
 
-def _read_json(file: str, content: bytes, found: Input) -> None:
+def _read_json(file: str, content: bytes, found: ReportInput) -> None:
     try:
-        parts = _parts(content)
+        parts = _split_documents(content)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise BadFile(file, f"is not JSON: {error}") from error
     if not parts:
         raise BadFile(file, "holds no result")
     for number, part in enumerate(parts, start=1):
-        place = f"result {number}"
-        head = _decode(file, place, part, _Head)
+        location = f"result {number}"
+        head = _decode(file, location, part, _Head)
         if head.cells:
-            _check_format(file, place, head.format, EXPORTED)
-            _read_exported(file, _decode(file, place, part, _Exported), found)
+            _check_format(file, location, head.format, EXPORT_FORMAT)
+            _read_exported(file, _decode(file, location, part, _Exported), found)
         else:
-            found.histories.append(_found(file, place, part))
+            found.histories.append(_stored_history(file, location, part))
 
 
-def _parts(content: bytes) -> list[msgspec.Raw]:
+def _split_documents(content: bytes) -> list[msgspec.Raw]:
     try:
         return [msgspec.json.decode(content, type=msgspec.Raw)]
     except msgspec.DecodeError:
@@ -163,10 +163,10 @@
         return parts
 
 
-def _read_exported(file: str, exported: _Exported, found: Input) -> None:
+def _read_exported(file: str, exported: _Exported, found: ReportInput) -> None:
     for number, cell in enumerate(exported.cells):
         if cell.failed is None and cell.repeat == 0:
-            found.histories.append(_found(file, f"cell {number}", cell.result))
+            found.histories.append(_stored_history(file, f"cell {number}", cell.result))
     failed = tuple(
         f"{cell.scenario}, seed {cell.seed}, {cell.revision}: {cell.failed}"
         for cell in exported.cells
@@ -175,19 +175,19 @@
     found.experiments.append(Experiment(exported.name, exported.asks, exported.differences, failed))
 
 
-def _found(file: str, place: str, content: msgspec.Raw) -> Found:
-    _check_format(file, place, _decode(file, place, content, _Head).format, FORMAT)
-    return Found(file, place, _decode(file, place, content, Short), content)
+def _stored_history(file: str, location: str, content: msgspec.Raw) -> StoredHistory:
+    _check_format(file, location, _decode(file, location, content, _Head).format, FORMAT)
+    return StoredHistory(file, location, _decode(file, location, content, Short), content)
 
 
-def _check_format(file: str, place: str, found: int, wanted: int) -> None:
+def _check_format(file: str, location: str, found: int, wanted: int) -> None:
     if found != wanted:
-        raise BadFile(file, f"{place}: format {found}; this program reads format {wanted} only")
+        raise BadFile(file, f"{location}: format {found}; this program reads format {wanted} only")
 
 
-def _decode(file: str, place: str, content: msgspec.Raw, kind: type[T]) -> T:
+def _decode(file: str, location: str, content: msgspec.Raw, kind: type[T]) -> T:
     try:
         decoded: T = msgspec.json.decode(content, type=kind)
     except msgspec.DecodeError as error:
-        raise BadFile(file, f"{place}: {error}") from error
+        raise BadFile(file, f"{location}: {error}") from error
     return decoded
--- a/glenfold_lab/reports/summary.py
+++ b/glenfold_lab/reports/summary.py
@@ -8,17 +8,17 @@
 import numpy as np
 
 from glenfold.destinations import server_number
-from glenfold_lab.reports.read import Experiment, Found, Input, Short
+from glenfold_lab.reports.read import Experiment, ReportInput, Short, StoredHistory
 from glenfold_lab.reports.terms import RULES
-from glenfold_lab.reports.thin import Loads, loads, thin
+from glenfold_lab.reports.thin import ServerLoads, downsample, server_loads
 from glenfold_lab.results import Distribution, Happened, RunResult, Series, Verdict
 
 FORMAT = 1
-HISTORIES = 12  # told one by one
-VERDICTS = 100  # of a history
-EVENTS = 100
-SERVERS = 12  # the worst
-ENTRIES = 60  # of any other table
+MAX_HISTORIES = 12  # told one by one
+MAX_VERDICTS = 100  # of a history
+MAX_EVENTS = 100
+MAX_SERVERS = 12  # the worst
+MAX_ENTRIES = 60  # of any other table
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
@@ -87,31 +87,31 @@
     format: int = FORMAT
 
 
-def one_by_one(found: Sequence[Found]) -> list[RunResult]:
+def select_histories(found: Sequence[StoredHistory]) -> list[RunResult]:
     """Of many, those that broke rules, and then those that served least; in the order given. Raises
     BadFile."""
-    chosen = sorted(range(len(found)), key=lambda n: _need(found[n].short))[:HISTORIES]
-    return [found[n].whole() for n in sorted(chosen)]
+    chosen = sorted(range(len(found)), key=lambda n: _priority(found[n].short))[:MAX_HISTORIES]
+    return [found[n].read_full() for n in sorted(chosen)]
 
 
-def _need(short: Short) -> tuple[float, float]:
+def _priority(short: Short) -> tuple[float, float]:
     return -short.rules_broken, short.figures.get("service", 1.0)
 
 
-def summarize(given: Input, told: Sequence[RunResult]) -> Report:
+def summarize(report_input: ReportInput, results: Sequence[RunResult]) -> Report:
     """`told`: those of its histories that are told one by one."""
     return Report(
-        histories=tuple(_history(f"h{n}", result) for n, result in enumerate(told, start=1)),
-        histories_left_out=len(given.histories) - len(told),
-        groups=tuple(_groups([one.short for one in given.histories])),
-        experiments=tuple(given.experiments),
+        histories=tuple(_history(f"h{n}", result) for n, result in enumerate(results, start=1)),
+        histories_left_out=len(report_input.histories) - len(results),
+        groups=tuple(_groups([one.short for one in report_input.histories])),
+        experiments=tuple(report_input.experiments),
     )
 
 
 def _history(name: str, result: RunResult) -> History:
-    of_servers = loads(result.server_load)
+    loads = server_loads(result.server_load)
     happened = sorted(result.happened, key=lambda event: event.at_us)
-    shown = _in_turn(result.verdicts)[:VERDICTS]
+    shown = _interleave_by_rule(result.verdicts)[:MAX_VERDICTS]
     return History(
         name=name,
         scenario=result.scenario,
@@ -122,22 +122,22 @@
         length_s=result.length_us / 1e6,
         figures=result.figures,
         answers=result.answers,
-        set_up=dict(sorted(result.set_up.items(), key=lambda pair: -pair[1].count)[:ENTRIES]),
-        series={key: thin(series) for key, series in list(result.series.items())[:ENTRIES]},
-        servers=len(of_servers.names),
-        all_servers=not of_servers.percentiles,
-        worst_servers=_worst(of_servers),
+        set_up=dict(sorted(result.set_up.items(), key=lambda pair: -pair[1].count)[:MAX_ENTRIES]),
+        series={key: downsample(series) for key, series in list(result.series.items())[:MAX_ENTRIES]},
+        servers=len(loads.names),
+        all_servers=not loads.percentiles,
+        worst_servers=_worst_servers(loads),
         broken=dict.fromkeys(RULES, 0) | Counter(verdict.rule for verdict in result.verdicts),
         verdicts=tuple(sorted(shown, key=lambda verdict: verdict.at_us)),
         verdicts_left_out=len(result.verdicts) + result.verdicts_left_out - len(shown),
-        hosts=_hosts(shown, result.server_load),
-        happened=tuple(happened[:EVENTS]),
-        happened_left_out=len(happened[EVENTS:]),
+        hosts=_verdict_hosts(shown, result.server_load),
+        happened=tuple(happened[:MAX_EVENTS]),
+        happened_left_out=len(happened[MAX_EVENTS:]),
         cost=result.cost,
     )
 
 
-def _in_turn(verdicts: Iterable[Verdict]) -> list[Verdict]:
+def _interleave_by_rule(verdicts: Iterable[Verdict]) -> list[Verdict]:
     """The first of each rule, then the second of each, and so on: one rule must not hide another."""
     seen: Counter[str] = Counter()
     numbered = []
@@ -147,17 +147,15 @@
     return [verdict for _, verdict in sorted(numbered, key=lambda pair: pair[0])]
 
 
-def _hosts(verdicts: Iterable[Verdict], named: Iterable[str]) -> dict[str, str]:
-    wanted = {verdict.server for verdict in verdicts}
-    return {str(server_number(host)): host for host in named if server_number(host) in wanted}
+def _verdict_hosts(verdicts: Iterable[Verdict], named: Iterable[str]) -> dict[str, str]:
+    servers = {verdict.server for verdict in verdicts}
+    return {str(server_number(host)): host for host in named if server_number(host) in servers}
 
 
-def _worst(of_servers: Loads) -> tuple[ServerLoad, ...]:
+def _worst_servers(loads: ServerLoads) -> tuple[ServerLoad, ...]:
     return tuple(
         ServerLoad(name, float(np.nanmax(row)), float(np.nanmean(row)), float(over_s))
-        for name, row, over_s in zip(
-            of_servers.names[:SERVERS], of_servers.values, of_servers.over_s, strict=False
-        )
+        for name, row, over_s in zip(loads.names[:MAX_SERVERS], loads.values, loads.over_s, strict=False)
     )
 
 
--- a/glenfold_lab/reports/svg.py
+++ b/glenfold_lab/reports/svg.py
@@ -15,11 +15,11 @@
 from matplotlib.figure import Figure
 
 WIDTH_IN = 8.6  # at 72 points to the inch a little less than the width of a page's text
-LINES = 6  # colours for lines, as many as can be told apart
+LINE_COLOURS = 6  # colours for lines, as many as can be told apart
 COLOURS = {
     name: f"#0101{number:02x}"
     for number, name in enumerate(
-        ("ink", "faint", "grid", "shade", "bad", "good", *(f"line{n}" for n in range(LINES))), start=1
+        ("ink", "faint", "grid", "shade", "bad", "good", *(f"line{n}" for n in range(LINE_COLOURS))), start=1
     )
 }
 
@@ -46,14 +46,14 @@
     "grid.linewidth": 0.6,
     "axes.spines.top": False,
     "axes.spines.right": False,
-    "axes.prop_cycle": cycler(color=[COLOURS[f"line{n}"] for n in range(LINES)]),
+    "axes.prop_cycle": cycler(color=[COLOURS[f"line{n}"] for n in range(LINE_COLOURS)]),
     "lines.linewidth": 1.4,
     "figure.facecolor": "none",
     "axes.facecolor": "none",
 }
 
 _NO_METADATA = dict.fromkeys(("Creator", "Date", "Format", "Type"))
-_NAMES = {colour: name for name, colour in COLOURS.items()}
+_NAMES_BY_COLOUR = {colour: name for name, colour in COLOURS.items()}
 
 
 class Drawing:
@@ -78,28 +78,28 @@
     def axes(self) -> Axes:
         return self.figure.add_subplot()
 
-    def svg(self, told: str) -> str:
+    def svg(self, description: str) -> str:
         """The element to put into a page; `told` is what a reader who can't see it hears."""
         out = io.StringIO()
         with warnings.catch_warnings():
             warnings.filterwarnings("ignore", "Glyph")  # the reader's fonts draw it, not matplotlib's
             self.figure.savefig(out, format="svg", metadata=_NO_METADATA)
         drawn = out.getvalue()
-        return _inline(drawn[drawn.index("<svg") :], self.name, told)
+        return _inline(drawn[drawn.index("<svg") :], self.name, description)
 
 
-def label(text: str, most: int = 40) -> str:
+def short_label(text: str, max_length: int = 40) -> str:
     """A name as a drawing can show it: short, and not taken for one of matplotlib's own."""
-    short = text if len(text) <= most else f"{text[: most - 1]}…"
+    short = text if len(text) <= max_length else f"{text[: max_length - 1]}…"
     return f" {short}" if short.startswith("_") else short
 
 
-def _inline(drawn: str, name: str, told: str) -> str:
+def _inline(drawn: str, name: str, description: str) -> str:
     head, body = drawn.split(">", 1)
     box = re.search(r'viewBox="[^"]*"', head)
     assert box is not None
     body = re.sub(r"\s*<defs>\s*<style.*?</defs>", "", body, count=1, flags=re.S)  # it would style the page
-    body = re.sub(r"#0101[0-9a-f]{2}", lambda found: f"var(--{_NAMES[found[0]]})", body)
+    body = re.sub(r"#0101[0-9a-f]{2}", lambda found: f"var(--{_NAMES_BY_COLOUR[found[0]]})", body)
     body = re.sub(r" font-family: [^;\"]*;?", "", body)  # the page's
     body = re.sub(r'(\bid="|href="#|url\(#)', rf"\g<1>{name}-", body)
-    return f'<svg {box[0]} role="img" aria-label="{escape(told)}">{body.strip()}'
+    return f'<svg {box[0]} role="img" aria-label="{escape(description)}">{body.strip()}'
--- a/glenfold_lab/reports/terms.py
+++ b/glenfold_lab/reports/terms.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 UNITS = {"us": "µs", "ms": "ms", "s": "s", "mb": "MB", "per_s": "1/s", "share": "of 1"}
-SHARES = ("service", "worst_", "goal", "cross_zone")  # figures that begin so are parts of 1
-FIRST = (
+SHARE_PREFIXES = ("service", "worst_", "goal", "cross_zone")  # figures that begin so are parts of 1
+FIRST_FIGURES = (
     "goal",
     "service",
     "worst_window",
@@ -51,7 +51,7 @@
 
 
 def unit(name: str) -> str:
-    return UNITS.get(_suffix(name), "of 1" if name.startswith(SHARES) else "")
+    return UNITS.get(_suffix(name), "of 1" if name.startswith(SHARE_PREFIXES) else "")
 
 
 def _suffix(name: str) -> str:
@@ -60,4 +60,7 @@
 
 def in_order(names: Iterable[str]) -> list[str]:
     """Of figures: those that a reader wants first, then by their names."""
-    return sorted(names, key=lambda name: (FIRST.index(name) if name in FIRST else len(FIRST), name))
+    return sorted(
+        names,
+        key=lambda name: (FIRST_FIGURES.index(name) if name in FIRST_FIGURES else len(FIRST_FIGURES), name),
+    )
--- a/tests/glenfold_lab/test_demo.py
+++ b/tests/glenfold_lab/test_demo.py
@@ -39,7 +39,9 @@
 
 def test_without_a_terminal_each_second_is_one_plain_line():
     out = io.StringIO()
-    with live.watch(Console(file=out, force_terminal=False, width=100), {1: "a server [drains]"}) as show:
+    with live.live_display(
+        Console(file=out, force_terminal=False, width=100), {1: "a server [drains]"}
+    ) as show:
         show(second(0))
         show(second(1, answers={}))
     assert out.getvalue().splitlines() == [
--- a/tests/glenfold_lab/test_reports.py
+++ b/tests/glenfold_lab/test_reports.py
@@ -14,8 +14,8 @@
 from glenfold_lab.experiments import store
 from glenfold_lab.experiments.compare import Difference
 from glenfold_lab.reports import summary
-from glenfold_lab.reports.page import page
-from glenfold_lab.reports.read import Found, Input, Short, read
+from glenfold_lab.reports.page import render_page
+from glenfold_lab.reports.read import ReportInput, Short, StoredHistory, read_results
 from glenfold_lab.results import Distribution, Happened, RunResult, Series, Verdict
 
 SECOND = 1_000_000
@@ -42,13 +42,15 @@
     return RunResult(**(fields | changes))  # type: ignore[arg-type]
 
 
-def found(*results: RunResult) -> Input:
+def report_input(*results: RunResult) -> ReportInput:
     contents = [msgspec.Raw(msgspec.json.encode(one)) for one in results]
-    return Input([Found("file", "here", msgspec.json.decode(one, type=Short), one) for one in contents], [])
+    return ReportInput(
+        [StoredHistory("file", "here", msgspec.json.decode(one, type=Short), one) for one in contents], []
+    )
 
 
 def page_of(*results: RunResult) -> str:
-    return page(summary.summarize(found(*results), results), results)
+    return render_page(summary.summarize(report_input(*results), results), results)
 
 
 def test_a_page_stands_alone_and_is_the_same_twice():
@@ -100,12 +102,12 @@
         happened=events,
         series={"service": long, "up": long, "busy": long},
     )
-    report = summary.summarize(found(huge), [huge])
-    assert len(page(report, [huge])) < 1_000_000
+    report = summary.summarize(report_input(huge), [huge])
+    assert len(render_page(report, [huge])) < 1_000_000
     assert len(msgspec.json.encode(report)) < 200_000
-    told = report.histories[0]
-    assert told.verdicts[0].rule == "move", "one rule must not hide another"
-    assert len(told.verdicts) + told.verdicts_left_out == 5_000
+    selected = report.histories[0]
+    assert selected.verdicts[0].rule == "move", "one rule must not hide another"
+    assert len(selected.verdicts) + selected.verdicts_left_out == 5_000
 
 
 @pytest.mark.parametrize(
@@ -168,9 +170,11 @@
             }
         )
     )
-    given = read([tmp_path / "load.json"])
-    drawn = page(summary.summarize(given, told := summary.one_by_one(given.histories)), told)
-    assert len(told) == 1
+    given = read_results([tmp_path / "load.json"])
+    drawn = render_page(
+        summary.summarize(given, selected := summary.select_histories(given.histories)), selected
+    )
+    assert len(selected) == 1
     assert "how &lt;much&gt;?" in drawn and "RuntimeError: &lt;no&gt;" in drawn
     assert "-0.5 to -0.1" in drawn and "0.1 to &lt;0.3&gt;" in drawn and 'id="forest0-figure_1"' in drawn
 
@@ -184,6 +188,6 @@
             store.Outcome(0, result(seed=7)),
         ):
             kept.add(msgspec.json.encode(outcome))
-    given = read([Path(name)])
+    given = read_results([Path(name)])
     assert [one.short.seed for one in given.histories] == [7], "the second is a repeat"
     assert given.experiments[0].failed == ("cell 2: RuntimeError: no",)
