--- a/glenfold_lab/reports/__init__.py
+++ b/glenfold_lab/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Results as one page to read and as figures to work with; nothing here plays or judges a history."""
+"""Reports on results: an HTML page and its figures as JSON. Nothing here plays or judges histories."""
--- a/glenfold_lab/reports/live.py
+++ b/glenfold_lab/reports/live.py
@@ -1,4 +1,4 @@
-"""What a history on sockets brings, second by second: a table on a terminal, or a plain line a second."""
+"""The live view of a run on sockets: a table on a terminal, or one plain line for each second."""
 
 from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
@@ -13,7 +13,7 @@
 from glenfold_lab.spec import Scenario
 from glenfold_lab.stand_ins.run import OnSecond, Snapshot
 
-MAX_ROWS = 30  # of the newest seconds
+MAX_ROWS = 30  # The live table shows the newest seconds only.
 FAULT_NOTES = {
     "drain": "a server drains",
     "relay_restart": "a relay restarts",
@@ -41,7 +41,7 @@
 
 
 def notes_by_second(scenario: Scenario) -> dict[int, str]:
-    """What is to happen, by second; only of faults whose moment is not drawn."""
+    """Returns a note for each second in which a fault starts, unless its start is drawn at random."""
     return {
         int(fault.at_s): FAULT_NOTES.get(fault.kind, fault.kind.replace("_", " "))
         for fault in scenario.faults
@@ -51,7 +51,7 @@
 
 @contextmanager
 def live_display(console: Console, event_notes: Mapping[int, str]) -> Iterator[OnSecond]:
-    """Shows each second that the callable is given."""
+    """Yields a callable that displays the snapshot of one second."""
     if not console.is_terminal:
         yield lambda second: console.print(format_line(second, event_notes), soft_wrap=True, markup=False)
         return
@@ -66,6 +66,7 @@
 
 
 def build_table(rows: list[Snapshot], event_notes: Mapping[int, str]) -> Table:
+    """Returns a table with one row for each snapshot. `rows` must not be empty."""
     relays = [f"{relay.name}: CPU,\nmemory" for relay in rows[-1].relays]
     table = Table(*TABLE_HEADERS, *relays, "", box=None, pad_edge=False)
     for column in table.columns[:7]:
@@ -78,7 +79,7 @@
 
 
 def format_line(row: Snapshot, event_notes: Mapping[int, str]) -> str:
-    """A second in one plain line, each value with its name."""
+    """Returns the snapshot as one plain line, each value after its name."""
     values = [f"{name} {value}" for name, value in zip(LINE_LABELS, _row_values(row), strict=True)]
     relays = [f"{relay.name} {value}" for relay, value in zip(row.relays, _relay_values(row), strict=True)]
     return ", ".join(filter(None, (*values, *relays, event_notes.get(row.second, ""))))
@@ -103,7 +104,7 @@
 
 
 def outcome_lines(result: RunResult) -> Iterator[str]:
-    """Service and verdicts, line by line."""
+    """Yields lines that summarize the service, the answers and the verdict on each rule."""
     figures = result.figures
     yield (
         f"service: clients had {figures['service']:.1%} of what they wanted, "
--- a/glenfold_lab/reports/page.py
+++ b/glenfold_lab/reports/page.py
@@ -1,4 +1,4 @@
-"""The page: one HTML file that needs nothing else, not even a script."""
+"""Renders a report as one self-contained HTML file without scripts."""
 
 from collections.abc import Iterator, Sequence
 
@@ -13,12 +13,12 @@
 from glenfold_lab.reports.thin import server_loads
 from glenfold_lab.results import RunResult
 
-MAX_HISTORIES_WITH_PARTS = 3  # histories whose parts are in the table of contents
-MAX_OTHER_PLOTS = 12  # series without a picture of their own that are drawn
-MAX_COMPARED_FIGURES = 6  # figures that are compared in pictures
-MAX_GROUPS = 60  # that a comparison shows
-MAX_PAIRS = 150  # in its table
-MAX_FOREST_ROWS = 40  # of them in a picture
+MAX_HISTORIES_WITH_PARTS = 3  # With more histories, the table of contents omits their sections.
+MAX_OTHER_PLOTS = 12  # Limits the plots of series that no entry of PICTURES contains.
+MAX_COMPARED_FIGURES = 6  # Limits the figures that are compared in columns and plots.
+MAX_GROUPS = 60  # Limits the groups in a comparison.
+MAX_PAIRS = 150  # Limits the rows in the table of pairs.
+MAX_FOREST_ROWS = 40  # Limits the pairs in one forest plot.
 PARTS = {
     "figures": "Figures",
     "service": "Service over time",
@@ -33,7 +33,7 @@
 
 
 def render_page(report: Report, results: Sequence[RunResult]) -> str:
-    """told: the results of the report's histories."""
+    """Returns the HTML page. `results` are the results of `report.histories`, in the same order."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("glenfold_lab.reports"),
         autoescape=True,
@@ -67,34 +67,38 @@
 
 
 def compared_figures(groups: Sequence[Group]) -> list[str]:
-    names = {name for group in groups for name in group.figures} - {"rules_broken"}  # has a column already
+    """Returns the names of the figures that groups are compared by, the most important first."""
+    names = {name for group in groups for name in group.figures} - {
+        "rules_broken"
+    }  # The table has a separate column for broken rules.
     return terms.in_order(names)[:MAX_COMPARED_FIGURES]
 
 
 def compared_pairs(experiments: Sequence[Experiment], names: Sequence[str]) -> list[Difference]:
-    """Those of the figures that are compared, figure by figure."""
+    """Returns the differences of the figures in `names`, in the order of `names`."""
     pairs = [one for experiment in experiments for one in experiment.differences if one.figure in names]
     return sorted(pairs, key=lambda one: names.index(one.figure))
 
 
 def quantile_marks(history: History) -> list[str]:
-    """All quantiles that a history tells of its set-ups, from the least."""
+    """Returns all quantiles in the set-up distributions of the history, in ascending order."""
     return sorted({mark for one in history.set_up.values() for mark in one.quantiles}, key=float)
 
 
 def number(value: float) -> str:
-    """Four digits that say something, and all of a whole number's."""
+    """Formats `value` with four significant digits, or with all digits if it is an integer."""
     if float(value).is_integer():
         return f"{int(value):,}"
     return f"{value:,.4g}" if abs(value) < 1e4 else f"{value:,.0f}"
 
 
 def signed(value: float) -> str:
+    """Formats `value` with a plus sign if it is positive."""
     return ("+" if value > 0 else "") + number(value)
 
 
 def where(pair: Difference) -> str:
-    """What both sides of a pair have in common."""
+    """Returns the scenario, levels and revision that both sides of the pair share."""
     return ", ".join(
         filter(
             None, (pair.scenario, *(f"{name} {level}" for name, level in pair.levels.items()), pair.revision)
@@ -103,11 +107,12 @@
 
 
 def seconds(us: int) -> str:
+    """Formats microseconds as seconds with three decimals."""
     return f"{us / 1e6:,.3f}"
 
 
 def pictures(name: str, result: RunResult) -> Iterator[tuple[str, Markup]]:
-    """All drawings of one history, by what they show; empty where there is nothing to draw."""
+    """Yields the key and the SVG of each drawing of one history. The SVG is empty if there is no data."""
     time_axis = TimeAxis(name, result.length_us, result.happened)
     for one in terms.PICTURES:
         drawn = {key: result.series[key] for key in one.series if key in result.series}
@@ -133,7 +138,7 @@
 
 
 def spreads(groups: Sequence[Group], names: Sequence[str]) -> Iterator[tuple[str, Markup]]:
-    """Titles and drawings of what there is to compare."""
+    """Yields the title and the spread plot of each figure, or nothing if there is only one group."""
     for n, name in enumerate(names if len(groups) > 1 else ()):
         values = {group.name: group.figures[name].values for group in groups if name in group.figures}
         yield (
@@ -143,7 +148,7 @@
 
 
 def forests(pairs: Sequence[Difference], names: Sequence[str]) -> Iterator[tuple[str, Markup]]:
-    """Titles and drawings of differences, of those figures that have any with an interval."""
+    """Yields the title and the forest plot of each figure that has a difference with an interval."""
     for n, name in enumerate(names):
         drawn = {
             f"{pair.of}: {pair.base} to {pair.other}; {where(pair)}": (pair.mean, pair.low, pair.high)
--- a/glenfold_lab/reports/plots.py
+++ b/glenfold_lab/reports/plots.py
@@ -1,4 +1,4 @@
-"""The drawings of one history, each as inline SVG, or "" where there is nothing to draw."""
+"""Plots of histories and comparisons. Each function returns inline SVG, or "" if there is no data."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -12,12 +12,13 @@
 from glenfold_lab.reports.thin import MAX_HEAT_ROWS, MAX_POINTS, ServerLoads, Values, block_maxima, downsample
 from glenfold_lab.results import Distribution, Happened, Series
 
-MAX_EVENTS = 40  # that are shaded, or have a row of their own in the time line
-MAX_HEAT_LOAD = 2.0  # the load at which the colours of the heat map end
-MAX_WORST_SERVERS = 5  # servers drawn one by one
+MAX_EVENTS = 40  # Limits the shaded events, and the rows of the time line.
+MAX_HEAT_LOAD = 2.0  # The load, divided by the limit, at the upper end of the colour scale.
+MAX_WORST_SERVERS = 5  # Limits the servers with a line of their own.
 DASH_STYLES = ((0, (4, 2)), (0, (1, 1.5)), (0, (6, 2, 1, 2)), (0, (9, 3)))
 
-# Nothing at 0, so that it does on a light and a dark page; blue up to the limit, from there on red.
+# Load 0 is transparent, so that the map suits a light and a dark page. Loads up to the limit are blue, loads
+# above it orange to red.
 LOAD_COLORMAP = LinearSegmentedColormap.from_list(
     "load",
     [
@@ -31,13 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeAxis:
-    """What all drawings of one history share. name: as of the drawings, without spaces."""
+    """The time axis that the plots of one history share.
+
+    `name` is the prefix of the names of these plots and has no spaces.
+    """
 
     name: str
     length_us: int
     happened: tuple[Happened, ...] = ()
 
     def set_up_axes(self, axes: Axes, unit: str) -> None:
+        """Sets the range and labels of `axes`, and marks the events."""
         axes.set_xlim(0.0, self.length_us / 1e6)
         axes.set_xlabel("time, s")
         axes.set_ylabel(unit)
@@ -52,7 +57,7 @@
 def lines(
     time_axis: TimeAxis, name: str, series: Mapping[str, Series], unit: str, top: float | None = None
 ) -> str:
-    """Series over time in one picture, by their labels. top: of the axis, where the unit has an end."""
+    """Plots series over time, by label. `top` is the maximum of the unit, if it has one."""
     drawn = {shown: downsample(one) for shown, one in series.items() if one.values}
     if not drawn:
         return ""
@@ -78,7 +83,7 @@
 def stacked(
     time_axis: TimeAxis, name: str, series: Mapping[str, Series], unit: str, top: float | None = None
 ) -> str:
-    """Series on top of each other, in their order."""
+    """Plots series over time as stacked areas, in their order."""
     drawn = {shown: downsample(one) for shown, one in series.items() if one.values}
     if not drawn:
         return ""
@@ -102,7 +107,10 @@
 
 
 def heat(time_axis: TimeAxis, loads: ServerLoads) -> str:
-    """The load of each server against its limit at the moment; of many servers the greatest of neighbours."""
+    """Plots a heat map of each server's load divided by its limit at that time.
+
+    With many servers, a row shows the maximum of neighbouring servers.
+    """
     if not loads.names:
         return ""
     shown = block_maxima(loads.values)
@@ -132,7 +140,10 @@
 
 
 def worst(time_axis: TimeAxis, loads: ServerLoads) -> str:
-    """The servers longest over their limit, the median of all (or what is known of all), and the limit."""
+    """Plots the servers that were over their limit for longest, and the limit.
+
+    Dashed lines show the percentiles over all servers if the result has them, else the median of its servers.
+    """
     if not loads.names:
         return ""
     with Drawing(f"{time_axis.name}-worst", 2.6) as drawing:
@@ -158,7 +169,7 @@
 
 
 def percentiles(time_axis: TimeAxis, set_up: Mapping[str, Distribution]) -> str:
-    """Set-up latencies by class, from the median to the greatest."""
+    """Plots the quantiles of the set-up latencies by class, for the slowest classes."""
     slowest_first = sorted(
         ((name, one) for name, one in set_up.items() if one.count and one.quantiles),
         key=lambda pair: (-max(pair[1].quantiles.values()), pair[0]),
@@ -189,7 +200,7 @@
 
 
 def time_line(time_axis: TimeAxis) -> str:
-    """What failed when: a row for each kind of event, in the order of their first."""
+    """Plots a time line with a row for each kind of event, in the order of first occurrence."""
     events = sorted(time_axis.happened, key=lambda event: event.at_us)
     rows = list(dict.fromkeys(event.what for event in events))[:MAX_EVENTS]
     if not rows:
@@ -216,7 +227,7 @@
 
 
 def spread(name: str, title: str, unit: str, groups: Mapping[str, Sequence[float]]) -> str:
-    """One figure by group: a dot for each seed, a bar at the mean."""
+    """Plots one figure by group, with a dot for each seed and a bar at the mean."""
     with Drawing(name, 0.8 + 0.26 * len(groups)) as drawing:
         axes = drawing.axes()
         for row, values in enumerate(groups.values()):
@@ -244,6 +255,7 @@
 
 
 def _ends(series: Series) -> Values:
+    """Returns the end of each step, in seconds."""
     return np.arange(1, len(series.values) + 1, dtype=np.float64) * (series.step_us / 1e6)
 
 
@@ -253,7 +265,10 @@
 
 
 def forest(name: str, title: str, unit: str, pairs: Mapping[str, tuple[float, float, float]]) -> str:
-    """Mean differences with the ends of their intervals, and a line at no difference."""
+    """Plots each mean difference with its interval, and a line at zero.
+
+    `pairs` maps a label to the mean and the lower and upper end of the interval.
+    """
     with Drawing(name, 0.8 + 0.26 * len(pairs)) as drawing:
         axes = drawing.axes()
         axes.axvline(0.0, color=COLOURS["faint"], linewidth=1.2)
--- a/glenfold_lab/reports/read.py
+++ b/glenfold_lab/reports/read.py
@@ -1,7 +1,7 @@
-"""Reads result files: of one history, of many (one a line), or an experiment's, as it is kept or exported.
+"""Reads result files: JSON of one history, JSON lines of many, and stored or exported experiments.
 
-Most of a result is its series. Only the few histories that are told one by one are read whole; the others
-stay the bytes that they came as.
+Most of a result is its series. Only the few histories that get a section of their own are decoded in full;
+the others are kept as encoded JSON.
 """
 
 from collections.abc import Iterable
@@ -18,16 +18,16 @@
 
 T = TypeVar("T")
 
-EXPORT_FORMAT = 1  # the format of an experiment's JSON file
+EXPORT_FORMAT = 1  # Format version of the JSON file that an experiment exports.
 
 
 class _Head(msgspec.Struct):
     format: int
-    cells: msgspec.Raw = msgspec.Raw()  # of an experiment only
+    cells: msgspec.Raw = msgspec.Raw()  # Present only in the export of an experiment.
 
 
 class Short(msgspec.Struct, frozen=True):
-    """The part of a result that is compared."""
+    """The part of a result that comparisons need."""
 
     scenario: str
     seed: int
@@ -43,7 +43,7 @@
 
 
 class StoredHistory(NamedTuple):
-    """One history. file and place: where it was found."""
+    """The encoded result of one history. `file` and `location` name its origin in error messages."""
 
     file: str
     location: str
@@ -52,12 +52,12 @@
 
     @property
     def identity(self) -> tuple[object, ...]:
-        """What tells it from others."""
+        """The scenario, seed, revision and factors, which identify the history."""
         short = self.short
         return short.scenario, short.seed, short.revision, *sorted(short.factors.items())
 
     def read_full(self) -> RunResult:
-        """Raises BadFile."""
+        """Decodes and checks the full result. Raises BadFile if it is invalid."""
         result = _decode(self.file, self.location, self.content, RunResult)
         if result.length_us <= 0:
             raise BadFile(self.file, f"{self.location}: length_us must be over 0")
@@ -69,7 +69,7 @@
 
 
 class _Outcome(msgspec.Struct, frozen=True):
-    """One cell of an experiment's own file."""
+    """One cell in the file that an experiment appends to."""
 
     cell: int
     result: msgspec.Raw = msgspec.Raw()
@@ -77,7 +77,7 @@
 
 
 class _Cell(msgspec.Struct, frozen=True):
-    """One of an experiment, as exported."""
+    """One cell in the JSON export of an experiment."""
 
     scenario: str
     seed: int
@@ -89,7 +89,10 @@
 
 
 class Experiment(msgspec.Struct, frozen=True):
-    """What an experiment asks, and what its pairs say. failed: cells that gave no result, with the reason."""
+    """The question of an experiment and its answers.
+
+    `failed` describes the cells without a result, with the reason.
+    """
 
     name: str
     asks: str
@@ -105,12 +108,17 @@
 
 
 class ReportInput(NamedTuple):
+    """The contents of all files that a report covers."""
+
     histories: list[StoredHistory]
     experiments: list[Experiment]
 
 
 def read_results(paths: Iterable[Path]) -> ReportInput:
-    """All that these files hold, in their order. Raises BadFile with file, place and reason."""
+    """Returns the contents of the files, in their order.
+
+    Raises BadFile, which names the file, the location in it and the reason, if a file can't be read.
+    """
     found = ReportInput([], [])
     for path in paths:
         try:
@@ -123,14 +131,14 @@
 
 
 def _read_store(file: str, found: ReportInput) -> None:
-    """The file that an experiment appends to. It has no pairs: which there are, only its plan tells."""
+    """Reads the file that an experiment appends to. It has no pairs, because only the plan defines them."""
     with closing(store.look(file)) as kept:
         outcomes = list(kept.outcomes(_Outcome))
     seen = set()
     for one in outcomes:
         if one.failed is None:
             history = _stored_history(file, f"cell {one.cell}", one.result)
-            if history.identity not in seen:  # a repeat has the same bytes
+            if history.identity not in seen:  # Repeats of a cell have identical results.
                 found.histories.append(history)
             seen.add(history.identity)
     failed = tuple(f"cell {one.cell}: {one.failed}" for one in outcomes if one.failed is not None)
@@ -155,6 +163,7 @@
 
 
 def _split_documents(content: bytes) -> list[msgspec.Raw]:
+    """Returns the only JSON document, or one document for each line."""
     try:
         return [msgspec.json.decode(content, type=msgspec.Raw)]
     except msgspec.DecodeError:
--- a/glenfold_lab/reports/summary.py
+++ b/glenfold_lab/reports/summary.py
@@ -1,4 +1,4 @@
-"""What a report tells, as plain values: the page is drawn from it, and --json writes it as it is."""
+"""The content of a report as plain values. The page is rendered from it, and --json writes it unchanged."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator, Sequence
@@ -14,15 +14,15 @@
 from glenfold_lab.results import Distribution, Happened, RunResult, Series, Verdict
 
 FORMAT = 1
-MAX_HISTORIES = 12  # told one by one
-MAX_VERDICTS = 100  # of a history
-MAX_EVENTS = 100
-MAX_SERVERS = 12  # the worst
-MAX_ENTRIES = 60  # of any other table
+MAX_HISTORIES = 12  # Limits the histories with a section of their own.
+MAX_VERDICTS = 100  # Limits the verdicts of a history.
+MAX_EVENTS = 100  # Limits the events of a history.
+MAX_SERVERS = 12  # Limits the worst servers of a history.
+MAX_ENTRIES = 60  # Limits the rows of any other table.
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
-    """Load over the limit at the moment. over_s: seconds over the limit."""
+    """The load of one server, divided by its limit at that time. `over_s` is the time over the limit."""
 
     server: str
     peak: float
@@ -31,9 +31,9 @@
 
 
 class History(msgspec.Struct, frozen=True):
-    """One history. Series are thinned to a bounded number of values, tables cut to their worst entries."""
+    """One history, with downsampled series, and with tables that are cut to a bounded number of entries."""
 
-    name: str  # of its section: unlike that of any other
+    name: str  # The unique id of its section of the page.
     scenario: str
     guards_against: str
     seed: int
@@ -44,20 +44,20 @@
     answers: dict[str, int]
     set_up: dict[str, Distribution]
     series: dict[str, Series]
-    servers: int  # that the result tells of one by one
+    servers: int  # Number of servers whose load the result records.
     all_servers: bool
     worst_servers: tuple[ServerLoad, ...]
-    broken: dict[str, int]  # verdicts that the result has, by rule
+    broken: dict[str, int]  # Number of recorded verdicts, by rule.
     verdicts: tuple[Verdict, ...]
     verdicts_left_out: int
-    hosts: dict[str, str]  # of servers in verdicts, by their numbers, where the result tells of their load
+    hosts: dict[str, str]  # Names of servers in verdicts, by number, if their load is recorded.
     happened: tuple[Happened, ...]
     happened_left_out: int
     cost: dict[str, float]
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """One figure over the seeds of a group. values: in the order of the seeds."""
+    """One figure over the seeds of a group. `values` are in the order of the seeds."""
 
     mean: float
     least: float
@@ -66,7 +66,7 @@
 
 
 class Group(msgspec.Struct, frozen=True):
-    """Histories that differ in their seeds only."""
+    """Histories that differ only in their seeds."""
 
     name: str
     scenario: str
@@ -78,7 +78,11 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """histories: those that need a look first, where there are many; groups: all of them."""
+    """The content of a report.
+
+    `histories` are the ones that most need attention, if there are too many for all to get a section.
+    `groups` cover every history.
+    """
 
     histories: tuple[History, ...]
     histories_left_out: int
@@ -88,8 +92,11 @@
 
 
 def select_histories(found: Sequence[StoredHistory]) -> list[RunResult]:
-    """Of many, those that broke rules, and then those that served least; in the order given. Raises
-    BadFile."""
+    """Returns the full results of the histories that get a section, in the order of `found`.
+
+    If there are too many, the histories with the most broken rules come first, then the ones with the least
+    service. Raises BadFile if one of these results is invalid.
+    """
     chosen = sorted(range(len(found)), key=lambda n: _priority(found[n].short))[:MAX_HISTORIES]
     return [found[n].read_full() for n in sorted(chosen)]
 
@@ -99,7 +106,7 @@
 
 
 def summarize(report_input: ReportInput, results: Sequence[RunResult]) -> Report:
-    """`told`: those of its histories that are told one by one."""
+    """Returns the report. `results` are the results of the histories that get a section."""
     return Report(
         histories=tuple(_history(f"h{n}", result) for n, result in enumerate(results, start=1)),
         histories_left_out=len(report_input.histories) - len(results),
@@ -138,7 +145,10 @@
 
 
 def _interleave_by_rule(verdicts: Iterable[Verdict]) -> list[Verdict]:
-    """The first of each rule, then the second of each, and so on: one rule must not hide another."""
+    """Returns the first verdict of each rule, then the second of each, and so on.
+
+    When the list is cut, a rule with many verdicts must not hide another rule.
+    """
     seen: Counter[str] = Counter()
     numbered = []
     for verdict in sorted(verdicts, key=lambda verdict: verdict.at_us):
--- a/glenfold_lab/reports/svg.py
+++ b/glenfold_lab/reports/svg.py
@@ -1,7 +1,8 @@
-"""Drawings as inline SVG: the page's own colours, text that stays text, the same bytes for the same input.
+"""Drawings as inline SVG that use the colours of the page. The same input gives the same bytes.
 
-matplotlib draws with stand-in colours, one for each of the page's; they give way to CSS variables, so that
-one drawing does for a light and a dark page. Its ids get the drawing's name: a page holds many drawings.
+matplotlib draws with one placeholder colour for each colour of the page. CSS variables then replace the
+placeholders, so that one drawing suits a light and a dark page. Text stays text. Ids get the name of the
+drawing as a prefix, because a page holds many drawings.
 """
 
 import io
@@ -14,8 +15,8 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-WIDTH_IN = 8.6  # at 72 points to the inch a little less than the width of a page's text
-LINE_COLOURS = 6  # colours for lines, as many as can be told apart
+WIDTH_IN = 8.6  # At 72 points to the inch, slightly less than the width of the text.
+LINE_COLOURS = 6  # Number of line colours that readers can tell apart.
 COLOURS = {
     name: f"#0101{number:02x}"
     for number, name in enumerate(
@@ -31,7 +32,7 @@
     "axes.titlesize": 11.0,
     "axes.labelsize": 11.0,
     "legend.fontsize": 10.0,
-    "text.parse_math": False,  # a name may hold dollars
+    "text.parse_math": False,  # Names may contain dollar signs.
     "legend.frameon": False,
     "text.color": COLOURS["ink"],
     "axes.edgecolor": COLOURS["faint"],
@@ -57,9 +58,9 @@
 
 
 class Drawing:
-    """One figure of the page; used as a context, within which matplotlib has the page's style.
+    """One figure of the page. Within its context, matplotlib uses the style of the page.
 
-    name: letters, digits and hyphens, unlike that of any other drawing of the page. height_in: inches.
+    `name` consists of letters, digits and hyphens, and is unique on the page. `height_in` is in inches.
     """
 
     def __init__(self, name: str, height_in: float) -> None:
@@ -76,20 +77,24 @@
         self._style.__exit__(None, None, None)
 
     def axes(self) -> Axes:
+        """Adds a subplot."""
         return self.figure.add_subplot()
 
     def svg(self, description: str) -> str:
-        """The element to put into a page; `told` is what a reader who can't see it hears."""
+        """Returns the SVG element for the page. `description` is its text for screen readers."""
         out = io.StringIO()
         with warnings.catch_warnings():
-            warnings.filterwarnings("ignore", "Glyph")  # the reader's fonts draw it, not matplotlib's
+            warnings.filterwarnings("ignore", "Glyph")  # The text is drawn with the reader's fonts.
             self.figure.savefig(out, format="svg", metadata=_NO_METADATA)
         drawn = out.getvalue()
         return _inline(drawn[drawn.index("<svg") :], self.name, description)
 
 
 def short_label(text: str, max_length: int = 40) -> str:
-    """A name as a drawing can show it: short, and not taken for one of matplotlib's own."""
+    """Returns `text` cut to `max_length` characters.
+
+    A leading space protects names with a leading underscore, which matplotlib leaves out of legends.
+    """
     short = text if len(text) <= max_length else f"{text[: max_length - 1]}…"
     return f" {short}" if short.startswith("_") else short
 
@@ -98,8 +103,10 @@
     head, body = drawn.split(">", 1)
     box = re.search(r'viewBox="[^"]*"', head)
     assert box is not None
-    body = re.sub(r"\s*<defs>\s*<style.*?</defs>", "", body, count=1, flags=re.S)  # it would style the page
+    body = re.sub(
+        r"\s*<defs>\s*<style.*?</defs>", "", body, count=1, flags=re.S
+    )  # These styles would apply to the whole page.
     body = re.sub(r"#0101[0-9a-f]{2}", lambda found: f"var(--{_NAMES_BY_COLOUR[found[0]]})", body)
-    body = re.sub(r" font-family: [^;\"]*;?", "", body)  # the page's
+    body = re.sub(r" font-family: [^;\"]*;?", "", body)  # The text uses the font of the page.
     body = re.sub(r'(\bid="|href="#|url\(#)', rf"\g<1>{name}-", body)
     return f'<svg {box[0]} role="img" aria-label="{escape(description)}">{body.strip()}'
--- a/glenfold_lab/reports/terms.py
+++ b/glenfold_lab/reports/terms.py
@@ -1,10 +1,15 @@
-"""How figures and series are named to a reader: title, unit, and which series share a picture."""
+"""Titles, units and order of figures and series for readers, and the series that share a picture."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 UNITS = {"us": "µs", "ms": "ms", "s": "s", "mb": "MB", "per_s": "1/s", "share": "of 1"}
-SHARE_PREFIXES = ("service", "worst_", "goal", "cross_zone")  # figures that begin so are parts of 1
+SHARE_PREFIXES = (
+    "service",
+    "worst_",
+    "goal",
+    "cross_zone",
+)  # Prefixes of figures whose unit is a share of 1.
 FIRST_FIGURES = (
     "goal",
     "service",
@@ -15,7 +20,7 @@
     "refused",
     "moves",
     "servers_fallen",
-)  # figures that a reader wants first
+)  # The most important figures, which are listed first.
 RULES = {
     "answer": "one final answer in time",
     "attempt": "at most one attempt out",
@@ -28,7 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Picture:
-    """Series that are drawn together, by name. top: where the axis ends, None: where the values do."""
+    """Series that are drawn together, by name.
+
+    `top` is the upper end of the value axis; None means that the axis follows the values.
+    """
 
     name: str
     unit: str
@@ -46,11 +54,13 @@
 
 
 def title(name: str) -> str:
+    """Returns the name of a figure or series in words, without the suffix of its unit."""
     suffix = _suffix(name)
     return (name.removesuffix(f"_{suffix}") if suffix in UNITS else name).replace("_", " ")
 
 
 def unit(name: str) -> str:
+    """Returns the unit by the suffix or prefix of the name, or "" if it has none."""
     return UNITS.get(_suffix(name), "of 1" if name.startswith(SHARE_PREFIXES) else "")
 
 
@@ -59,7 +69,7 @@
 
 
 def in_order(names: Iterable[str]) -> list[str]:
-    """Of figures: those that a reader wants first, then by their names."""
+    """Returns the names of figures, the most important first and the others sorted by name."""
     return sorted(
         names,
         key=lambda name: (FIRST_FIGURES.index(name) if name in FIRST_FIGURES else len(FIRST_FIGURES), name),
--- a/glenfold_lab/reports/thin.py
+++ b/glenfold_lab/reports/thin.py
@@ -1,4 +1,4 @@
-"""Keeps what is drawn and written to a bounded size, whatever the world's size and the day's length."""
+"""Downsampling, which bounds the size of pages for any number of servers and any length of a history."""
 
 import re
 from collections.abc import Mapping
@@ -9,14 +9,14 @@
 
 from glenfold_lab.results import Series
 
-MAX_POINTS = 400  # of a series
-MAX_HEAT_ROWS = 100  # of a heat map
-PERCENTILE = re.compile(r"p\d+$")  # the name of such a row among those of servers
+MAX_POINTS = 400  # Limits the values of a series.
+MAX_HEAT_ROWS = 100  # Limits the rows of a heat map.
+PERCENTILE = re.compile(r"p\d+$")  # The names of rows with percentiles over all servers.
 Values = NDArray[np.float64]
 
 
 def downsample(series: Series, max_values: int = MAX_POINTS, keep_peaks: bool = False) -> Series:
-    """At most so many values: each the mean, or with `peaks` the greatest, of as many neighbours."""
+    """Returns at most `max_values` values: means of neighbours, or with `keep_peaks` their maxima."""
     values = np.asarray(series.values, dtype=np.float64)
     block_size = -(-len(values) // max_values)
     if block_size <= 1:
@@ -31,24 +31,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoads:
-    """Load over the limit at the moment, as rows of servers over steps of one length; NaN where nothing is
-    known. names: one a row, from the server longest over its limit to the least loaded. percentiles: of all
-    servers, by their labels, where a result tells of the worst servers only."""
+    """Load divided by the limit at that time, one row per server and one column per step; NaN where unknown.
+
+    `names` has the name of each row, from the server that was over its limit for longest to the least loaded
+    one. `percentiles` are over all servers, by label, for results that record only the worst servers.
+    """
 
     step_us: int
     names: tuple[str, ...]
-    values: Values  # servers x steps
+    values: Values  # Shape: servers x steps.
     percentiles: tuple[tuple[str, Values], ...] = ()
 
     @property
     def over_s(self) -> Values:
-        """For how long each server was over its limit, in seconds."""
+        """The time that each server was over its limit, in seconds."""
         over: Values = np.sum(self.values > 1.0, axis=1) * (self.step_us / 1e6)
         return over
 
 
 def server_loads(by_server: Mapping[str, Series]) -> ServerLoads:
-    """Of all servers, each on the coarsest step among them; a step's value is its greatest."""
+    """Resamples all series to the longest step among them. The value of a step is the maximum within it."""
     series = {name: one for name, one in by_server.items() if one.values}
     step_us = max((one.step_us for one in series.values()), default=1)
     steps = max((-(-len(one.values) * one.step_us // step_us) for one in series.values()), default=0)
@@ -73,7 +75,7 @@
 
 
 def block_maxima(values: Values, rows: int = MAX_HEAT_ROWS, steps: int = MAX_POINTS) -> Values:
-    """The greatest of each block of neighbours: at most so many rows and steps."""
+    """Returns the maximum of each block of neighbours, with at most `rows` rows and `steps` columns."""
     for axis, max_length in ((0, rows), (1, steps)):
         block_size = -(-values.shape[axis] // max_length)
         if block_size > 1:
--- a/tests/glenfold_lab/test_reports.py
+++ b/tests/glenfold_lab/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports: sound pages of a bounded size, the same bytes for the same input, and results refused by name."""
+"""Reports: valid pages of a bounded size, reproducible output, and errors that name the bad file."""
 
 import re
 import xml.etree.ElementTree as xml
@@ -54,20 +54,20 @@
 
 
 def test_a_page_stands_alone_and_is_the_same_twice():
-    drawn = page_of(result())
-    assert drawn == page_of(result())
-    assert not re.search(r"""(src|href)=["'](?!#|data:image/png)|url\((?!#)|@import|<script""", drawn)
-    for svg in re.findall(r"<svg.*?</svg>", drawn, re.S):
+    html = page_of(result())
+    assert html == page_of(result())
+    assert not re.search(r"""(src|href)=["'](?!#|data:image/png)|url\((?!#)|@import|<script""", html)
+    for svg in re.findall(r"<svg.*?</svg>", html, re.S):
         xml.fromstring(svg.replace("<svg", '<svg xmlns:xlink="http://www.w3.org/1999/xlink"', 1))
-    ids = re.findall(r'\bid="([^"]*)"', drawn)
+    ids = re.findall(r'\bid="([^"]*)"', html)
     assert len(ids) == len(set(ids))
-    assert set(re.findall(r'(?:href="|url\()#([^")]*)', drawn)) <= set(ids)
-    assert set(re.findall(r"var\((--\w+)\)", drawn)) <= set(re.findall(r"(--\w+):", drawn))
+    assert set(re.findall(r'(?:href="|url\()#([^")]*)', html)) <= set(ids)
+    assert set(re.findall(r"var\((--\w+)\)", html)) <= set(re.findall(r"(--\w+):", html))
 
 
 def test_names_are_escaped_wherever_they_stand():
     name = "_<u>$x$&'\""
-    drawn = page_of(
+    html = page_of(
         result(
             scenario=name,
             guards_against=name,
@@ -83,7 +83,7 @@
             verdicts=(Verdict(name, 5, None, 7, None, (f"{name} seen",)),),
         )
     )
-    assert "<u>" not in drawn and f"{escape_as_page(name)} seen" in drawn
+    assert "<u>" not in html and f"{escape_as_page(name)} seen" in html
 
 
 def escape_as_page(text: str) -> str:
@@ -153,7 +153,7 @@
 
 
 def test_an_exported_experiment_shows_its_pairs_and_what_failed(tmp_path: Path):
-    of_cell = msgspec.Raw(msgspec.json.encode(result(factors={"load": "<0.3>"})))
+    cell_result = msgspec.Raw(msgspec.json.encode(result(factors={"load": "<0.3>"})))
     (tmp_path / "load.json").write_bytes(
         msgspec.json.encode(
             {
@@ -163,31 +163,31 @@
                 "revisions": [],
                 "differences": [PAIR],
                 "cells": [
-                    {**CELL, "repeat": 0, "result": of_cell},
-                    {**CELL, "repeat": 1, "result": of_cell},
+                    {**CELL, "repeat": 0, "result": cell_result},
+                    {**CELL, "repeat": 1, "result": cell_result},
                     {**CELL, "repeat": 0, "failed": "RuntimeError: <no>"},
                 ],
             }
         )
     )
     given = read_results([tmp_path / "load.json"])
-    drawn = render_page(
+    html = render_page(
         summary.summarize(given, selected := summary.select_histories(given.histories)), selected
     )
     assert len(selected) == 1
-    assert "how &lt;much&gt;?" in drawn and "RuntimeError: &lt;no&gt;" in drawn
-    assert "-0.5 to -0.1" in drawn and "0.1 to &lt;0.3&gt;" in drawn and 'id="forest0-figure_1"' in drawn
+    assert "how &lt;much&gt;?" in html and "RuntimeError: &lt;no&gt;" in html
+    assert "-0.5 to -0.1" in html and "0.1 to &lt;0.3&gt;" in html and 'id="forest0-figure_1"' in html
 
 
 def test_an_experiments_own_file_is_read_whatever_the_order_of_its_cells(tmp_path: Path):
     name = str(tmp_path / "kept")
-    with closing(store.go_on(name, store.Header("load", "how much?", 3, {}))) as kept:
+    with closing(store.go_on(name, store.Header("load", "how much?", 3, {}))) as result_store:
         for outcome in (
             store.Outcome(2, failed="RuntimeError: no"),
             store.Outcome(1, result(seed=7)),
             store.Outcome(0, result(seed=7)),
         ):
-            kept.add(msgspec.json.encode(outcome))
+            result_store.add(msgspec.json.encode(outcome))
     given = read_results([Path(name)])
     assert [one.short.seed for one in given.histories] == [7], "the second is a repeat"
     assert given.experiments[0].failed == ("cell 2: RuntimeError: no",)
