--- a/glenfold_lab/reports/page.py
+++ b/glenfold_lab/reports/page.py
@@ -58,11 +58,11 @@
         pairs=pairs[:MAX_PAIRS],
         pairs_left_out=len(pairs[MAX_PAIRS:]),
         pictures={
-            history.name: dict(pictures(history.name, result))
+            history.name: dict(history_plots(history.name, result))
             for history, result in zip(report.histories, results, strict=True)
         },
-        spreads=list(spreads(groups, names)),
-        forests=list(forests(pairs, names)),
+        spreads=list(spread_plots(groups, names)),
+        forests=list(forest_plots(pairs, names)),
     )
 
 
@@ -76,13 +76,20 @@
 
 def compared_pairs(experiments: Sequence[Experiment], names: Sequence[str]) -> list[Difference]:
     """Returns the differences of the figures in `names`, in the order of `names`."""
-    pairs = [one for experiment in experiments for one in experiment.differences if one.figure in names]
-    return sorted(pairs, key=lambda one: names.index(one.figure))
+    pairs = [
+        difference
+        for experiment in experiments
+        for difference in experiment.differences
+        if difference.figure in names
+    ]
+    return sorted(pairs, key=lambda difference: names.index(difference.figure))
 
 
 def quantile_marks(history: History) -> list[str]:
     """Returns all quantiles in the set-up distributions of the history, in ascending order."""
-    return sorted({mark for one in history.set_up.values() for mark in one.quantiles}, key=float)
+    return sorted(
+        {mark for distribution in history.set_up.values() for mark in distribution.quantiles}, key=float
+    )
 
 
 def number(value: float) -> str:
@@ -111,43 +118,45 @@
     return f"{us / 1e6:,.3f}"
 
 
-def pictures(name: str, result: RunResult) -> Iterator[tuple[str, Markup]]:
+def history_plots(name: str, result: RunResult) -> Iterator[tuple[str, Markup]]:
     """Yields the key and the SVG of each drawing of one history. The SVG is empty if there is no data."""
     time_axis = TimeAxis(name, result.length_us, result.happened)
-    for one in terms.PICTURES:
-        drawn = {key: result.series[key] for key in one.series if key in result.series}
-        shown = {terms.title(key): series for key, series in drawn.items()}
-        draw = plots.stacked if one.stacked else plots.lines
-        yield one.name, Markup(draw(time_axis, one.name, shown, one.unit, one.top))
+    for picture in terms.PICTURES:
+        series = {key: result.series[key] for key in picture.series if key in result.series}
+        titled = {terms.title(key): values for key, values in series.items()}
+        plot = plots.plot_stacked if picture.stacked else plots.plot_lines
+        yield picture.name, Markup(plot(time_axis, picture.name, titled, picture.unit, picture.top))
     loads = server_loads(result.server_load)
-    yield "heat", Markup(plots.heat(time_axis, loads))
-    yield "worst", Markup(plots.worst(time_axis, loads))
-    yield "percentiles", Markup(plots.percentiles(time_axis, result.set_up))
-    yield "happened", Markup(plots.time_line(time_axis))
-    in_pictures = {key for one in terms.PICTURES for key in one.series}
+    yield "heat", Markup(plots.plot_heat_map(time_axis, loads))
+    yield "worst", Markup(plots.plot_worst_servers(time_axis, loads))
+    yield "percentiles", Markup(plots.plot_quantiles(time_axis, result.set_up))
+    yield "happened", Markup(plots.plot_time_line(time_axis))
+    in_pictures = {key for picture in terms.PICTURES for key in picture.series}
     others = [key for key in result.series if key not in in_pictures]
     yield (
         "others",
         Markup("").join(
             Markup(
-                plots.lines(time_axis, f"other{n}", {terms.title(key): result.series[key]}, terms.unit(key))
+                plots.plot_lines(
+                    time_axis, f"other{n}", {terms.title(key): result.series[key]}, terms.unit(key)
+                )
             )
             for n, key in enumerate(others[:MAX_OTHER_PLOTS])
         ),
     )
 
 
-def spreads(groups: Sequence[Group], names: Sequence[str]) -> Iterator[tuple[str, Markup]]:
+def spread_plots(groups: Sequence[Group], names: Sequence[str]) -> Iterator[tuple[str, Markup]]:
     """Yields the title and the spread plot of each figure, or nothing if there is only one group."""
     for n, name in enumerate(names if len(groups) > 1 else ()):
         values = {group.name: group.figures[name].values for group in groups if name in group.figures}
         yield (
             terms.title(name),
-            Markup(plots.spread(f"spread{n}", terms.title(name), terms.unit(name), values)),
+            Markup(plots.plot_spread(f"spread{n}", terms.title(name), terms.unit(name), values)),
         )
 
 
-def forests(pairs: Sequence[Difference], names: Sequence[str]) -> Iterator[tuple[str, Markup]]:
+def forest_plots(pairs: Sequence[Difference], names: Sequence[str]) -> Iterator[tuple[str, Markup]]:
     """Yields the title and the forest plot of each figure that has a difference with an interval."""
     for n, name in enumerate(names):
         drawn = {
@@ -159,7 +168,7 @@
             yield (
                 terms.title(name),
                 Markup(
-                    plots.forest(
+                    plots.plot_forest(
                         f"forest{n}",
                         terms.title(name),
                         terms.unit(name),
--- a/glenfold_lab/reports/plots.py
+++ b/glenfold_lab/reports/plots.py
@@ -54,71 +54,73 @@
                 axes.axvspan(since, until, facecolor=COLOURS["shade"], alpha=0.22, linewidth=0)
 
 
-def lines(
+def plot_lines(
     time_axis: TimeAxis, name: str, series: Mapping[str, Series], unit: str, top: float | None = None
 ) -> str:
     """Plots series over time, by label. `top` is the maximum of the unit, if it has one."""
-    drawn = {shown: downsample(one) for shown, one in series.items() if one.values}
-    if not drawn:
+    curves = {title: downsample(curve) for title, curve in series.items() if curve.values}
+    if not curves:
         return ""
     with Drawing(f"{time_axis.name}-{name}", 2.5) as drawing:
         axes = drawing.axes()
-        alone = short_label(next(iter(drawn))) if len(drawn) == 1 else ""
-        time_axis.set_up_axes(axes, ", ".join(filter(None, (alone, unit))))
-        for n, (shown, one) in enumerate(drawn.items()):
-            _steps(
+        single_label = short_label(next(iter(curves))) if len(curves) == 1 else ""
+        time_axis.set_up_axes(axes, ", ".join(filter(None, (single_label, unit))))
+        for n, (title, curve) in enumerate(curves.items()):
+            _plot_steps(
                 axes,
-                one.step_us,
-                one.values,
-                label=short_label(shown),
+                curve.step_us,
+                curve.values,
+                label=short_label(title),
                 linestyle="-" if n < LINE_COLOURS else "--",
             )
         axes.set_ylim(0.0, top and top * 1.02)
-        _thousands(axes)
-        if len(drawn) > 1:
-            _legend(drawing)
-        return drawing.svg(f"{', '.join(drawn)} over time")
+        _format_thousands(axes)
+        if len(curves) > 1:
+            _add_legend(drawing)
+        return drawing.svg(f"{', '.join(curves)} over time")
 
 
-def stacked(
+def plot_stacked(
     time_axis: TimeAxis, name: str, series: Mapping[str, Series], unit: str, top: float | None = None
 ) -> str:
     """Plots series over time as stacked areas, in their order."""
-    drawn = {shown: downsample(one) for shown, one in series.items() if one.values}
-    if not drawn:
+    curves = {title: downsample(curve) for title, curve in series.items() if curve.values}
+    if not curves:
         return ""
     with Drawing(f"{time_axis.name}-{name}", 2.5) as drawing:
         axes = drawing.axes()
         time_axis.set_up_axes(axes, unit)
-        longest = max(drawn.values(), key=lambda one: len(one.values))
-        heights = [np.interp(_ends(longest), _ends(one), one.values) for one in drawn.values()]
+        longest = max(curves.values(), key=lambda curve: len(curve.values))
+        heights = [
+            np.interp(_step_ends_s(longest), _step_ends_s(curve), curve.values) for curve in curves.values()
+        ]
         axes.stackplot(
-            _ends(longest),
+            _step_ends_s(longest),
             heights,
             step="pre",
-            labels=[short_label(shown) for shown in drawn],
-            colors=[COLOURS[f"line{n % LINE_COLOURS}"] for n in range(len(drawn))],
+            labels=[short_label(title) for title in curves],
+            colors=[COLOURS[f"line{n % LINE_COLOURS}"] for n in range(len(curves))],
             alpha=0.85,
         )
         axes.set_ylim(0.0, top)
-        _thousands(axes)
-        _legend(drawing)
-        return drawing.svg(f"{', '.join(drawn)} over time, on top of each other")
+        _format_thousands(axes)
+        _add_legend(drawing)
+        return drawing.svg(f"{', '.join(curves)} over time, on top of each other")
 
 
-def heat(time_axis: TimeAxis, loads: ServerLoads) -> str:
+def plot_heat_map(time_axis: TimeAxis, loads: ServerLoads) -> str:
     """Plots a heat map of each server's load divided by its limit at that time.
 
     With many servers, a row shows the maximum of neighbouring servers.
     """
     if not loads.names:
         return ""
-    shown = block_maxima(loads.values)
-    with Drawing(f"{time_axis.name}-heat", 2.1 + 2.4 * min(1.0, len(shown) / MAX_HEAT_ROWS)) as drawing:
+    image_rows = block_maxima(loads.values)
+    with Drawing(f"{time_axis.name}-heat", 2.1 + 2.4 * min(1.0, len(image_rows) / MAX_HEAT_ROWS)) as drawing:
         axes = drawing.axes()
         span_s = loads.values.shape[1] * loads.step_us / 1e6
         image = axes.imshow(
-            shown,
+            image_rows,
             cmap=LOAD_COLORMAP,
             vmin=0.0,
             vmax=MAX_HEAT_LOAD,
@@ -131,15 +133,15 @@
         axes.set_xlabel("time, s")
         axes.set_ylabel("servers, worst first")
         axes.yaxis.set_major_locator(MaxNLocator(nbins=6, integer=True, min_n_ticks=1))
-        bar = drawing.figure.colorbar(
+        color_bar = drawing.figure.colorbar(
             image, ax=axes, extend="max", location="top", shrink=0.5, aspect=40, anchor=(1.0, 0.0), pad=0.02
         )
-        bar.set_label("load, of the limit", labelpad=4)
-        bar.outline.set_visible(False)
+        color_bar.set_label("load, of the limit", labelpad=4)
+        color_bar.outline.set_visible(False)
         return drawing.svg("load of each server against its limit over time")
 
 
-def worst(time_axis: TimeAxis, loads: ServerLoads) -> str:
+def plot_worst_servers(time_axis: TimeAxis, loads: ServerLoads) -> str:
     """Plots the servers that were over their limit for longest, and the limit.
 
     Dashed lines show the percentiles over all servers if the result has them, else the median of its servers.
@@ -150,10 +152,10 @@
         axes = drawing.axes()
         time_axis.set_up_axes(axes, "load, of the limit")
         for name, values in zip(loads.names[:MAX_WORST_SERVERS], loads.values, strict=False):
-            _row(axes, loads, values, label=short_label(name), linewidth=1.2)
+            _plot_row(axes, loads, values, label=short_label(name), linewidth=1.2)
         of_all = loads.percentiles or (("median of all", np.nanmedian(loads.values, axis=0)),)
         for n, (name, values) in enumerate(of_all):
-            _row(
+            _plot_row(
                 axes,
                 loads,
                 values,
@@ -164,26 +166,30 @@
             )
         axes.axhline(1.0, color=COLOURS["bad"], linewidth=1.6, label="limit")
         axes.set_ylim(bottom=0.0)
-        _legend(drawing)
+        _add_legend(drawing)
         return drawing.svg("load of the worst servers against the limit over time")
 
 
-def percentiles(time_axis: TimeAxis, set_up: Mapping[str, Distribution]) -> str:
+def plot_quantiles(time_axis: TimeAxis, set_up: Mapping[str, Distribution]) -> str:
     """Plots the quantiles of the set-up latencies by class, for the slowest classes."""
     slowest_first = sorted(
-        ((name, one) for name, one in set_up.items() if one.count and one.quantiles),
+        (
+            (name, distribution)
+            for name, distribution in set_up.items()
+            if distribution.count and distribution.quantiles
+        ),
         key=lambda pair: (-max(pair[1].quantiles.values()), pair[0]),
     )[:LINE_COLOURS]
     if not slowest_first:
         return ""
-    marks = sorted({mark for _, one in slowest_first for mark in one.quantiles}, key=float)
+    marks = sorted({mark for _, distribution in slowest_first for mark in distribution.quantiles}, key=float)
     with Drawing(f"{time_axis.name}-percentiles", 2.6) as drawing:
         axes = drawing.axes()
-        for name, one in slowest_first:
-            positions = [position for position, mark in enumerate(marks) if mark in one.quantiles]
+        for name, distribution in slowest_first:
+            positions = [position for position, mark in enumerate(marks) if mark in distribution.quantiles]
             axes.plot(
                 positions,
-                [max(one.quantiles[marks[position]], 1) / 1e3 for position in positions],
+                [max(distribution.quantiles[marks[position]], 1) / 1e3 for position in positions],
                 marker="o",
                 markersize=4,
                 label=short_label(name),
@@ -191,15 +197,15 @@
         axes.set_yscale("log")
         axes.yaxis.set_major_locator(LogLocator(subs=(1.0, 2.0, 5.0)))
         axes.yaxis.set_minor_locator(NullLocator())
-        _thousands(axes)
+        _format_thousands(axes)
         axes.set_ylabel("set-up, ms (log.)")
         axes.set_xlabel("share of set-ups that took no longer, %")
         axes.set_xticks(range(len(marks)), marks)
-        _legend(drawing)
+        _add_legend(drawing)
         return drawing.svg("set-up latency by share of set-ups")
 
 
-def time_line(time_axis: TimeAxis) -> str:
+def plot_time_line(time_axis: TimeAxis) -> str:
     """Plots a time line with a row for each kind of event, in the order of first occurrence."""
     events = sorted(time_axis.happened, key=lambda event: event.at_us)
     rows = list(dict.fromkeys(event.what for event in events))[:MAX_EVENTS]
@@ -226,7 +232,7 @@
         return drawing.svg("what failed when")
 
 
-def spread(name: str, title: str, unit: str, groups: Mapping[str, Sequence[float]]) -> str:
+def plot_spread(name: str, title: str, unit: str, groups: Mapping[str, Sequence[float]]) -> str:
     """Plots one figure by group, with a dot for each seed and a bar at the mean."""
     with Drawing(name, 0.8 + 0.26 * len(groups)) as drawing:
         axes = drawing.axes()
@@ -254,17 +260,17 @@
         return drawing.svg(f"{title} by group, a dot for each seed")
 
 
-def _ends(series: Series) -> Values:
+def _step_ends_s(series: Series) -> Values:
     """Returns the end of each step, in seconds."""
     return np.arange(1, len(series.values) + 1, dtype=np.float64) * (series.step_us / 1e6)
 
 
-def _row(axes: Axes, loads: ServerLoads, values: Values, **style: object) -> None:
+def _plot_row(axes: Axes, loads: ServerLoads, values: Values, **style: object) -> None:
     shown = block_maxima(values[np.newaxis], steps=MAX_POINTS)[0]
-    _steps(axes, loads.step_us * -(-len(values) // len(shown)), shown, **style)
+    _plot_steps(axes, loads.step_us * -(-len(values) // len(shown)), shown, **style)
 
 
-def forest(name: str, title: str, unit: str, pairs: Mapping[str, tuple[float, float, float]]) -> str:
+def plot_forest(name: str, title: str, unit: str, pairs: Mapping[str, tuple[float, float, float]]) -> str:
     """Plots each mean difference with its interval, and a line at zero.
 
     `pairs` maps a label to the mean and the lower and upper end of the interval.
@@ -282,17 +288,17 @@
         return drawing.svg(f"differences of {title} with their intervals")
 
 
-def _steps(axes: Axes, step_us: int, values: Sequence[float] | Values, **style: object) -> None:
+def _plot_steps(axes: Axes, step_us: int, values: Sequence[float] | Values, **style: object) -> None:
     edges = np.arange(len(values) + 1, dtype=np.float64) * (step_us / 1e6)
     axes.plot(edges, [values[0], *values], drawstyle="steps-pre", **style)  # type: ignore[arg-type]
 
 
-def _legend(drawing: Drawing) -> None:
+def _add_legend(drawing: Drawing) -> None:
     drawing.figure.legend(
         loc="outside upper left", ncols=4, borderaxespad=0.2, handlelength=1.4, columnspacing=1.2
     )
 
 
-def _thousands(axes: Axes) -> None:
-    shown: Callable[[float, object], str] = lambda value, _: f"{value:,.10g}"  # noqa: E731
-    axes.yaxis.set_major_formatter(FuncFormatter(shown))
+def _format_thousands(axes: Axes) -> None:
+    format_value: Callable[[float, object], str] = lambda value, _: f"{value:,.10g}"  # noqa: E731
+    axes.yaxis.set_major_formatter(FuncFormatter(format_value))
--- a/glenfold_lab/reports/read.py
+++ b/glenfold_lab/reports/read.py
@@ -119,33 +119,37 @@
 
     Raises BadFile, which names the file, the location in it and the reason, if a file can't be read.
     """
-    found = ReportInput([], [])
+    contents = ReportInput([], [])
     for path in paths:
         try:
             with path.open("rb") as file:
-                kept = file.read(len(store.MAGIC)) == store.MAGIC
-            _read_store(str(path), found) if kept else _read_json(str(path), path.read_bytes(), found)
+                is_store = file.read(len(store.MAGIC)) == store.MAGIC
+            _read_store(str(path), contents) if is_store else _read_json(
+                str(path), path.read_bytes(), contents
+            )
         except OSError as error:
             raise BadFile(str(path), f"can't be read: {error.strerror}") from error
-    return found
+    return contents
 
 
-def _read_store(file: str, found: ReportInput) -> None:
+def _read_store(file: str, contents: ReportInput) -> None:
     """Reads the file that an experiment appends to. It has no pairs, because only the plan defines them."""
-    with closing(store.look(file)) as kept:
-        outcomes = list(kept.outcomes(_Outcome))
+    with closing(store.look(file)) as result_store:
+        outcomes = list(result_store.outcomes(_Outcome))
     seen = set()
-    for one in outcomes:
-        if one.failed is None:
-            history = _stored_history(file, f"cell {one.cell}", one.result)
+    for outcome in outcomes:
+        if outcome.failed is None:
+            history = _stored_history(file, f"cell {outcome.cell}", outcome.result)
             if history.identity not in seen:  # Repeats of a cell have identical results.
-                found.histories.append(history)
+                contents.histories.append(history)
             seen.add(history.identity)
-    failed = tuple(f"cell {one.cell}: {one.failed}" for one in outcomes if one.failed is not None)
-    found.experiments.append(Experiment(kept.header.name, kept.header.asks, failed=failed))
+    failed = tuple(
+        f"cell {outcome.cell}: {outcome.failed}" for outcome in outcomes if outcome.failed is not None
+    )
+    contents.experiments.append(Experiment(result_store.header.name, result_store.header.asks, failed=failed))
 
 
-def _read_json(file: str, content: bytes, found: ReportInput) -> None:
+def _read_json(file: str, content: bytes, contents: ReportInput) -> None:
     try:
         parts = _split_documents(content)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -157,9 +161,9 @@
         head = _decode(file, location, part, _Head)
         if head.cells:
             _check_format(file, location, head.format, EXPORT_FORMAT)
-            _read_exported(file, _decode(file, location, part, _Exported), found)
+            _read_exported(file, _decode(file, location, part, _Exported), contents)
         else:
-            found.histories.append(_stored_history(file, location, part))
+            contents.histories.append(_stored_history(file, location, part))
 
 
 def _split_documents(content: bytes) -> list[msgspec.Raw]:
@@ -172,16 +176,16 @@
         return parts
 
 
-def _read_exported(file: str, exported: _Exported, found: ReportInput) -> None:
+def _read_exported(file: str, exported: _Exported, contents: ReportInput) -> None:
     for number, cell in enumerate(exported.cells):
         if cell.failed is None and cell.repeat == 0:
-            found.histories.append(_stored_history(file, f"cell {number}", cell.result))
+            contents.histories.append(_stored_history(file, f"cell {number}", cell.result))
     failed = tuple(
         f"{cell.scenario}, seed {cell.seed}, {cell.revision}: {cell.failed}"
         for cell in exported.cells
         if cell.failed is not None
     )
-    found.experiments.append(Experiment(exported.name, exported.asks, exported.differences, failed))
+    contents.experiments.append(Experiment(exported.name, exported.asks, exported.differences, failed))
 
 
 def _stored_history(file: str, location: str, content: msgspec.Raw) -> StoredHistory:
@@ -189,9 +193,9 @@
     return StoredHistory(file, location, _decode(file, location, content, Short), content)
 
 
-def _check_format(file: str, location: str, found: int, wanted: int) -> None:
-    if found != wanted:
-        raise BadFile(file, f"{location}: format {found}; this program reads format {wanted} only")
+def _check_format(file: str, location: str, actual: int, expected: int) -> None:
+    if actual != expected:
+        raise BadFile(file, f"{location}: format {actual}; this program reads format {expected} only")
 
 
 def _decode(file: str, location: str, content: msgspec.Raw, kind: type[T]) -> T:
--- a/glenfold_lab/reports/summary.py
+++ b/glenfold_lab/reports/summary.py
@@ -91,14 +91,16 @@
     format: int = FORMAT
 
 
-def select_histories(found: Sequence[StoredHistory]) -> list[RunResult]:
+def select_histories(histories: Sequence[StoredHistory]) -> list[RunResult]:
     """Returns the full results of the histories that get a section, in the order of `found`.
 
     If there are too many, the histories with the most broken rules come first, then the ones with the least
     service. Raises BadFile if one of these results is invalid.
     """
-    chosen = sorted(range(len(found)), key=lambda n: _priority(found[n].short))[:MAX_HISTORIES]
-    return [found[n].read_full() for n in sorted(chosen)]
+    chosen = sorted(range(len(histories)), key=lambda index: _priority(histories[index].short))[
+        :MAX_HISTORIES
+    ]
+    return [histories[index].read_full() for index in sorted(chosen)]
 
 
 def _priority(short: Short) -> tuple[float, float]:
@@ -110,7 +112,7 @@
     return Report(
         histories=tuple(_history(f"h{n}", result) for n, result in enumerate(results, start=1)),
         histories_left_out=len(report_input.histories) - len(results),
-        groups=tuple(_groups([one.short for one in report_input.histories])),
+        groups=tuple(_groups([history.short for history in report_input.histories])),
         experiments=tuple(report_input.experiments),
     )
 
@@ -118,7 +120,7 @@
 def _history(name: str, result: RunResult) -> History:
     loads = server_loads(result.server_load)
     happened = sorted(result.happened, key=lambda event: event.at_us)
-    shown = _interleave_by_rule(result.verdicts)[:MAX_VERDICTS]
+    verdicts = _interleave_by_rule(result.verdicts)[:MAX_VERDICTS]
     return History(
         name=name,
         scenario=result.scenario,
@@ -135,9 +137,9 @@
         all_servers=not loads.percentiles,
         worst_servers=_worst_servers(loads),
         broken=dict.fromkeys(RULES, 0) | Counter(verdict.rule for verdict in result.verdicts),
-        verdicts=tuple(sorted(shown, key=lambda verdict: verdict.at_us)),
-        verdicts_left_out=len(result.verdicts) + result.verdicts_left_out - len(shown),
-        hosts=_verdict_hosts(shown, result.server_load),
+        verdicts=tuple(sorted(verdicts, key=lambda verdict: verdict.at_us)),
+        verdicts_left_out=len(result.verdicts) + result.verdicts_left_out - len(verdicts),
+        hosts=_verdict_hosts(verdicts, result.server_load),
         happened=tuple(happened[:MAX_EVENTS]),
         happened_left_out=len(happened[MAX_EVENTS:]),
         cost=result.cost,
@@ -149,17 +151,17 @@
 
     When the list is cut, a rule with many verdicts must not hide another rule.
     """
-    seen: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     numbered = []
     for verdict in sorted(verdicts, key=lambda verdict: verdict.at_us):
-        seen[verdict.rule] += 1
-        numbered.append((seen[verdict.rule], verdict))
+        counts[verdict.rule] += 1
+        numbered.append((counts[verdict.rule], verdict))
     return [verdict for _, verdict in sorted(numbered, key=lambda pair: pair[0])]
 
 
-def _verdict_hosts(verdicts: Iterable[Verdict], named: Iterable[str]) -> dict[str, str]:
+def _verdict_hosts(verdicts: Iterable[Verdict], hosts: Iterable[str]) -> dict[str, str]:
     servers = {verdict.server for verdict in verdicts}
-    return {str(server_number(host)): host for host in named if server_number(host) in servers}
+    return {str(server_number(host)): host for host in hosts if server_number(host) in servers}
 
 
 def _worst_servers(loads: ServerLoads) -> tuple[ServerLoad, ...]:
@@ -169,12 +171,12 @@
     )
 
 
-def _groups(found: Iterable[Short]) -> Iterator[Group]:
-    together: dict[tuple[object, ...], list[Short]] = defaultdict(list)
-    for one in found:
-        together[one.scenario, one.revision, *sorted(one.factors.items())].append(one)
-    several_revisions = len({members[0].revision for members in together.values()}) > 1
-    for members in together.values():
+def _groups(histories: Iterable[Short]) -> Iterator[Group]:
+    members_by_key: dict[tuple[object, ...], list[Short]] = defaultdict(list)
+    for history in histories:
+        members_by_key[history.scenario, history.revision, *sorted(history.factors.items())].append(history)
+    several_revisions = len({members[0].revision for members in members_by_key.values()}) > 1
+    for members in members_by_key.values():
         first = members[0]
         names = [first.scenario, *(f"{key} {value}" for key, value in sorted(first.factors.items()))]
         if several_revisions:
@@ -184,11 +186,11 @@
             scenario=first.scenario,
             revision=first.revision,
             factors=first.factors,
-            seeds=tuple(one.seed for one in members),
-            rules_broken=sum(one.rules_broken for one in members),
+            seeds=tuple(history.seed for history in members),
+            rules_broken=sum(history.rules_broken for history in members),
             figures={
-                name: _spread([one.figures[name] for one in members if name in one.figures])
-                for name in dict.fromkeys(name for one in members for name in one.figures)
+                name: _spread([history.figures[name] for history in members if name in history.figures])
+                for name in dict.fromkeys(name for history in members for name in history.figures)
             },
         )
 
--- a/glenfold_lab/reports/thin.py
+++ b/glenfold_lab/reports/thin.py
@@ -51,16 +51,22 @@
 
 def server_loads(by_server: Mapping[str, Series]) -> ServerLoads:
     """Resamples all series to the longest step among them. The value of a step is the maximum within it."""
-    series = {name: one for name, one in by_server.items() if one.values}
-    step_us = max((one.step_us for one in series.values()), default=1)
-    steps = max((-(-len(one.values) * one.step_us // step_us) for one in series.values()), default=0)
-    rows = {name: _resampled(one, step_us, steps) for name, one in series.items()}
+    series = {name: server_series for name, server_series in by_server.items() if server_series.values}
+    step_us = max((server_series.step_us for server_series in series.values()), default=1)
+    steps = max(
+        (
+            -(-len(server_series.values) * server_series.step_us // step_us)
+            for server_series in series.values()
+        ),
+        default=0,
+    )
+    rows = {name: _resampled(server_series, step_us, steps) for name, server_series in series.items()}
     percentiles = tuple((series[name].label, rows.pop(name)) for name in list(rows) if PERCENTILE.match(name))
     values = np.array(list(rows.values())).reshape(len(rows), steps)
-    shown = [_display_name(name, series[name].label) for name in rows]
+    names = [_display_name(name, series[name].label) for name in rows]
     peaks, over = values.max(axis=1, where=~np.isnan(values), initial=0.0), np.sum(values > 1.0, axis=1)
-    order = sorted(range(len(shown)), key=lambda n: (-over[n], -peaks[n], shown[n]))
-    return ServerLoads(step_us, tuple(shown[n] for n in order), values[order], percentiles)
+    order = sorted(range(len(names)), key=lambda n: (-over[n], -peaks[n], names[n]))
+    return ServerLoads(step_us, tuple(names[n] for n in order), values[order], percentiles)
 
 
 def _display_name(name: str, label: str) -> str:
