--- a/glenfold_lab/commands/demo.py
+++ b/glenfold_lab/commands/demo.py
@@ -13,14 +13,14 @@
 from glenfold_lab.stand_ins.remote_part import PartFailed
 from glenfold_lab.stand_ins.run import play_on_sockets, shortened
 
-DAY = Path(__file__).with_name("demo.toml")
-SHORTEST_S = 5.0
+SCENARIO_FILE = Path(__file__).with_name("demo.toml")
+MIN_LENGTH_S = 5.0
 
 
 @click.command("demo")
 @click.option(
     "--seconds",
-    type=click.FloatRange(SHORTEST_S, 3600),
+    type=click.FloatRange(MIN_LENGTH_S, 3600),
     default=20.0,
     show_default=True,
     help="How long it goes; faults come in proportion.",
@@ -46,16 +46,16 @@
 
     Exit status: 0 every rule was kept, 1 one was broken or the demo could not run, 2 the words are at fault.
     """
-    day, console = shortened(scenario.load(str(DAY)), seconds), Console(highlight=False)
-    servers, relays = day.servers.count, day.relays.count
+    demo_scenario, console = shortened(scenario.load(str(SCENARIO_FILE)), seconds), Console(highlight=False)
+    servers, relays = demo_scenario.servers.count, demo_scenario.relays.count
     console.print(f"Starting {relays} relays, stand-ins for {servers} push servers, and clients ...")
     try:
-        with live.live_display(console, live.notes_by_second(day)) as show:
-            result = play_on_sockets(day, seed, on_second=show)
+        with live.live_display(console, live.notes_by_second(demo_scenario)) as show:
+            result = play_on_sockets(demo_scenario, seed, on_second=show)
     except (NotReady, PartFailed, TooLarge) as error:
         raise click.ClickException(str(error)) from error
-    for words in live.outcome_lines(result):
-        console.print(words, soft_wrap=True, markup=False)
+    for line in live.outcome_lines(result):
+        console.print(line, soft_wrap=True, markup=False)
     if json_file is not None:
         json_file.write_bytes(msgspec.json.encode(result) + b"\n")
     raise SystemExit(1 if result.figures["rules_broken"] else 0)
--- a/glenfold_lab/commands/experiment.py
+++ b/glenfold_lab/commands/experiment.py
@@ -18,9 +18,9 @@
 from glenfold_lab.experiments.plan import Cell, Plan, load
 from glenfold_lab.experiments.store import Header, Short, Store, go_on
 
-WIDE = 240  # columns of tables that go to a file or a pipe
-SHOWN = 10  # failed cells that are told one by one
-BROKEN_OFF = 130
+PIPE_WIDTH = 240  # columns of tables that go to a file or a pipe
+MAX_CELLS_SHOWN = 10  # failed cells that are told one by one
+INTERRUPTED_STATUS = 130
 
 
 @click.command("experiment")
@@ -50,13 +50,13 @@
     if json_out is not None and not Path(json_out).parent.is_dir():
         raise BadFile(json_out, "there is no such folder")
     with closing(go_on(out, Header(plan.name, plan.asks, plan.size, plan.identity()))) as store:
-        left = _left(plan, store)
-        _tell_state(plan, store, left)
-        play(plan, store, left, workers)
-        raise SystemExit(tell(plan, store, json_out))
+        remaining = _remaining_cells(plan, store)
+        _report_state(plan, store, remaining)
+        play(plan, store, remaining, workers)
+        raise SystemExit(report_results(plan, store, json_out))
 
 
-def _left(plan: Plan, store: Store) -> list[Cell]:
+def _remaining_cells(plan: Plan, store: Store) -> list[Cell]:
     """Cells that failed are tried again: memory may have run out, or a worker been killed."""
     return [
         cell
@@ -65,44 +65,46 @@
     ]
 
 
-def _tell_state(plan: Plan, store: Store, left: Sequence[Cell]) -> None:
+def _report_state(plan: Plan, store: Store, remaining: Sequence[Cell]) -> None:
     if store.cut:
         click.echo(f"{store.path}: the last line was torn; {store.cut} bytes were cut off", err=True)
-    if len(left) < plan.size:
-        click.echo(f"{store.path}: {plan.size - len(left)} of {plan.size} cells were played before", err=True)
+    if len(remaining) < plan.size:
+        click.echo(
+            f"{store.path}: {plan.size - len(remaining)} of {plan.size} cells were played before", err=True
+        )
 
 
-def play(plan: Plan, store: Store, left: Sequence[Cell], workers: int) -> None:
+def play(plan: Plan, store: Store, remaining: Sequence[Cell], workers: int) -> None:
     """With a progress bar, if there is a terminal."""
     columns = (TextColumn("cells"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
     with Progress(*columns, console=Console(stderr=True), disable=not sys.stderr.isatty()) as progress:
-        bar = progress.add_task("cells", total=plan.size, completed=plan.size - len(left))
+        task = progress.add_task("cells", total=plan.size, completed=plan.size - len(remaining))
 
-        def take(record: bytes) -> None:
+        def add_record(record: bytes) -> None:
             store.add(record)
-            progress.advance(bar)
+            progress.advance(task)
 
         try:
-            trio.run(pool.run, plan, left, workers, take)
+            trio.run(pool.run, plan, remaining, workers, add_record)
         except KeyboardInterrupt:
             click.echo(f"broken off; the same command goes on from {store.path}", err=True)
-            raise SystemExit(BROKEN_OFF) from None
+            raise SystemExit(INTERRUPTED_STATUS) from None
 
 
-def tell(plan: Plan, store: Store, json_out: str | None) -> int:
+def report_results(plan: Plan, store: Store, json_out: str | None) -> int:
     """Prints tables, writes the JSON file, and gives the exit status."""
     found = Found(plan, store)
-    compared = list(differences(plan, found.table))
-    console = Console() if sys.stdout.isatty() else Console(width=WIDE)
+    pairs = list(differences(plan, found.table))
+    console = Console() if sys.stdout.isatty() else Console(width=PIPE_WIDTH)
     console.print(figures_grid(plan, found))
-    if compared:
-        console.print(differences_grid(plan, found, compared))
+    if pairs:
+        console.print(differences_grid(plan, found, pairs))
     if json_out is not None:
-        write_json(json_out, plan, store, compared)
-    for cell, error in found.failed[:SHOWN]:
-        click.echo(f"failed: {_name(plan, cell)}: {error}", err=True)
-    for cell in found.unlike[:SHOWN]:
-        click.echo(f"not the same as its first play: {_name(plan, cell)}", err=True)
+        write_json(json_out, plan, store, pairs)
+    for cell, error in found.failed[:MAX_CELLS_SHOWN]:
+        click.echo(f"failed: {_cell_name(plan, cell)}: {error}", err=True)
+    for cell in found.unlike[:MAX_CELLS_SHOWN]:
+        click.echo(f"not the same as its first play: {_cell_name(plan, cell)}", err=True)
     click.echo(
         f"{plan.size - len(found.failed)} of {plan.size} cells played, {len(found.failed)} failed, "
         f"{len(found.unlike)} unlike; rules broken {found.rules_broken} times"
@@ -110,7 +112,7 @@
     return 1 if found.failed or found.unlike or found.rules_broken else 0
 
 
-def _name(plan: Plan, cell: Cell) -> str:
+def _cell_name(plan: Plan, cell: Cell) -> str:
     variant = plan.variants[cell.variant]
     levels = "".join(f", {name} = {level}" for name, level in variant.levels.items())
     revision = plan.decisions[cell.revision].name
--- a/glenfold_lab/commands/load.py
+++ b/glenfold_lab/commands/load.py
@@ -27,12 +27,12 @@
 from glenfold_lab.load.result import ENDED_EARLY, LoadResult, summarize, window_us
 from glenfold_lab.results import Distribution
 
-INTERRUPTED = 130  # as shells have it for SIGINT
+INTERRUPTED_STATUS = 130  # as shells have it for SIGINT
 QUANTILES = ("50", "90", "99", "99.9", "100")
-RECONNECT = re.compile(r"(\d+)@(\d+(?:\.\d+)?)(?:/(\d+(?:\.\d+)?))?")
-KIND = ("name", "wait_ms", "life_s", "line_gap_ms")  # options that are keys of a class
+RECONNECT_PATTERN = re.compile(r"(\d+)@(\d+(?:\.\d+)?)(?:/(\d+(?:\.\d+)?))?")
+CLASS_OPTIONS = ("name", "wait_ms", "life_s", "line_gap_ms")  # options that are keys of a class
 # Which option says what stands under a key of a plan, or a part of one.
-OPTIONS = {
+OPTION_BY_KEY = {
     "reconnects": "--reconnect",
     "schemes": "--scheme",
     "rate": "--rate",
@@ -46,45 +46,49 @@
 }
 
 
-def _in_a_folder(_: click.Context, __: click.Parameter, out: str | None) -> str | None:
+def _check_folder(_: click.Context, __: click.Parameter, out: str | None) -> str | None:
     """Known before the load, not after it."""
     if out is not None and out != "-" and not os.access(Path(out).parent, os.W_OK):
         raise click.BadParameter(f"no file can be written in {Path(out).parent}")
     return out
 
 
-class Number(click.ParamType[float]):
+class NumberOption(click.ParamType[float]):
     """A finite number, at least or above `least`."""
 
     name = "number"
 
-    def __init__(self, least: float = 0.0, closed: bool = True) -> None:
-        self._least, self._closed = least, closed
+    def __init__(self, min_value: float = 0.0, inclusive: bool = True) -> None:
+        self._min_value, self._inclusive = min_value, inclusive
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
         try:
             number = float(value)
         except ValueError:
             number = math.nan
-        if not math.isfinite(number) or number < self._least or (number == self._least and not self._closed):
-            bound = "at least" if self._closed else "above"
-            self.fail(f"{value!r} is not a number {bound} {self._least:g}", param, ctx)
+        if (
+            not math.isfinite(number)
+            or number < self._min_value
+            or (number == self._min_value and not self._inclusive)
+        ):
+            bound = "at least" if self._inclusive else "above"
+            self.fail(f"{value!r} is not a number {bound} {self._min_value:g}", param, ctx)
         return number
 
 
-class Target(click.ParamType[Address]):
+class TargetOption(click.ParamType[Address]):
     name = "HOST:PORT"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
         """Looked up once: for each connection anew, it would be a part of what is measured."""
         try:
             host, port = read_address(value)
-            found = socket.getaddrinfo(host, port, socket.AF_INET, socket.SOCK_STREAM)
+            addresses = socket.getaddrinfo(host, port, socket.AF_INET, socket.SOCK_STREAM)
         except ValueError as error:
             self.fail(str(error), param, ctx)
         except OSError as error:
             self.fail(f"{value!r} has no IPv4 address: {error}", param, ctx)
-        return str(found[0][4][0]), port
+        return str(addresses[0][4][0]), port
 
 
 class ReconnectOption(click.ParamType[terms.Reconnect]):
@@ -93,25 +97,27 @@
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
     ) -> terms.Reconnect:
-        match = RECONNECT.fullmatch(value)
+        match = RECONNECT_PATTERN.fullmatch(value)
         if match is None:
             self.fail(f"{value!r} is not CLIENTS@SECONDS[/WITHIN], as 2000@15/1.5", param, ctx)
         clients, at_s, within_s = match.groups()
         return terms.Reconnect(clients=int(clients), at_s=float(at_s), within_s=float(within_s or 0))
 
 
-POSITIVE = Number(closed=False)
+POSITIVE = NumberOption(inclusive=False)
 
 
 @click.command("load")
-@click.option("--to", "targets", type=Target(), multiple=True, help="A relay; once for each.")
+@click.option("--to", "targets", type=TargetOption(), multiple=True, help="A relay; once for each.")
 @click.option("--self-test", is_flag=True, help="Instead of --to: against stand-ins that only echo.")
 @click.option(
     "--plan", "file", type=click.Path(path_type=Path), help="A TOML plan, instead of --rate and its like."
 )
 @click.option("--rate", type=POSITIVE, help="New connections a second.")
 @click.option("--for", "for_s", type=POSITIVE, help="Seconds for which clients come.")
-@click.option("--ramp", "ramp_s", type=Number(), help="Seconds of these over which the rate rises from 0.")
+@click.option(
+    "--ramp", "ramp_s", type=NumberOption(), help="Seconds of these over which the rate rises from 0."
+)
 @click.option("--poisson", is_flag=True, help="Starts at random, not evenly apart.")
 @click.option(
     "--reconnect",
@@ -125,7 +131,7 @@
     "--wait-ms", type=click.IntRange(min=1), help="How long a client waits for UP.  [default: 2000]"
 )
 @click.option("--life", "life_s", type=POSITIVE, help="Seconds a client wants to stay.  [default: 10]")
-@click.option("--line-gap-ms", type=Number(), help="Between its lines; 0: none.  [default: 2000]")
+@click.option("--line-gap-ms", type=NumberOption(), help="Between its lines; 0: none.  [default: 2000]")
 @click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True, help="Of the plan.")
 @click.option("--workers", type=click.IntRange(1, 64), default=2, show_default=True, help="Processes.")
 @click.option(
@@ -146,7 +152,7 @@
     "--json",
     "out",
     type=click.Path(dir_okay=False, writable=True, allow_dash=True),
-    callback=_in_a_folder,
+    callback=_check_folder,
     help="Where the result goes as JSON; - for the output, without tables.",
 )
 def command(
@@ -168,23 +174,23 @@
         raise click.UsageError("either --to or --self-test says what the load is put on")
     if len(set(targets)) < len(targets):
         raise click.BadParameter("the same relay comes twice", param_hint="--to")
-    asked = _from_file(file, options) if file else _from_options(options)
-    order = Order(asked, seed, workers, most_open, round(late_ms * 1000), out == "-")
+    load_plan = _from_file(file, options) if file else _from_options(options)
+    request = LoadRequest(load_plan, seed, workers, most_open, round(late_ms * 1000), out == "-")
     try:
-        result = _self_test(order) if self_test else _measure(order, targets)
+        result = _self_test(request) if self_test else _measure(request, targets)
     except worker_pool.LoadFailed as error:
         raise click.ClickException(str(error)) from error
-    _tell(result, out)
+    _write_result(result, out)
     if result.marks:
-        raise SystemExit(INTERRUPTED if result.marks == (ENDED_EARLY,) else 1)
+        raise SystemExit(INTERRUPTED_STATUS if result.marks == (ENDED_EARLY,) else 1)
 
 
 # ---- what is asked for ----
 
 
 def _from_file(file: Path, options: dict[str, Any]) -> terms.LoadPlan:
-    given = [name for name, value in options.items() if value]
-    if given:
+    plan_options = [name for name, value in options.items() if value]
+    if plan_options:
         raise click.UsageError("--plan says all of what --rate and its like say; give either")
     return terms.read(file)
 
@@ -195,7 +201,7 @@
         raise click.UsageError("--rate and --for are needed, or a --plan")
     if ramp_s > for_s:
         raise click.BadParameter("is longer than --for", param_hint="--ramp")
-    kind = {key: options[key] for key in KIND if options[key] is not None}
+    kind = {key: options[key] for key in CLASS_OPTIONS if options[key] is not None}
     document = {
         "format": 1,
         "arrivals": _arrivals(rate, for_s, ramp_s, "poisson" if options["poisson"] else "constant"),
@@ -206,7 +212,7 @@
     try:
         return terms.checked(TomlFile("options", document, {}))
     except BadFile as error:
-        hint = next(option for key, option in OPTIONS.items() if key in error.key)
+        hint = next(option for key, option in OPTION_BY_KEY.items() if key in error.key)
         raise click.BadParameter(error.reason, param_hint=hint) from error
 
 
@@ -220,8 +226,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    asked: terms.LoadPlan
+class LoadRequest:
+    load_plan: terms.LoadPlan
     seed: int
     workers: int
     most_open: int
@@ -229,43 +235,43 @@
     quiet: bool
 
 
-def _self_test(order: Order) -> LoadResult:
+def _self_test(request: LoadRequest) -> LoadResult:
     all_cores = psutil.Process().cpu_affinity()
-    own = {core for cores in worker_pool.cores_for(order.workers) for core in cores}
-    others = [core for core in all_cores if core not in own]
-    with echo.echoes(order.workers, others or all_cores) as targets:
-        return _measure(order, targets)
+    load_cores = {core for cores in worker_pool.cores_for(request.workers) for core in cores}
+    other_cores = [core for core in all_cores if core not in load_cores]
+    with echo.echoes(request.workers, other_cores or all_cores) as targets:
+        return _measure(request, targets)
 
 
-def _measure(order: Order, targets: Sequence[Address]) -> LoadResult:
-    clients = plan.draw(order.asked, order.seed, len(targets))
-    length_us = plan.length_us(order.asked)
-    offer = Offer(order.asked, targets, order.most_open, window_us(length_us))
-    with _told_to_stop() as stopped, _progress(length_us / plan.SECOND_US, order.quiet) as show:
+def _measure(request: LoadRequest, targets: Sequence[Address]) -> LoadResult:
+    clients = plan.draw(request.load_plan, request.seed, len(targets))
+    length_us = plan.length_us(request.load_plan)
+    offer = Offer(request.load_plan, targets, request.most_open, window_us(length_us))
+    with _stop_on_signals() as stopped, _progress(length_us / plan.SECOND_US, request.quiet) as show:
 
-        def look() -> bool:
+        def check() -> bool:
             show()
             return stopped()
 
-        reports = worker_pool.offer_all(offer, clients, order.workers, look)
-        return summarize(order.seed, offer, clients, length_us, reports, order.late_us, stopped())
+        reports = worker_pool.offer_all(offer, clients, request.workers, check)
+        return summarize(request.seed, offer, clients, length_us, reports, request.late_us, stopped())
 
 
 @contextmanager
-def _told_to_stop() -> Iterator[Callable[[], bool]]:
+def _stop_on_signals() -> Iterator[Callable[[], bool]]:
     """SIGINT and SIGTERM end the load early, with what it measured so far; twice ends it at once."""
-    heard: list[int] = []
+    received: list[int] = []
 
-    def hear(number: int, _: FrameType | None) -> None:
-        heard.append(number)
-        if len(heard) > 1:
+    def handle(number: int, _: FrameType | None) -> None:
+        received.append(number)
+        if len(received) > 1:
             raise KeyboardInterrupt
 
-    before = {number: signal.signal(number, hear) for number in (signal.SIGINT, signal.SIGTERM)}
+    previous = {number: signal.signal(number, handle) for number in (signal.SIGINT, signal.SIGTERM)}
     try:
-        yield lambda: bool(heard)
+        yield lambda: bool(received)
     finally:
-        for number, handler in before.items():
+        for number, handler in previous.items():
             signal.signal(number, handler)
 
 
@@ -274,14 +280,14 @@
     console = Console(stderr=True)
     columns = (TextColumn("load"), BarColumn(), TimeRemainingColumn())
     with Progress(*columns, console=console, transient=True, disable=quiet or not console.is_terminal) as bar:
-        task, began = bar.add_task("load", total=length_s), time.monotonic()
-        yield lambda: bar.update(task, completed=time.monotonic() - began)
+        task, started_at = bar.add_task("load", total=length_s), time.monotonic()
+        yield lambda: bar.update(task, completed=time.monotonic() - started_at)
 
 
 # ---- what is told ----
 
 
-def _tell(result: LoadResult, out: str | None) -> None:
+def _write_result(result: LoadResult, out: str | None) -> None:
     if out != "-":
         show(result, Console())
     if out is not None:
@@ -310,7 +316,9 @@
 
 def _row(table: Table, name: str, values: Distribution) -> None:
     if values.count:
-        table.add_row(name, str(values.count), *(f"{values.quantiles[at] / 1000:.1f}" for at in QUANTILES))
+        table.add_row(
+            name, str(values.count), *(f"{values.quantiles[quantile] / 1000:.1f}" for quantile in QUANTILES)
+        )
 
 
 def _windows(result: LoadResult) -> Table:
@@ -321,7 +329,7 @@
             f"{window.from_us / 1e6:g}",
             str(window.started),
             str(up.count),
-            *(f"{up.quantiles[at] / 1000:.1f}" if up.count else "-" for at in ("50", "99")),
+            *(f"{up.quantiles[quantile] / 1000:.1f}" if up.count else "-" for quantile in ("50", "99")),
         )
     return table
 
--- a/glenfold_lab/commands/play.py
+++ b/glenfold_lab/commands/play.py
@@ -14,7 +14,7 @@
 from glenfold_lab.stand_ins.remote_part import PartFailed
 from glenfold_lab.stand_ins.run import Snapshot, play_on_sockets, scaled
 
-SHOWN = (
+SHOWN_FIGURES = (
     "service",
     "worst_window",
     "worst_class",
@@ -27,7 +27,7 @@
     "rules_broken",
     "late_p99_ms",
 )
-MOST_SHOWN = 5  # verdicts
+MAX_VERDICTS_SHOWN = 5  # verdicts
 
 
 @click.command("play")
@@ -71,17 +71,17 @@
 
     Exit status: 0 every rule kept, 1 one was broken or the run failed, 2 the words or the file are at fault.
     """
-    day, console = scaled(scenarios.load(scenario), scale, relays, servers), Console()
-    console.print(columns("second", "relays", "standing", "new", "up", "refused", "p99 ms", "lines"))
+    scaled_scenario, console = scaled(scenarios.load(scenario), scale, relays, servers), Console()
+    console.print(format_columns("second", "relays", "standing", "new", "up", "refused", "p99 ms", "lines"))
     try:
         result = play_on_sockets(
-            day,
+            scaled_scenario,
             seed,
             seconds,
             processes=processes,
             bad_per_s=bad_clients,
             logs=logs,
-            on_second=lambda second: console.print(row(second)),
+            on_second=lambda second: console.print(format_second(second)),
         )
     except (TooLarge, NotReady, PartFailed) as error:
         raise click.ClickException(str(error)) from error
@@ -91,13 +91,13 @@
     raise SystemExit(bool(result.verdicts))
 
 
-def columns(*values: object) -> str:
+def format_columns(*values: object) -> str:
     return "".join(f"{value!s:>10}" for value in values)
 
 
-def row(second: Snapshot) -> str:
+def format_second(second: Snapshot) -> str:
     answers = second.answers
-    return columns(
+    return format_columns(
         second.second + 1,
         second.relays_up,
         second.standing,
@@ -112,7 +112,7 @@
 def show(console: Console, result: RunResult) -> None:
     """The figures, what the relays took, and each broken rule with what shows it."""
     table = Table("figure", "value", title=f"{result.scenario}, seed {result.seed}")
-    for name in SHOWN:
+    for name in SHOWN_FIGURES:
         table.add_row(name, f"{result.figures[name]:.4g}")
     console.print(table)
     if result.figures["late"]:
@@ -121,12 +121,14 @@
         relay = name.removesuffix(" cpu_s")
         cpu_s, peak_mb = result.cost[name], result.cost[f"{relay} peak_mb"]
         console.print(f"{relay}: {cpu_s:.1f} s CPU, at most {peak_mb:.0f} MB")
-    for verdict in result.verdicts[:MOST_SHOWN]:
-        console.print(words(verdict))
-    beyond = len(result.verdicts) - MOST_SHOWN + result.verdicts_left_out
-    console.print(f"and {beyond} more" if beyond > 0 else "" if result.verdicts else "every rule was kept")
+    for verdict in result.verdicts[:MAX_VERDICTS_SHOWN]:
+        console.print(format_verdict(verdict))
+    remaining = len(result.verdicts) - MAX_VERDICTS_SHOWN + result.verdicts_left_out
+    console.print(
+        f"and {remaining} more" if remaining > 0 else "" if result.verdicts else "every rule was kept"
+    )
 
 
-def words(verdict: Verdict) -> str:
+def format_verdict(verdict: Verdict) -> str:
     evidence = "\n".join(f"    {line}" for line in verdict.evidence)
     return f"[red]rule broken[/]: {verdict.rule}, at {verdict.at_us / 1e6:.3f} s\n{evidence}"
--- a/glenfold_lab/commands/run.py
+++ b/glenfold_lab/commands/run.py
@@ -15,7 +15,7 @@
 from glenfold_lab.observe import OBSERVATIONS, Watcher
 from glenfold_lab.results import RunResult, Verdict
 
-FIGURES = (
+SHOWN_FIGURES = (
     "goal",
     "service",
     "worst_window",
@@ -27,10 +27,10 @@
     "moves",
     "servers_fallen",
 )
-SHOWN = 5  # verdicts
+MAX_VERDICTS_SHOWN = 5  # verdicts
 
 
-class Trace(Watcher):
+class TraceWriter(Watcher):
     """Writes each observation as a line of JSON: its kind, and its values, the moment first."""
 
     def __init__(self, file: BinaryIO) -> None:
@@ -58,12 +58,17 @@
 
     Exit status: 0 every rule was kept, 1 one was broken, 2 the words or the file are at fault.
     """
-    terms = scenario.load(name)
+    loaded = scenario.load(name)
     with ExitStack() as stack:
-        watchers = [Trace(stack.enter_context(trace.open("wb")))] if trace else []
-        bar = stack.enter_context(Progress(console=Console(stderr=True), transient=True))
-        task = bar.add_task(f"{terms.name}, seed {seed}", total=1.0)
-        result = play(terms, seed, watchers=watchers, progress=lambda part: bar.update(task, completed=part))
+        watchers = [TraceWriter(stack.enter_context(trace.open("wb")))] if trace else []
+        progress_bar = stack.enter_context(Progress(console=Console(stderr=True), transient=True))
+        task = progress_bar.add_task(f"{loaded.name}, seed {seed}", total=1.0)
+        result = play(
+            loaded,
+            seed,
+            watchers=watchers,
+            progress=lambda fraction: progress_bar.update(task, completed=fraction),
+        )
     if json_file:
         json_file.write_bytes(results.encode(result) + b"\n")
     show(result)
@@ -74,15 +79,15 @@
 def show(result: RunResult) -> None:
     console = Console()
     console.print(figures_table(result))
-    for happened in result.happened:
-        struck = [
-            f"{len(who)} {what}"
-            for who, what in ((happened.servers, "servers"), (happened.relays, "relays"))
-            if who
+    for event in result.happened:
+        affected = [
+            f"{len(numbers)} {noun}"
+            for numbers, noun in ((event.servers, "servers"), (event.relays, "relays"))
+            if numbers
         ]
-        console.print(f"{happened.at_us / 1e6:8.2f} s  {happened.what}  {', '.join(struck)}")
-    for verdict in result.verdicts[:SHOWN]:
-        console.print(f"\nrule broken: {words(verdict)}", markup=False, soft_wrap=True)
+        console.print(f"{event.at_us / 1e6:8.2f} s  {event.what}  {', '.join(affected)}")
+    for verdict in result.verdicts[:MAX_VERDICTS_SHOWN]:
+        console.print(f"\nrule broken: {format_verdict(verdict)}", markup=False, soft_wrap=True)
     broken = int(result.figures["rules_broken"])
     console.print("every rule kept" if not broken else f"\n{broken} times a rule was broken")
 
@@ -94,21 +99,21 @@
     )
     table.add_column("figure")
     table.add_column("", justify="right")
-    for name in FIGURES:
+    for name in SHOWN_FIGURES:
         table.add_row(name, f"{result.figures[name]:.4g}")
     for name, count in result.answers.items():
         table.add_row(f"answers: {name}", str(count))
-    for name, times in result.set_up.items():
+    for name, distribution in result.set_up.items():
         table.add_row(
             f"set-up of {name}, ms: median, 99 %",
-            " ".join(f"{times.quantiles[part] / 1000:.1f}" for part in ("50", "99")),
+            " ".join(f"{distribution.quantiles[quantile] / 1000:.1f}" for quantile in ("50", "99")),
         )
     return table
 
 
-def words(verdict: Verdict) -> str:
+def format_verdict(verdict: Verdict) -> str:
     evidence = "\n".join(f"  {line}" for line in verdict.evidence)
-    named = [
+    subjects = [
         f"{name} {value}"
         for name, value in (
             ("request", verdict.request),
@@ -117,4 +122,4 @@
         )
         if value is not None
     ]
-    return f"{verdict.rule} at {verdict.at_us / 1e6:.6f} s, {', '.join(named)}\n{evidence}"
+    return f"{verdict.rule} at {verdict.at_us / 1e6:.6f} s, {', '.join(subjects)}\n{evidence}"
--- a/glenfold_lab/commands/scale.py
+++ b/glenfold_lab/commands/scale.py
@@ -4,7 +4,7 @@
 
 from glenfold.cli.lazy import LazyGroup
 
-PLACES = {
+COMMANDS = {
     name: (f"glenfold_lab.scale.{module}", line)
     for name, module, line in (
         ("lists", "lists_command", "real relays under lists of up to 10,240 servers"),
@@ -16,7 +16,7 @@
 }
 
 
-@click.group("scale", cls=LazyGroup, lazy_commands=PLACES)
+@click.group("scale", cls=LazyGroup, lazy_commands=COMMANDS)
 def command() -> None:
     """Measure slopes at several sizes, and write them to a file of results.
 
--- a/glenfold_lab/commands/scenarios.py
+++ b/glenfold_lab/commands/scenarios.py
@@ -31,14 +31,14 @@
 
 def check_all(files: tuple[str, ...]) -> None:
     """All of them are looked at, so that one run tells of every bad file."""
-    bad = False
+    has_errors = False
     for file in files:
         try:
-            found = scenario.load(file)
+            loaded = scenario.load(file)
         except BadFile as error:
-            bad = True
+            has_errors = True
             error.show()
         else:
-            click.echo(f"{file}: sound ({found.name})")
-    if bad:
+            click.echo(f"{file}: sound ({loaded.name})")
+    if has_errors:
         raise SystemExit(BadFile.exit_code)
--- a/glenfold_lab/commands/soak.py
+++ b/glenfold_lab/commands/soak.py
@@ -5,7 +5,7 @@
 import click
 import msgspec
 
-from glenfold_lab.commands.play import words
+from glenfold_lab.commands.play import format_verdict
 from glenfold_lab.soak.day import SHORTEST_S
 from glenfold_lab.soak.run import Soaked, play
 from glenfold_lab.stand_ins.places import TooLarge
@@ -34,19 +34,19 @@
     Exit status: 0 all runs passed, 1 a rule was broken or a run failed, 2 the words are at fault.
     """
     failed = 0
-    for one in range(seed, seed + count):
+    for run_seed in range(seed, seed + count):
         try:
-            soaked = play(one, seconds, None if logs is None else logs / str(one))
+            soaked = play(run_seed, seconds, None if logs is None else logs / str(run_seed))
         except (TooLarge, NotReady, PartFailed) as error:
-            raise click.ClickException(f"seed {one}: {error}") from error
-        tell(soaked)
+            raise click.ClickException(f"seed {run_seed}: {error}") from error
+        print_run(soaked)
         failed += not soaked.passed
     click.echo(f"{count - failed} of {count} runs passed")
     raise SystemExit(failed > 0)
 
 
-def tell(soaked: Soaked) -> None:
-    told = msgspec.to_builtins(soaked) | {"verdicts": len(soaked.verdicts), "passed": soaked.passed}
-    click.echo(msgspec.json.encode(told).decode())
+def print_run(soaked: Soaked) -> None:
+    fields = msgspec.to_builtins(soaked) | {"verdicts": len(soaked.verdicts), "passed": soaked.passed}
+    click.echo(msgspec.json.encode(fields).decode())
     for verdict in soaked.verdicts:
-        click.echo(click.style(words(verdict).replace("[red]", "").replace("[/]", "")))
+        click.echo(click.style(format_verdict(verdict).replace("[red]", "").replace("[/]", "")))
