--- a/glenfold_lab/commands/__init__.py
+++ b/glenfold_lab/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The lab's command line: one module a command, each with a click command named `command`."""
+"""The commands of `glenfold lab`. Each module defines one click command, named `command`."""
--- a/glenfold_lab/commands/demo.py
+++ b/glenfold_lab/commands/demo.py
@@ -1,4 +1,4 @@
-"""`glenfold lab demo`: what a newcomer sees first."""
+"""`glenfold lab demo`: a short run with relays, stand-ins and clients, as a first look at the system."""
 
 from pathlib import Path
 
@@ -23,28 +23,29 @@
     type=click.FloatRange(MIN_LENGTH_S, 3600),
     default=20.0,
     show_default=True,
-    help="How long it goes; faults come in proportion.",
+    help="Length of the run; the times of faults scale with it.",
 )
 @click.option(
     "--seed",
     type=click.IntRange(0),
     default=1,
     show_default=True,
-    help="Which clients come, and who is struck.",
+    help="Seed of the clients and of the targets of faults.",
 )
 @click.option(
     "--json",
     "json_file",
     type=click.Path(path_type=Path, dir_okay=False, writable=True),
-    help="Write the result there, for `report`.",
+    help="Write the result to this file, for `report`.",
 )
 def command(seconds: float, seed: int, json_file: Path | None) -> None:
     """Run two relays with stand-ins for push servers and some 200 clients, all on loopback.
 
-    A table shows each second, or a plain line where there is no terminal. Half-way a push server drains and
-    a relay restarts.
+    A table shows each second; without a terminal, each second is a plain line. Half-way through, a push
+    server drains and a relay restarts.
 
-    Exit status: 0 every rule was kept, 1 one was broken or the demo could not run, 2 the words are at fault.
+    Exit status: 0 every rule was kept, 1 a rule was broken or the demo could not run, 2 an argument is
+    invalid.
     """
     demo_scenario, console = shortened(scenario.load(str(SCENARIO_FILE)), seconds), Console(highlight=False)
     servers, relays = demo_scenario.servers.count, demo_scenario.relays.count
--- a/glenfold_lab/commands/experiment.py
+++ b/glenfold_lab/commands/experiment.py
@@ -1,4 +1,4 @@
-"""`glenfold lab experiment`: plays an experiment file over many processes, and goes on where it stopped."""
+"""`glenfold lab experiment`: plays an experiment in many processes, and resumes an interrupted one."""
 
 import os
 import sys
@@ -18,37 +18,37 @@
 from glenfold_lab.experiments.plan import Cell, Plan, load
 from glenfold_lab.experiments.store import Header, Short, Store, go_on
 
-PIPE_WIDTH = 240  # columns of tables that go to a file or a pipe
-MAX_CELLS_SHOWN = 10  # failed cells that are told one by one
-INTERRUPTED_STATUS = 130
+PIPE_WIDTH = 240  # Width in columns of tables that are written to a file or a pipe.
+MAX_CELLS_SHOWN = 10  # Limits the failed cells and differing repeats that are listed.
+INTERRUPTED_STATUS = 130  # The exit status that shells use for SIGINT.
 
 
 @click.command("experiment")
 @click.argument("file")
-@click.option("--out", required=True, help="The file of results; if it is there, the experiment goes on.")
+@click.option("--out", required=True, help="The results file; an existing one is resumed.")
 @click.option(
     "--workers",
     type=click.IntRange(1, 1024),
     default=lambda: len(os.sched_getaffinity(0)),
-    help="Processes; as many as this process may use cores, if not given.",
+    help="Number of processes; by default the number of cores that this process may use.",
 )
 @click.option(
     "--against",
     multiple=True,
     metavar="REV",
-    help="Also play the decisions of this git revision, and compare with them.",
+    help="Also play the decisions of this git revision, and compare the results.",
 )
-@click.option("--json", "json_out", help="Write all results and differences there, as JSON.")
+@click.option("--json", "json_out", help="Write all results and differences to this file, as JSON.")
 def command(file: str, out: str, workers: int, against: tuple[str, ...], json_out: str | None) -> None:
     """Play the experiment in FILE.
 
     Exit status: 0 all cells were played and every rule was kept, 1 a rule was broken, a cell failed or a
-    repeat was unlike its first play, 2 FILE or a revision is at fault (then nothing was written), 130 broken
-    off; the same command then goes on where it stopped.
+    repeat differed from its first play, 2 FILE or a revision is invalid (then nothing was written), 130
+    interrupted; the same command then resumes the experiment.
     """
     plan = load(file, against)
     if json_out is not None and not Path(json_out).parent.is_dir():
-        raise BadFile(json_out, "there is no such folder")
+        raise BadFile(json_out, "the folder does not exist")
     with closing(go_on(out, Header(plan.name, plan.asks, plan.size, plan.identity()))) as store:
         remaining = _remaining_cells(plan, store)
         _report_state(plan, store, remaining)
@@ -57,7 +57,10 @@
 
 
 def _remaining_cells(plan: Plan, store: Store) -> list[Cell]:
-    """Cells that failed are tried again: memory may have run out, or a worker been killed."""
+    """Returns the cells without a result.
+
+    Failed cells are played again, because memory may have run out or a worker may have been killed.
+    """
     return [
         cell
         for cell in plan.cells()
@@ -67,7 +70,7 @@
 
 def _report_state(plan: Plan, store: Store, remaining: Sequence[Cell]) -> None:
     if store.cut:
-        click.echo(f"{store.path}: the last line was torn; {store.cut} bytes were cut off", err=True)
+        click.echo(f"{store.path}: the last line was incomplete; {store.cut} bytes were cut off", err=True)
     if len(remaining) < plan.size:
         click.echo(
             f"{store.path}: {plan.size - len(remaining)} of {plan.size} cells were played before", err=True
@@ -75,7 +78,7 @@
 
 
 def play(plan: Plan, store: Store, remaining: Sequence[Cell], workers: int) -> None:
-    """With a progress bar, if there is a terminal."""
+    """Plays the remaining cells, with a progress bar if stderr is a terminal."""
     columns = (TextColumn("cells"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
     with Progress(*columns, console=Console(stderr=True), disable=not sys.stderr.isatty()) as progress:
         task = progress.add_task("cells", total=plan.size, completed=plan.size - len(remaining))
@@ -87,12 +90,12 @@
         try:
             trio.run(pool.run, plan, remaining, workers, add_record)
         except KeyboardInterrupt:
-            click.echo(f"broken off; the same command goes on from {store.path}", err=True)
+            click.echo(f"interrupted; the same command resumes from {store.path}", err=True)
             raise SystemExit(INTERRUPTED_STATUS) from None
 
 
 def report_results(plan: Plan, store: Store, json_out: str | None) -> int:
-    """Prints tables, writes the JSON file, and gives the exit status."""
+    """Prints tables, writes the JSON file, and returns the exit status."""
     found = Found(plan, store)
     pairs = list(differences(plan, found.table))
     console = Console() if sys.stdout.isatty() else Console(width=PIPE_WIDTH)
--- a/glenfold_lab/commands/load.py
+++ b/glenfold_lab/commands/load.py
@@ -1,4 +1,4 @@
-"""`glenfold lab load`: open-loop load on relays, and what it measured."""
+"""`glenfold lab load`: puts open-loop load on relays and reports the measurements."""
 
 import math
 import os
@@ -27,11 +27,16 @@
 from glenfold_lab.load.result import ENDED_EARLY, LoadResult, summarize, window_us
 from glenfold_lab.results import Distribution
 
-INTERRUPTED_STATUS = 130  # as shells have it for SIGINT
+INTERRUPTED_STATUS = 130  # The exit status that shells use for SIGINT.
 QUANTILES = ("50", "90", "99", "99.9", "100")
 RECONNECT_PATTERN = re.compile(r"(\d+)@(\d+(?:\.\d+)?)(?:/(\d+(?:\.\d+)?))?")
-CLASS_OPTIONS = ("name", "wait_ms", "life_s", "line_gap_ms")  # options that are keys of a class
-# Which option says what stands under a key of a plan, or a part of one.
+CLASS_OPTIONS = (
+    "name",
+    "wait_ms",
+    "life_s",
+    "line_gap_ms",
+)  # Options that set keys of the class in the plan.
+# The option that sets each key of a plan; errors in the plan are reported under the option.
 OPTION_BY_KEY = {
     "reconnects": "--reconnect",
     "schemes": "--scheme",
@@ -47,14 +52,14 @@
 
 
 def _check_folder(_: click.Context, __: click.Parameter, out: str | None) -> str | None:
-    """Known before the load, not after it."""
+    """Checks before the load, not after it, that the result can be written."""
     if out is not None and out != "-" and not os.access(Path(out).parent, os.W_OK):
         raise click.BadParameter(f"no file can be written in {Path(out).parent}")
     return out
 
 
 class NumberOption(click.ParamType[float]):
-    """A finite number, at least or above `least`."""
+    """A finite number, at least `min_value`, or above it if `inclusive` is false."""
 
     name = "number"
 
@@ -77,10 +82,12 @@
 
 
 class TargetOption(click.ParamType[Address]):
+    """The address of a relay as HOST:PORT."""
+
     name = "HOST:PORT"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        """Looked up once: for each connection anew, it would be a part of what is measured."""
+        """Resolves the host once, so that name lookups are not part of the measured times."""
         try:
             host, port = read_address(value)
             addresses = socket.getaddrinfo(host, port, socket.AF_INET, socket.SOCK_STREAM)
@@ -92,6 +99,8 @@
 
 
 class ReconnectOption(click.ParamType[terms.Reconnect]):
+    """A number of clients that reconnect, the second of the start, and the seconds they take."""
+
     name = "N@AT[/WITHIN]"
 
     def convert(
@@ -108,38 +117,53 @@
 
 
 @click.command("load")
-@click.option("--to", "targets", type=TargetOption(), multiple=True, help="A relay; once for each.")
-@click.option("--self-test", is_flag=True, help="Instead of --to: against stand-ins that only echo.")
 @click.option(
-    "--plan", "file", type=click.Path(path_type=Path), help="A TOML plan, instead of --rate and its like."
+    "--to", "targets", type=TargetOption(), multiple=True, help="Address of a relay; may be repeated."
+)
+@click.option("--self-test", is_flag=True, help="Put the load on stand-ins that only echo, instead of --to.")
+@click.option(
+    "--plan",
+    "file",
+    type=click.Path(path_type=Path),
+    help="A TOML plan, instead of --rate and the other options of the load.",
 )
-@click.option("--rate", type=POSITIVE, help="New connections a second.")
-@click.option("--for", "for_s", type=POSITIVE, help="Seconds for which clients come.")
+@click.option("--rate", type=POSITIVE, help="New connections per second.")
+@click.option("--for", "for_s", type=POSITIVE, help="Seconds during which clients connect.")
 @click.option(
-    "--ramp", "ramp_s", type=NumberOption(), help="Seconds of these over which the rate rises from 0."
+    "--ramp", "ramp_s", type=NumberOption(), help="Seconds at the start over which the rate rises from 0."
 )
-@click.option("--poisson", is_flag=True, help="Starts at random, not evenly apart.")
+@click.option("--poisson", is_flag=True, help="Start clients at random times, not at even intervals.")
 @click.option(
     "--reconnect",
     type=ReconnectOption(),
     multiple=True,
-    help="So many clients drop from that second on and come again, at once or within seconds.",
+    help="N clients disconnect from second AT on and reconnect, at once or spread over WITHIN seconds.",
 )
-@click.option("--class", "name", help="Of the connections, as the relays know it.  [default: watch]")
-@click.option("--scheme", help="Of the clients.  [default: none]")
+@click.option(
+    "--class", "name", help="Class of the connections, from the settings of the relays.  [default: watch]"
+)
+@click.option("--scheme", help="Scheme of the clients.  [default: none]")
 @click.option(
     "--wait-ms", type=click.IntRange(min=1), help="How long a client waits for UP.  [default: 2000]"
 )
-@click.option("--life", "life_s", type=POSITIVE, help="Seconds a client wants to stay.  [default: 10]")
-@click.option("--line-gap-ms", type=NumberOption(), help="Between its lines; 0: none.  [default: 2000]")
-@click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True, help="Of the plan.")
-@click.option("--workers", type=click.IntRange(1, 64), default=2, show_default=True, help="Processes.")
+@click.option(
+    "--life", "life_s", type=POSITIVE, help="Seconds that a client wants to stay connected.  [default: 10]"
+)
+@click.option(
+    "--line-gap-ms",
+    type=NumberOption(),
+    help="Time between the lines of a client; 0: no lines.  [default: 2000]",
+)
+@click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True, help="Seed of the plan.")
+@click.option(
+    "--workers", type=click.IntRange(1, 64), default=2, show_default=True, help="Number of worker processes."
+)
 @click.option(
     "--most-open",
     type=click.IntRange(min=1),
     default=20_000,
     show_default=True,
-    help="Connections open at once.",
+    help="Maximum number of open connections.",
 )
 @click.option(
     "--late-ms",
@@ -153,7 +177,7 @@
     "out",
     type=click.Path(dir_okay=False, writable=True, allow_dash=True),
     callback=_check_folder,
-    help="Where the result goes as JSON; - for the output, without tables.",
+    help="Write the result to this file as JSON; - writes it to stdout, without tables.",
 )
 def command(
     targets: tuple[Address, ...],
@@ -166,14 +190,14 @@
     out: str | None,
     **options: Any,
 ) -> None:
-    """Put open-loop load on relays: clients start when the plan says, whatever became of those before them.
+    """Put open-loop load on relays: clients start as planned, regardless of how earlier clients fared.
 
-    Exit status: 0 measured what was asked for, 1 the result is marked (late, no room) or a worker broke off,
-    2 the words or a file are at fault, 130 ended early by a signal."""
+    Exit status: 0 the plan was measured in full, 1 the result is marked (late, no room) or a worker failed,
+    2 an argument or a file is invalid, 130 ended early by a signal."""
     if self_test == bool(targets):
-        raise click.UsageError("either --to or --self-test says what the load is put on")
+        raise click.UsageError("exactly one of --to and --self-test is required")
     if len(set(targets)) < len(targets):
-        raise click.BadParameter("the same relay comes twice", param_hint="--to")
+        raise click.BadParameter("the same relay is given twice", param_hint="--to")
     load_plan = _from_file(file, options) if file else _from_options(options)
     request = LoadRequest(load_plan, seed, workers, most_open, round(late_ms * 1000), out == "-")
     try:
@@ -185,20 +209,20 @@
         raise SystemExit(INTERRUPTED_STATUS if result.marks == (ENDED_EARLY,) else 1)
 
 
-# ---- what is asked for ----
+# ---- options ----
 
 
 def _from_file(file: Path, options: dict[str, Any]) -> terms.LoadPlan:
     plan_options = [name for name, value in options.items() if value]
     if plan_options:
-        raise click.UsageError("--plan says all of what --rate and its like say; give either")
+        raise click.UsageError("--plan excludes --rate and the other options of the load")
     return terms.read(file)
 
 
 def _from_options(options: dict[str, Any]) -> terms.LoadPlan:
     rate, for_s, ramp_s = options["rate"], options["for_s"], options["ramp_s"] or 0.0
     if rate is None or for_s is None:
-        raise click.UsageError("--rate and --for are needed, or a --plan")
+        raise click.UsageError("--rate and --for are required, or --plan")
     if ramp_s > for_s:
         raise click.BadParameter("is longer than --for", param_hint="--ramp")
     kind = {key: options[key] for key in CLASS_OPTIONS if options[key] is not None}
@@ -227,6 +251,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadRequest:
+    """The load to put on relays, and the options of the measurement."""
+
     load_plan: terms.LoadPlan
     seed: int
     workers: int
@@ -259,7 +285,10 @@
 
 @contextmanager
 def _stop_on_signals() -> Iterator[Callable[[], bool]]:
-    """SIGINT and SIGTERM end the load early, with what it measured so far; twice ends it at once."""
+    """Yields a callable that returns whether SIGINT or SIGTERM was received.
+
+    The first signal ends the load early, with the measurements so far. The second one ends it at once.
+    """
     received: list[int] = []
 
     def handle(number: int, _: FrameType | None) -> None:
@@ -284,7 +313,7 @@
         yield lambda: bar.update(task, completed=time.monotonic() - started_at)
 
 
-# ---- what is told ----
+# ---- output ----
 
 
 def _write_result(result: LoadResult, out: str | None) -> None:
@@ -296,7 +325,7 @@
 
 
 def show(result: LoadResult, console: Console) -> None:
-    """The tables that people read."""
+    """Prints the result as tables."""
     table = Table("in ms", "count", *(f"{name} %" for name in QUANTILES[:-1]), "greatest", title="Latencies")
     for column in table.columns[1:]:
         column.justify = "right"
--- a/glenfold_lab/commands/play.py
+++ b/glenfold_lab/commands/play.py
@@ -1,4 +1,4 @@
-"""`glenfold lab play`: one history with real relays and stand-ins on loopback sockets."""
+"""`glenfold lab play`: plays one history with real relays and stand-ins on loopback sockets."""
 
 from pathlib import Path
 
@@ -27,34 +27,53 @@
     "rules_broken",
     "late_p99_ms",
 )
-MAX_VERDICTS_SHOWN = 5  # verdicts
+MAX_VERDICTS_SHOWN = 5
 
 
 @click.command("play")
 @click.argument("scenario")
-@click.option("--seed", default=1, show_default=True, help="Draws the day.")
-@click.option("--seconds", type=click.FloatRange(1, 3600), help="Play so long instead of its length.")
-@click.option("--relays", type=click.IntRange(1, 250), help="So many relays instead of its own.")
-@click.option("--servers", type=click.IntRange(2, 1000), help="So many push servers; load follows them.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the history.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(1, 3600),
+    help="Length of the run, instead of the length of the scenario.",
+)
+@click.option(
+    "--relays", type=click.IntRange(1, 250), help="Number of relays, instead of the number in the scenario."
+)
+@click.option(
+    "--servers", type=click.IntRange(2, 1000), help="Number of push servers; the load scales with it."
+)
 @click.option(
     "--scale",
     type=click.FloatRange(0.001, 1),
     default=1.0,
     show_default=True,
-    help="Part of its relays and push servers that is played.",
+    help="Share of the relays and push servers of the scenario to play.",
+)
+@click.option(
+    "--processes",
+    type=click.IntRange(0, 32),
+    help="Number of processes of stand-ins; 0: all stand-ins run in this process.",
 )
-@click.option("--processes", type=click.IntRange(0, 32), help="Of stand-ins; 0: none but this one.")
 @click.option(
     "--bad-clients",
     default=0.5,
     show_default=True,
     type=click.FloatRange(0, 100),
-    help="A second, that no relay should suffer from.",
+    help="Misbehaving clients per second; relays have to tolerate them.",
+)
+@click.option(
+    "--json",
+    "json_file",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write the result to this file.",
 )
 @click.option(
-    "--json", "json_file", type=click.Path(dir_okay=False, path_type=Path), help="Write the result there."
+    "--logs",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Keep the logs of the relays in this folder.",
 )
-@click.option("--logs", type=click.Path(file_okay=False, path_type=Path), help="Keep the relays' logs there.")
 def command(
     scenario: str,
     seed: int,
@@ -69,7 +88,8 @@
 ) -> None:
     """Play one history of SCENARIO (a name or a file) in real time, with real relays.
 
-    Exit status: 0 every rule kept, 1 one was broken or the run failed, 2 the words or the file are at fault.
+    Exit status: 0 every rule was kept, 1 a rule was broken or the run failed, 2 an argument or the file is
+    invalid.
     """
     scaled_scenario, console = scaled(scenarios.load(scenario), scale, relays, servers), Console()
     console.print(format_columns("second", "relays", "standing", "new", "up", "refused", "p99 ms", "lines"))
@@ -92,10 +112,12 @@
 
 
 def format_columns(*values: object) -> str:
+    """Returns one line of the output, with right-aligned columns."""
     return "".join(f"{value!s:>10}" for value in values)
 
 
 def format_second(second: Snapshot) -> str:
+    """Returns the line of the output for one second."""
     answers = second.answers
     return format_columns(
         second.second + 1,
@@ -110,7 +132,7 @@
 
 
 def show(console: Console, result: RunResult) -> None:
-    """The figures, what the relays took, and each broken rule with what shows it."""
+    """Prints the figures, the CPU time and memory of each relay, and the first verdicts with evidence."""
     table = Table("figure", "value", title=f"{result.scenario}, seed {result.seed}")
     for name in SHOWN_FIGURES:
         table.add_row(name, f"{result.figures[name]:.4g}")
@@ -130,5 +152,6 @@
 
 
 def format_verdict(verdict: Verdict) -> str:
+    """Returns the broken rule, its time and its evidence, with rich markup."""
     evidence = "\n".join(f"    {line}" for line in verdict.evidence)
     return f"[red]rule broken[/]: {verdict.rule}, at {verdict.at_us / 1e6:.3f} s\n{evidence}"
--- a/glenfold_lab/commands/report.py
+++ b/glenfold_lab/commands/report.py
@@ -1,4 +1,4 @@
-"""`glenfold lab report`: results as one HTML file, and the same figures as JSON."""
+"""`glenfold lab report`: writes results as one HTML file, and the same figures as JSON."""
 
 from pathlib import Path
 
@@ -11,15 +11,20 @@
 @click.command("report")
 @click.argument("results", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("--out", required=True, type=click.Path(path_type=Path), help="The HTML file to write.")
-@click.option("--json", "json_out", type=click.Path(path_type=Path), help="Write the figures there, too.")
+@click.option(
+    "--json",
+    "json_out",
+    type=click.Path(path_type=Path),
+    help="Also write the figures to this file, as JSON.",
+)
 def command(results: tuple[Path, ...], out: Path, json_out: Path | None) -> None:
     """Draw RESULTS (files that `run`, `play` or `experiment` wrote) as one HTML file.
 
-    Several results are compared. Exit status: 0 done, 1 a file can't be written, 2 one can't be read; then
-    nothing is written.
+    Several results are compared. Exit status: 0 the files were written, 1 a file can't be written, 2 a file
+    can't be read; then nothing is written.
     """
     report_input = read_results(results)
-    from glenfold_lab.reports.page import render_page  # draws, which takes half a second to load
+    from glenfold_lab.reports.page import render_page  # Imports matplotlib, which takes half a second.
     from glenfold_lab.reports.summary import select_histories, summarize
 
     results_shown = select_histories(report_input.histories)
--- a/glenfold_lab/commands/run.py
+++ b/glenfold_lab/commands/run.py
@@ -1,4 +1,4 @@
-"""`glenfold lab run`: one history of a scenario in virtual time."""
+"""`glenfold lab run`: plays one history of a scenario in virtual time."""
 
 from contextlib import ExitStack
 from pathlib import Path
@@ -27,11 +27,11 @@
     "moves",
     "servers_fallen",
 )
-MAX_VERDICTS_SHOWN = 5  # verdicts
+MAX_VERDICTS_SHOWN = 5
 
 
 class TraceWriter(Watcher):
-    """Writes each observation as a line of JSON: its kind, and its values, the moment first."""
+    """Writes each observation as a line of JSON: its kind, and its values, the first of which is the time."""
 
     def __init__(self, file: BinaryIO) -> None:
         write, encode = file.write, msgspec.json.Encoder().encode
@@ -41,22 +41,22 @@
 
 @click.command("run")
 @click.argument("name", metavar="SCENARIO")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Draws the history.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the history.")
 @click.option(
     "--json",
     "json_file",
     type=click.Path(path_type=Path, dir_okay=False, writable=True),
-    help="Write the whole result there; the same seed gives the same bytes.",
+    help="Write the full result to this file; the same seed gives the same bytes.",
 )
 @click.option(
     "--trace",
     type=click.Path(path_type=Path, dir_okay=False, writable=True),
-    help="Write every observation there, as lines of JSON.",
+    help="Write every observation to this file, as lines of JSON.",
 )
 def command(name: str, seed: int, json_file: Path | None, trace: Path | None) -> None:
-    """Play one history of SCENARIO, a shipped name or a file, and judge it.
+    """Play one history of SCENARIO, the name of a shipped scenario or a file, and check the rules on it.
 
-    Exit status: 0 every rule was kept, 1 one was broken, 2 the words or the file are at fault.
+    Exit status: 0 every rule was kept, 1 a rule was broken, 2 an argument or the file is invalid.
     """
     loaded = scenario.load(name)
     with ExitStack() as stack:
@@ -77,6 +77,7 @@
 
 
 def show(result: RunResult) -> None:
+    """Prints the figures, the events and the first verdicts."""
     console = Console()
     console.print(figures_table(result))
     for event in result.happened:
@@ -93,6 +94,7 @@
 
 
 def figures_table(result: RunResult) -> Table:
+    """Returns a table of the main figures, the answers and the set-up latencies."""
     table = Table(
         title=f"{result.scenario}, seed {result.seed}, {result.length_us / 1e6:g} s "
         f"played in {result.cost['seconds']:.1f} s"
@@ -112,6 +114,7 @@
 
 
 def format_verdict(verdict: Verdict) -> str:
+    """Returns the broken rule, its time, the parties and the evidence."""
     evidence = "\n".join(f"  {line}" for line in verdict.evidence)
     subjects = [
         f"{name} {value}"
--- a/glenfold_lab/commands/scale.py
+++ b/glenfold_lab/commands/scale.py
@@ -1,4 +1,4 @@
-"""`glenfold lab scale`: what relays, connections and control cost as the fleet grows."""
+"""`glenfold lab scale`: measures the cost of relays, connections and control as the fleet grows."""
 
 import click
 
@@ -7,18 +7,18 @@
 COMMANDS = {
     name: (f"glenfold_lab.scale.{module}", line)
     for name, module, line in (
-        ("lists", "lists_command", "real relays under lists of up to 10,240 servers"),
-        ("connections", "connections_command", "what standing connections and their lines cost a relay"),
-        ("topics", "topics_command", "how many servers the largest topic's listeners end up at"),
-        ("capacity", "capacity_command", "the page of capacity, made from the results or checked"),
-        ("control", "control_command", "thousands of hollow relays that follow lists and changes"),
+        ("lists", "lists_command", "measure real relays with lists of up to 10,240 servers"),
+        ("connections", "connections_command", "measure the cost of standing connections and their lines"),
+        ("topics", "topics_command", "measure how many servers hold the listeners of the largest topic"),
+        ("capacity", "capacity_command", "generate or check the page on capacity from the results"),
+        ("control", "control_command", "measure thousands of hollow relays that follow lists and changes"),
     )
 }
 
 
 @click.group("scale", cls=LazyGroup, lazy_commands=COMMANDS)
 def command() -> None:
-    """Measure slopes at several sizes, and write them to a file of results.
+    """Measure how costs grow over several sizes, and write the slopes to a file of results.
 
-    Exit status: 0 measured, 1 a bound was exceeded or a run failed, 2 the words are at fault.
+    Exit status: 0 measured, 1 a bound was exceeded or a run failed, 2 an argument is invalid.
     """
--- a/glenfold_lab/commands/soak.py
+++ b/glenfold_lab/commands/soak.py
@@ -1,4 +1,4 @@
-"""`glenfold lab soak`: real relays under faults that seeds draw, one run after the other."""
+"""`glenfold lab soak`: runs real relays under randomly drawn faults, one seed after the other."""
 
 from pathlib import Path
 
@@ -14,24 +14,28 @@
 
 
 @click.command("soak")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Of the first run.")
-@click.option("--count", type=click.IntRange(1, 10_000), default=3, show_default=True, help="Of runs.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
+@click.option("--count", type=click.IntRange(1, 10_000), default=3, show_default=True, help="Number of runs.")
 @click.option(
     "--seconds",
     type=click.FloatRange(SHORTEST_S, 3600),
     default=20.0,
     show_default=True,
-    help="How long each run goes.",
+    help="Length of each run.",
+)
+@click.option(
+    "--logs",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Keep the logs of the relays in this folder.",
 )
-@click.option("--logs", type=click.Path(file_okay=False, path_type=Path), help="Keep the relays' logs there.")
 def command(seed: int, count: int, seconds: float, logs: Path | None) -> None:
     """Play runs with real relays, stand-ins and faults that each seed draws; print a JSON line for each.
 
-    Relays get signals in series, half of the clients go on using a connection after MOVE until it ends, and
-    in some runs a crowd of idle clients fills the descriptors of a relay. The rules of the platform are
-    judged from outside, and so is whether a relay keeps descriptors, or goes over its memory.
+    Relays get series of signals, half of the clients keep using a connection after MOVE until it ends, and
+    in some runs a flood of idle clients uses up the descriptors of a relay. The rules of the platform are
+    checked from outside, and so is whether a relay leaks descriptors or exceeds its memory limit.
 
-    Exit status: 0 all runs passed, 1 a rule was broken or a run failed, 2 the words are at fault.
+    Exit status: 0 all runs passed, 1 a rule was broken or a run failed, 2 an argument is invalid.
     """
     failed = 0
     for run_seed in range(seed, seed + count):
@@ -46,6 +50,7 @@
 
 
 def print_run(soaked: Soaked) -> None:
+    """Prints the run as a line of JSON, followed by its verdicts."""
     fields = msgspec.to_builtins(soaked) | {"verdicts": len(soaked.verdicts), "passed": soaked.passed}
     click.echo(msgspec.json.encode(fields).decode())
     for verdict in soaked.verdicts:
