--- a/glenfold_lab/commands/load.py
+++ b/glenfold_lab/commands/load.py
@@ -30,12 +30,8 @@
 INTERRUPTED_STATUS = 130  # The exit status that shells use for SIGINT.
 QUANTILES = ("50", "90", "99", "99.9", "100")
 RECONNECT_PATTERN = re.compile(r"(\d+)@(\d+(?:\.\d+)?)(?:/(\d+(?:\.\d+)?))?")
-CLASS_OPTIONS = (
-    "name",
-    "wait_ms",
-    "life_s",
-    "line_gap_ms",
-)  # Options that set keys of the class in the plan.
+# Options that set keys of the class in the plan.
+CLASS_OPTIONS = ("name", "wait_ms", "life_s", "line_gap_ms")
 # The option that sets each key of a plan; errors in the plan are reported under the option.
 OPTION_BY_KEY = {
     "reconnects": "--reconnect",
--- a/glenfold_lab/reports/page.py
+++ b/glenfold_lab/reports/page.py
@@ -68,9 +68,8 @@
 
 def compared_figures(groups: Sequence[Group]) -> list[str]:
     """Returns the names of the figures that groups are compared by, the most important first."""
-    names = {name for group in groups for name in group.figures} - {
-        "rules_broken"
-    }  # The table has a separate column for broken rules.
+    # The table has a separate column for broken rules.
+    names = {name for group in groups for name in group.figures} - {"rules_broken"}
     return terms.in_order(names)[:MAX_COMPARED_FIGURES]
 
 
--- a/glenfold_lab/reports/svg.py
+++ b/glenfold_lab/reports/svg.py
@@ -103,9 +103,8 @@
     head, body = drawn.split(">", 1)
     box = re.search(r'viewBox="[^"]*"', head)
     assert box is not None
-    body = re.sub(
-        r"\s*<defs>\s*<style.*?</defs>", "", body, count=1, flags=re.S
-    )  # These styles would apply to the whole page.
+    # The styles would apply to the whole page.
+    body = re.sub(r"\s*<defs>\s*<style.*?</defs>", "", body, count=1, flags=re.S)
     body = re.sub(r"#0101[0-9a-f]{2}", lambda found: f"var(--{_NAMES_BY_COLOUR[found[0]]})", body)
     body = re.sub(r" font-family: [^;\"]*;?", "", body)  # The text uses the font of the page.
     body = re.sub(r'(\bid="|href="#|url\(#)', rf"\g<1>{name}-", body)
--- a/glenfold_lab/reports/terms.py
+++ b/glenfold_lab/reports/terms.py
@@ -4,12 +4,9 @@
 from dataclasses import dataclass
 
 UNITS = {"us": "µs", "ms": "ms", "s": "s", "mb": "MB", "per_s": "1/s", "share": "of 1"}
-SHARE_PREFIXES = (
-    "service",
-    "worst_",
-    "goal",
-    "cross_zone",
-)  # Prefixes of figures whose unit is a share of 1.
+# Prefixes of figures whose unit is a share of 1.
+SHARE_PREFIXES = ("service", "worst_", "goal", "cross_zone")
+# The most important figures, which are listed first.
 FIRST_FIGURES = (
     "goal",
     "service",
@@ -20,7 +17,7 @@
     "refused",
     "moves",
     "servers_fallen",
-)  # The most important figures, which are listed first.
+)
 RULES = {
     "answer": "one final answer in time",
     "attempt": "at most one attempt out",
--- a/tests/glenfold_lab/test_reports.py
+++ b/tests/glenfold_lab/test_reports.py
@@ -53,7 +53,7 @@
     return render_page(summary.summarize(report_input(*results), results), results)
 
 
-def test_a_page_stands_alone_and_is_the_same_twice():
+def test_a_page_is_self_contained_and_reproducible():
     html = page_of(result())
     assert html == page_of(result())
     assert not re.search(r"""(src|href)=["'](?!#|data:image/png)|url\((?!#)|@import|<script""", html)
@@ -65,7 +65,7 @@
     assert set(re.findall(r"var\((--\w+)\)", html)) <= set(re.findall(r"(--\w+):", html))
 
 
-def test_names_are_escaped_wherever_they_stand():
+def test_names_are_escaped_everywhere_on_the_page():
     name = "_<u>$x$&'\""
     html = page_of(
         result(
@@ -90,7 +90,7 @@
     return escape(text).replace("&#x27;", "&#39;").replace("&quot;", "&#34;")
 
 
-def test_a_huge_world_makes_a_page_of_bounded_size():
+def test_a_page_on_many_servers_and_events_has_a_bounded_size():
     many = {f"s-{n}": Series(500_000, tuple((n * k) % 150 / 100 for k in range(120))) for n in range(10_000)}
     broken = tuple(Verdict("cold" if n else "move", n, n, n, None, ("seen",) * 3) for n in range(5_000))
     events = tuple(Happened(f"drain {n}", n * 1000, n * 1000 + 500) for n in range(5_000))
@@ -105,9 +105,9 @@
     report = summary.summarize(report_input(huge), [huge])
     assert len(render_page(report, [huge])) < 1_000_000
     assert len(msgspec.json.encode(report)) < 200_000
-    selected = report.histories[0]
-    assert selected.verdicts[0].rule == "move", "one rule must not hide another"
-    assert len(selected.verdicts) + selected.verdicts_left_out == 5_000
+    history = report.histories[0]
+    assert history.verdicts[0].rule == "move", "one rule must not hide another"
+    assert len(history.verdicts) + history.verdicts_left_out == 5_000
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
         (store.MAGIC, "is damaged"),
     ],
 )
-def test_a_file_that_cannot_be_drawn_is_refused_by_name_and_nothing_is_written(tmp_path, content, reason):
+def test_an_invalid_file_is_named_in_the_error_and_nothing_is_written(tmp_path, content, reason):
     (tmp_path / "bad.json").write_bytes(content)
     done = CliRunner().invoke(command, [str(tmp_path / "bad.json"), "--out", str(tmp_path / "out.html")])
     assert done.exit_code == 2 and re.search(f"bad.json.*({reason})", done.output)
@@ -152,7 +152,7 @@
 )
 
 
-def test_an_exported_experiment_shows_its_pairs_and_what_failed(tmp_path: Path):
+def test_an_exported_experiment_shows_its_pairs_and_failed_cells(tmp_path: Path):
     cell_result = msgspec.Raw(msgspec.json.encode(result(factors={"load": "<0.3>"})))
     (tmp_path / "load.json").write_bytes(
         msgspec.json.encode(
@@ -170,16 +170,16 @@
             }
         )
     )
-    given = read_results([tmp_path / "load.json"])
+    contents = read_results([tmp_path / "load.json"])
     html = render_page(
-        summary.summarize(given, selected := summary.select_histories(given.histories)), selected
+        summary.summarize(contents, selected := summary.select_histories(contents.histories)), selected
     )
     assert len(selected) == 1
     assert "how &lt;much&gt;?" in html and "RuntimeError: &lt;no&gt;" in html
     assert "-0.5 to -0.1" in html and "0.1 to &lt;0.3&gt;" in html and 'id="forest0-figure_1"' in html
 
 
-def test_an_experiments_own_file_is_read_whatever_the_order_of_its_cells(tmp_path: Path):
+def test_an_experiment_store_is_read_with_its_cells_in_any_order(tmp_path: Path):
     name = str(tmp_path / "kept")
     with closing(store.go_on(name, store.Header("load", "how much?", 3, {}))) as result_store:
         for outcome in (
@@ -188,6 +188,6 @@
             store.Outcome(0, result(seed=7)),
         ):
             result_store.add(msgspec.json.encode(outcome))
-    given = read_results([Path(name)])
-    assert [one.short.seed for one in given.histories] == [7], "the second is a repeat"
-    assert given.experiments[0].failed == ("cell 2: RuntimeError: no",)
+    contents = read_results([Path(name)])
+    assert [one.short.seed for one in contents.histories] == [7], "the second is a repeat"
+    assert contents.experiments[0].failed == ("cell 2: RuntimeError: no",)
