--- a/glenfold_lab/reports/live.py
+++ b/glenfold_lab/reports/live.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from glenfold_lab.reports.terms import RULES
+from glenfold_lab.reports.labels import RULES
 from glenfold_lab.results import RunResult
 from glenfold_lab.spec import Scenario
 from glenfold_lab.stand_ins.run import OnSecond, Snapshot
--- a/glenfold_lab/reports/page.py
+++ b/glenfold_lab/reports/page.py
@@ -6,11 +6,11 @@
 from markupsafe import Markup
 
 from glenfold_lab.experiments.compare import Difference
-from glenfold_lab.reports import plots, terms
+from glenfold_lab.reports import labels, plots
+from glenfold_lab.reports.downsampling import server_loads
 from glenfold_lab.reports.plots import TimeAxis
 from glenfold_lab.reports.read import Experiment
 from glenfold_lab.reports.summary import Group, History, Report
-from glenfold_lab.reports.thin import server_loads
 from glenfold_lab.results import RunResult
 
 MAX_HISTORIES_WITH_PARTS = 3  # With more histories, the table of contents omits their sections.
@@ -42,14 +42,14 @@
         undefined=jinja2.StrictUndefined,
     )
     environment.filters.update(
-        number=number, signed=signed, seconds=seconds, title=terms.title, unit=terms.unit, where=where
+        number=number, signed=signed, seconds=seconds, title=labels.title, unit=labels.unit, where=where
     )
     environment.globals.update(
-        rules=terms.RULES, parts=PARTS, in_order=terms.in_order, quantile_marks=quantile_marks
+        rules=labels.RULES, parts=PARTS, in_order=labels.in_order, quantile_marks=quantile_marks
     )
     groups = report.groups[:MAX_GROUPS]
     names = compared_figures(groups)
-    pairs = compared_pairs(report.experiments, terms.in_order([*names, "rules_broken"]))
+    pairs = compared_pairs(report.experiments, labels.in_order([*names, "rules_broken"]))
     return environment.get_template("page.html.j2").render(
         report=report,
         toc_parts=len(report.histories) <= MAX_HISTORIES_WITH_PARTS,
@@ -70,7 +70,7 @@
     """Returns the names of the figures that groups are compared by, the most important first."""
     # The table has a separate column for broken rules.
     names = {name for group in groups for name in group.figures} - {"rules_broken"}
-    return terms.in_order(names)[:MAX_COMPARED_FIGURES]
+    return labels.in_order(names)[:MAX_COMPARED_FIGURES]
 
 
 def compared_pairs(experiments: Sequence[Experiment], names: Sequence[str]) -> list[Difference]:
@@ -120,9 +120,9 @@
 def history_plots(name: str, result: RunResult) -> Iterator[tuple[str, Markup]]:
     """Yields the key and the SVG of each drawing of one history. The SVG is empty if there is no data."""
     time_axis = TimeAxis(name, result.length_us, result.happened)
-    for picture in terms.PICTURES:
+    for picture in labels.PICTURES:
         series = {key: result.series[key] for key in picture.series if key in result.series}
-        titled = {terms.title(key): values for key, values in series.items()}
+        titled = {labels.title(key): values for key, values in series.items()}
         plot = plots.plot_stacked if picture.stacked else plots.plot_lines
         yield picture.name, Markup(plot(time_axis, picture.name, titled, picture.unit, picture.top))
     loads = server_loads(result.server_load)
@@ -130,14 +130,14 @@
     yield "worst", Markup(plots.plot_worst_servers(time_axis, loads))
     yield "percentiles", Markup(plots.plot_quantiles(time_axis, result.set_up))
     yield "happened", Markup(plots.plot_time_line(time_axis))
-    in_pictures = {key for picture in terms.PICTURES for key in picture.series}
+    in_pictures = {key for picture in labels.PICTURES for key in picture.series}
     others = [key for key in result.series if key not in in_pictures]
     yield (
         "others",
         Markup("").join(
             Markup(
                 plots.plot_lines(
-                    time_axis, f"other{n}", {terms.title(key): result.series[key]}, terms.unit(key)
+                    time_axis, f"other{n}", {labels.title(key): result.series[key]}, labels.unit(key)
                 )
             )
             for n, key in enumerate(others[:MAX_OTHER_PLOTS])
@@ -150,8 +150,8 @@
     for n, name in enumerate(names if len(groups) > 1 else ()):
         values = {group.name: group.figures[name].values for group in groups if name in group.figures}
         yield (
-            terms.title(name),
-            Markup(plots.plot_spread(f"spread{n}", terms.title(name), terms.unit(name), values)),
+            labels.title(name),
+            Markup(plots.plot_spread(f"spread{n}", labels.title(name), labels.unit(name), values)),
         )
 
 
@@ -165,12 +165,12 @@
         }
         if drawn:
             yield (
-                terms.title(name),
+                labels.title(name),
                 Markup(
                     plots.plot_forest(
                         f"forest{n}",
-                        terms.title(name),
-                        terms.unit(name),
+                        labels.title(name),
+                        labels.unit(name),
                         dict(list(drawn.items())[:MAX_FOREST_ROWS]),
                     )
                 ),
--- a/glenfold_lab/reports/plots.py
+++ b/glenfold_lab/reports/plots.py
@@ -8,8 +8,15 @@
 from matplotlib.colors import LinearSegmentedColormap
 from matplotlib.ticker import FuncFormatter, LogLocator, MaxNLocator, NullLocator
 
+from glenfold_lab.reports.downsampling import (
+    MAX_HEAT_ROWS,
+    MAX_POINTS,
+    ServerLoads,
+    Values,
+    block_maxima,
+    downsample,
+)
 from glenfold_lab.reports.svg import COLOURS, LINE_COLOURS, Drawing, short_label
-from glenfold_lab.reports.thin import MAX_HEAT_ROWS, MAX_POINTS, ServerLoads, Values, block_maxima, downsample
 from glenfold_lab.results import Distribution, Happened, Series
 
 MAX_EVENTS = 40  # Limits the shaded events, and the rows of the time line.
--- a/glenfold_lab/reports/summary.py
+++ b/glenfold_lab/reports/summary.py
@@ -8,9 +8,9 @@
 import numpy as np
 
 from glenfold.destinations import server_number
+from glenfold_lab.reports.downsampling import ServerLoads, downsample, server_loads
+from glenfold_lab.reports.labels import RULES
 from glenfold_lab.reports.read import Experiment, ReportInput, Short, StoredHistory
-from glenfold_lab.reports.terms import RULES
-from glenfold_lab.reports.thin import ServerLoads, downsample, server_loads
 from glenfold_lab.results import Distribution, Happened, RunResult, Series, Verdict
 
 FORMAT = 1
