--- a/glenfold_lab/commands/demo.py
+++ b/glenfold_lab/commands/demo.py
@@ -1,4 +1,4 @@
-"""`glenfold lab demo`: what a newcomer sees first."""
+"""`glenfold lab demo`: a short run with relays, stand-ins and clients, as a first look at the system."""
 
 from pathlib import Path
 
@@ -13,49 +13,50 @@
 from glenfold_lab.stand_ins.remote_worker import WorkerFailed
 from glenfold_lab.stand_ins.run import play_on_sockets, shortened
 
-DAY = Path(__file__).with_name("demo.toml")
-SHORTEST_S = 5.0
+SCENARIO_FILE = Path(__file__).with_name("demo.toml")
+MIN_LENGTH_S = 5.0
 
 
 @click.command("demo")
 @click.option(
     "--seconds",
-    type=click.FloatRange(SHORTEST_S, 3600),
+    type=click.FloatRange(MIN_LENGTH_S, 3600),
     default=20.0,
     show_default=True,
-    help="How long it goes; faults come in proportion.",
+    help="Length of the run; the times of faults scale with it.",
 )
 @click.option(
     "--seed",
     type=click.IntRange(0),
     default=1,
     show_default=True,
-    help="Which clients come, and who is struck.",
+    help="Seed of the clients and of the targets of faults.",
 )
 @click.option(
     "--json",
     "json_file",
     type=click.Path(path_type=Path, dir_okay=False, writable=True),
-    help="Write the result there, for `report`.",
+    help="Write the result to this file, for `report`.",
 )
 def command(seconds: float, seed: int, json_file: Path | None) -> None:
     """Run two relays with stand-ins for push servers and some 200 clients, all on loopback.
 
-    A table shows each second, or a plain line where there is no terminal. Half-way a push server drains and
-    a relay restarts.
+    A table shows each second; without a terminal, each second is a plain line. Half-way through, a push
+    server drains and a relay restarts.
 
-    Exit status: 0 every rule was kept, 1 one was broken or the demo could not run, 2 the words are at fault.
+    Exit status: 0 every rule was kept, 1 a rule was broken or the demo could not run, 2 an argument is
+    invalid.
     """
-    day, console = shortened(scenario.load(str(DAY)), seconds), Console(highlight=False)
-    servers, relays = day.servers.count, day.relays.count
+    demo_scenario, console = shortened(scenario.load(str(SCENARIO_FILE)), seconds), Console(highlight=False)
+    servers, relays = demo_scenario.servers.count, demo_scenario.relays.count
     console.print(f"Starting {relays} relays, stand-ins for {servers} push servers, and clients ...")
     try:
-        with live.watch(console, live.notes(day)) as show:
-            result = play_on_sockets(day, seed, on_second=show)
+        with live.live_display(console, live.notes_by_second(demo_scenario)) as show:
+            result = play_on_sockets(demo_scenario, seed, on_second=show)
     except (NotReady, WorkerFailed, TooLarge) as error:
         raise click.ClickException(str(error)) from error
-    for words in live.outcome(result):
-        console.print(words, soft_wrap=True, markup=False)
+    for line in live.outcome_lines(result):
+        console.print(line, soft_wrap=True, markup=False)
     if json_file is not None:
         json_file.write_bytes(msgspec.json.encode(result) + b"\n")
     raise SystemExit(1 if result.figures["rules_broken"] else 0)
--- a/glenfold_lab/reports/terms.py
+++ b/glenfold_lab/reports/labels.py
@@ -1,11 +1,13 @@
-"""How figures and series are named to a reader: title, unit, and which series share a picture."""
+"""Titles, units and order of figures and series for readers, and the series that share a picture."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 UNITS = {"us": "µs", "ms": "ms", "s": "s", "mb": "MB", "per_s": "1/s", "share": "of 1"}
-SHARES = ("service", "worst_", "goal", "cross_zone")  # figures that begin so are parts of 1
-FIRST = (
+# Prefixes of figures whose unit is a share of 1.
+SHARE_PREFIXES = ("service", "worst_", "goal", "cross_zone")
+# The most important figures, which are listed first.
+FIRST_FIGURES = (
     "goal",
     "service",
     "worst_window",
@@ -15,7 +17,7 @@
     "refused",
     "moves",
     "servers_fallen",
-)  # figures that a reader wants first
+)
 RULES = {
     "answer": "one final answer in time",
     "attempt": "at most one attempt out",
@@ -28,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Picture:
-    """Series that are drawn together, by name. top: where the axis ends, None: where the values do."""
+    """Series that are drawn together, by name.
+
+    `top` is the upper end of the value axis; None means that the axis follows the values.
+    """
 
     name: str
     unit: str
@@ -46,12 +51,14 @@
 
 
 def title(name: str) -> str:
+    """Returns the name of a figure or series in words, without the suffix of its unit."""
     suffix = _suffix(name)
     return (name.removesuffix(f"_{suffix}") if suffix in UNITS else name).replace("_", " ")
 
 
 def unit(name: str) -> str:
-    return UNITS.get(_suffix(name), "of 1" if name.startswith(SHARES) else "")
+    """Returns the unit by the suffix or prefix of the name, or "" if it has none."""
+    return UNITS.get(_suffix(name), "of 1" if name.startswith(SHARE_PREFIXES) else "")
 
 
 def _suffix(name: str) -> str:
@@ -59,5 +66,8 @@
 
 
 def in_order(names: Iterable[str]) -> list[str]:
-    """Of figures: those that a reader wants first, then by their names."""
-    return sorted(names, key=lambda name: (FIRST.index(name) if name in FIRST else len(FIRST), name))
+    """Returns the names of figures, the most important first and the others sorted by name."""
+    return sorted(
+        names,
+        key=lambda name: (FIRST_FIGURES.index(name) if name in FIRST_FIGURES else len(FIRST_FIGURES), name),
+    )
--- a/glenfold_lab/reports/read.py
+++ b/glenfold_lab/reports/read.py
@@ -1,7 +1,7 @@
-"""Reads result files: of one history, of many (one a line), or an experiment's, as it is kept or exported.
+"""Reads result files: JSON of one history, JSON lines of many, and stored or exported experiments.
 
-Most of a result is its series. Only the few histories that are told one by one are read whole; the others
-stay the bytes that they came as.
+Most of a result is its series. Only the few histories that get a section of their own are decoded in full;
+the others are kept as encoded JSON.
 """
 
 from collections.abc import Iterable
@@ -18,16 +18,16 @@
 
 T = TypeVar("T")
 
-EXPORTED = 1  # the format of an experiment's JSON file
+EXPORT_FORMAT = 1  # Format version of the JSON file that an experiment exports.
 
 
 class _Head(msgspec.Struct):
     format: int
-    cells: msgspec.Raw = msgspec.Raw()  # of an experiment only
+    cells: msgspec.Raw = msgspec.Raw()  # Present only in the export of an experiment.
 
 
 class Short(msgspec.Struct, frozen=True):
-    """The part of a result that is compared."""
+    """The part of a result that comparisons need."""
 
     scenario: str
     seed: int
@@ -42,34 +42,34 @@
         return len(self.verdicts) + self.verdicts_left_out
 
 
-class Found(NamedTuple):
-    """One history. file and place: where it was found."""
+class StoredHistory(NamedTuple):
+    """The encoded result of one history. `file` and `location` name its origin in error messages."""
 
     file: str
-    place: str
+    location: str
     short: Short
     content: msgspec.Raw
 
     @property
-    def of(self) -> tuple[object, ...]:
-        """What tells it from others."""
+    def identity(self) -> tuple[object, ...]:
+        """The scenario, seed, revision and factors, which identify the history."""
         short = self.short
         return short.scenario, short.seed, short.revision, *sorted(short.factors.items())
 
-    def whole(self) -> RunResult:
-        """Raises BadFile."""
-        result = _decode(self.file, self.place, self.content, RunResult)
+    def read_full(self) -> RunResult:
+        """Decodes and checks the full result. Raises BadFile if it is invalid."""
+        result = _decode(self.file, self.location, self.content, RunResult)
         if result.length_us <= 0:
-            raise BadFile(self.file, f"{self.place}: length_us must be over 0")
+            raise BadFile(self.file, f"{self.location}: length_us must be over 0")
         for kind, by_name in (("series", result.series), ("server_load", result.server_load)):
             for name, series in by_name.items():
                 if series.step_us <= 0:
-                    raise BadFile(self.file, f"{self.place}: {kind}.{name}: step_us must be over 0")
+                    raise BadFile(self.file, f"{self.location}: {kind}.{name}: step_us must be over 0")
         return result
 
 
 class _Outcome(msgspec.Struct, frozen=True):
-    """One cell of an experiment's own file."""
+    """One cell in the file that an experiment appends to."""
 
     cell: int
     result: msgspec.Raw = msgspec.Raw()
@@ -77,7 +77,7 @@
 
 
 class _Cell(msgspec.Struct, frozen=True):
-    """One of an experiment, as exported."""
+    """One cell in the JSON export of an experiment."""
 
     scenario: str
     seed: int
@@ -89,7 +89,10 @@
 
 
 class Experiment(msgspec.Struct, frozen=True):
-    """What an experiment asks, and what its pairs say. failed: cells that gave no result, with the reason."""
+    """The question of an experiment and its answers.
+
+    `failed` describes the cells without a result, with the reason.
+    """
 
     name: str
     asks: str
@@ -104,57 +107,67 @@
     differences: tuple[Difference, ...] = ()
 
 
-class Input(NamedTuple):
-    histories: list[Found]
+class ReportInput(NamedTuple):
+    """The contents of all files that a report covers."""
+
+    histories: list[StoredHistory]
     experiments: list[Experiment]
 
 
-def read(paths: Iterable[Path]) -> Input:
-    """All that these files hold, in their order. Raises BadFile with file, place and reason."""
-    found = Input([], [])
+def read_results(paths: Iterable[Path]) -> ReportInput:
+    """Returns the contents of the files, in their order.
+
+    Raises BadFile, which names the file, the location in it and the reason, if a file can't be read.
+    """
+    contents = ReportInput([], [])
     for path in paths:
         try:
             with path.open("rb") as file:
-                kept = file.read(len(store.MAGIC)) == store.MAGIC
-            _read_kept(str(path), found) if kept else _read_json(str(path), path.read_bytes(), found)
+                is_store = file.read(len(store.MAGIC)) == store.MAGIC
+            _read_store(str(path), contents) if is_store else _read_json(
+                str(path), path.read_bytes(), contents
+            )
         except OSError as error:
             raise BadFile(str(path), f"can't be read: {error.strerror}") from error
-    return found
+    return contents
 
 
-def _read_kept(file: str, found: Input) -> None:
-    """The file that an experiment appends to. It has no pairs: which there are, only its plan tells."""
-    with closing(store.open_read_only(file)) as kept:
-        outcomes = list(kept.outcomes(_Outcome))
+def _read_store(file: str, contents: ReportInput) -> None:
+    """Reads the file that an experiment appends to. It has no pairs, because only the plan defines them."""
+    with closing(store.open_read_only(file)) as result_store:
+        outcomes = list(result_store.outcomes(_Outcome))
     seen = set()
-    for one in outcomes:
-        if one.failed is None:
-            history = _found(file, f"cell {one.cell}", one.result)
-            if history.of not in seen:  # a repeat has the same bytes
-                found.histories.append(history)
-            seen.add(history.of)
-    failed = tuple(f"cell {one.cell}: {one.failed}" for one in outcomes if one.failed is not None)
-    found.experiments.append(Experiment(kept.header.name, kept.header.asks, failed=failed))
+    for outcome in outcomes:
+        if outcome.failed is None:
+            history = _stored_history(file, f"cell {outcome.cell}", outcome.result)
+            if history.identity not in seen:  # Repeats of a cell have identical results.
+                contents.histories.append(history)
+            seen.add(history.identity)
+    failed = tuple(
+        f"cell {outcome.cell}: {outcome.failed}" for outcome in outcomes if outcome.failed is not None
+    )
+    contents.experiments.append(Experiment(result_store.header.name, result_store.header.asks, failed=failed))
 
 
-def _read_json(file: str, content: bytes, found: Input) -> None:
+def _read_json(file: str, content: bytes, contents: ReportInput) -> None:
     try:
-        parts = _parts(content)
+        parts = _split_documents(content)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise BadFile(file, f"is not JSON: {error}") from error
     if not parts:
         raise BadFile(file, "holds no result")
     for number, part in enumerate(parts, start=1):
-        place = f"result {number}"
-        head = _decode(file, place, part, _Head)
+        location = f"result {number}"
+        head = _decode(file, location, part, _Head)
         if head.cells:
-            _check_format(file, place, head.format, EXPORTED)
-            _read_exported(file, _decode(file, place, part, _Exported), found)
+            _check_format(file, location, head.format, EXPORT_FORMAT)
+            _read_exported(file, _decode(file, location, part, _Exported), contents)
         else:
-            found.histories.append(_found(file, place, part))
+            contents.histories.append(_stored_history(file, location, part))
 
 
-def _parts(content: bytes) -> list[msgspec.Raw]:
+def _split_documents(content: bytes) -> list[msgspec.Raw]:
+    """Returns the only JSON document, or one document for each line."""
     try:
         return [msgspec.json.decode(content, type=msgspec.Raw)]
     except msgspec.DecodeError:
@@ -163,31 +176,31 @@
         return parts
 
 
-def _read_exported(file: str, exported: _Exported, found: Input) -> None:
+def _read_exported(file: str, exported: _Exported, contents: ReportInput) -> None:
     for number, cell in enumerate(exported.cells):
         if cell.failed is None and cell.repeat == 0:
-            found.histories.append(_found(file, f"cell {number}", cell.result))
+            contents.histories.append(_stored_history(file, f"cell {number}", cell.result))
     failed = tuple(
         f"{cell.scenario}, seed {cell.seed}, {cell.revision}: {cell.failed}"
         for cell in exported.cells
         if cell.failed is not None
     )
-    found.experiments.append(Experiment(exported.name, exported.asks, exported.differences, failed))
+    contents.experiments.append(Experiment(exported.name, exported.asks, exported.differences, failed))
 
 
-def _found(file: str, place: str, content: msgspec.Raw) -> Found:
-    _check_format(file, place, _decode(file, place, content, _Head).format, FORMAT)
-    return Found(file, place, _decode(file, place, content, Short), content)
+def _stored_history(file: str, location: str, content: msgspec.Raw) -> StoredHistory:
+    _check_format(file, location, _decode(file, location, content, _Head).format, FORMAT)
+    return StoredHistory(file, location, _decode(file, location, content, Short), content)
 
 
-def _check_format(file: str, place: str, found: int, wanted: int) -> None:
-    if found != wanted:
-        raise BadFile(file, f"{place}: format {found}; this program reads format {wanted} only")
+def _check_format(file: str, location: str, actual: int, expected: int) -> None:
+    if actual != expected:
+        raise BadFile(file, f"{location}: format {actual}; this program reads format {expected} only")
 
 
-def _decode(file: str, place: str, content: msgspec.Raw, kind: type[T]) -> T:
+def _decode(file: str, location: str, content: msgspec.Raw, kind: type[T]) -> T:
     try:
         decoded: T = msgspec.json.decode(content, type=kind)
     except msgspec.DecodeError as error:
-        raise BadFile(file, f"{place}: {error}") from error
+        raise BadFile(file, f"{location}: {error}") from error
     return decoded
--- a/glenfold_lab/reports/summary.py
+++ b/glenfold_lab/reports/summary.py
@@ -1,4 +1,4 @@
-"""What a report tells, as plain values: the page is drawn from it, and --json writes it as it is."""
+"""The content of a report as plain values. The page is rendered from it, and --json writes it unchanged."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator, Sequence
@@ -8,21 +8,21 @@
 import numpy as np
 
 from glenfold.destinations import server_number
-from glenfold_lab.reports.read import Experiment, Found, Input, Short
-from glenfold_lab.reports.terms import RULES
-from glenfold_lab.reports.thin import Loads, loads, thin
+from glenfold_lab.reports.downsampling import ServerLoads, downsample, server_loads
+from glenfold_lab.reports.labels import RULES
+from glenfold_lab.reports.read import Experiment, ReportInput, Short, StoredHistory
 from glenfold_lab.results import Distribution, Happened, RunResult, Series, Verdict
 
 FORMAT = 1
-HISTORIES = 12  # told one by one
-VERDICTS = 100  # of a history
-EVENTS = 100
-SERVERS = 12  # the worst
-ENTRIES = 60  # of any other table
+MAX_HISTORIES = 12  # Limits the histories with a section of their own.
+MAX_VERDICTS = 100  # Limits the verdicts of a history.
+MAX_EVENTS = 100  # Limits the events of a history.
+MAX_SERVERS = 12  # Limits the worst servers of a history.
+MAX_ENTRIES = 60  # Limits the rows of any other table.
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
-    """Load over the limit at the moment. over_s: seconds over the limit."""
+    """The load of one server, divided by its limit at that time. `over_s` is the time over the limit."""
 
     server: str
     peak: float
@@ -31,9 +31,9 @@
 
 
 class History(msgspec.Struct, frozen=True):
-    """One history. Series are thinned to a bounded number of values, tables cut to their worst entries."""
+    """One history, with downsampled series, and with tables that are cut to a bounded number of entries."""
 
-    name: str  # of its section: unlike that of any other
+    name: str  # The unique id of its section of the page.
     scenario: str
     guards_against: str
     seed: int
@@ -44,20 +44,20 @@
     answers: dict[str, int]
     set_up: dict[str, Distribution]
     series: dict[str, Series]
-    servers: int  # that the result tells of one by one
+    servers: int  # Number of servers whose load the result records.
     all_servers: bool
     worst_servers: tuple[ServerLoad, ...]
-    broken: dict[str, int]  # verdicts that the result has, by rule
+    broken: dict[str, int]  # Number of recorded verdicts, by rule.
     verdicts: tuple[Verdict, ...]
     verdicts_left_out: int
-    hosts: dict[str, str]  # of servers in verdicts, by their numbers, where the result tells of their load
+    hosts: dict[str, str]  # Names of servers in verdicts, by number, if their load is recorded.
     happened: tuple[Happened, ...]
     happened_left_out: int
     cost: dict[str, float]
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """One figure over the seeds of a group. values: in the order of the seeds."""
+    """One figure over the seeds of a group. `values` are in the order of the seeds."""
 
     mean: float
     least: float
@@ -66,7 +66,7 @@
 
 
 class Group(msgspec.Struct, frozen=True):
-    """Histories that differ in their seeds only."""
+    """Histories that differ only in their seeds."""
 
     name: str
     scenario: str
@@ -78,7 +78,11 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """histories: those that need a look first, where there are many; groups: all of them."""
+    """The content of a report.
+
+    `histories` are the ones that most need attention, if there are too many for all to get a section.
+    `groups` cover every history.
+    """
 
     histories: tuple[History, ...]
     histories_left_out: int
@@ -87,31 +91,36 @@
     format: int = FORMAT
 
 
-def one_by_one(found: Sequence[Found]) -> list[RunResult]:
-    """Of many, those that broke rules, and then those that served least; in the order given. Raises
-    BadFile."""
-    chosen = sorted(range(len(found)), key=lambda n: _need(found[n].short))[:HISTORIES]
-    return [found[n].whole() for n in sorted(chosen)]
+def select_histories(histories: Sequence[StoredHistory]) -> list[RunResult]:
+    """Returns the full results of the histories that get a section, in the order of `found`.
+
+    If there are too many, the histories with the most broken rules come first, then the ones with the least
+    service. Raises BadFile if one of these results is invalid.
+    """
+    chosen = sorted(range(len(histories)), key=lambda index: _priority(histories[index].short))[
+        :MAX_HISTORIES
+    ]
+    return [histories[index].read_full() for index in sorted(chosen)]
 
 
-def _need(short: Short) -> tuple[float, float]:
+def _priority(short: Short) -> tuple[float, float]:
     return -short.rules_broken, short.figures.get("service", 1.0)
 
 
-def summarize(given: Input, told: Sequence[RunResult]) -> Report:
-    """`told`: those of its histories that are told one by one."""
+def summarize(report_input: ReportInput, results: Sequence[RunResult]) -> Report:
+    """Returns the report. `results` are the results of the histories that get a section."""
     return Report(
-        histories=tuple(_history(f"h{n}", result) for n, result in enumerate(told, start=1)),
-        histories_left_out=len(given.histories) - len(told),
-        groups=tuple(_groups([one.short for one in given.histories])),
-        experiments=tuple(given.experiments),
+        histories=tuple(_history(f"h{n}", result) for n, result in enumerate(results, start=1)),
+        histories_left_out=len(report_input.histories) - len(results),
+        groups=tuple(_groups([history.short for history in report_input.histories])),
+        experiments=tuple(report_input.experiments),
     )
 
 
 def _history(name: str, result: RunResult) -> History:
-    of_servers = loads(result.server_load)
+    loads = server_loads(result.server_load)
     happened = sorted(result.happened, key=lambda event: event.at_us)
-    shown = _in_turn(result.verdicts)[:VERDICTS]
+    verdicts = _interleave_by_rule(result.verdicts)[:MAX_VERDICTS]
     return History(
         name=name,
         scenario=result.scenario,
@@ -122,51 +131,52 @@
         length_s=result.length_us / 1e6,
         figures=result.figures,
         answers=result.answers,
-        set_up=dict(sorted(result.set_up.items(), key=lambda pair: -pair[1].count)[:ENTRIES]),
-        series={key: thin(series) for key, series in list(result.series.items())[:ENTRIES]},
-        servers=len(of_servers.names),
-        all_servers=not of_servers.percentiles,
-        worst_servers=_worst(of_servers),
+        set_up=dict(sorted(result.set_up.items(), key=lambda pair: -pair[1].count)[:MAX_ENTRIES]),
+        series={key: downsample(series) for key, series in list(result.series.items())[:MAX_ENTRIES]},
+        servers=len(loads.names),
+        all_servers=not loads.percentiles,
+        worst_servers=_worst_servers(loads),
         broken=dict.fromkeys(RULES, 0) | Counter(verdict.rule for verdict in result.verdicts),
-        verdicts=tuple(sorted(shown, key=lambda verdict: verdict.at_us)),
-        verdicts_left_out=len(result.verdicts) + result.verdicts_left_out - len(shown),
-        hosts=_hosts(shown, result.server_load),
-        happened=tuple(happened[:EVENTS]),
-        happened_left_out=len(happened[EVENTS:]),
+        verdicts=tuple(sorted(verdicts, key=lambda verdict: verdict.at_us)),
+        verdicts_left_out=len(result.verdicts) + result.verdicts_left_out - len(verdicts),
+        hosts=_verdict_hosts(verdicts, result.server_load),
+        happened=tuple(happened[:MAX_EVENTS]),
+        happened_left_out=len(happened[MAX_EVENTS:]),
         cost=result.cost,
     )
 
 
-def _in_turn(verdicts: Iterable[Verdict]) -> list[Verdict]:
-    """The first of each rule, then the second of each, and so on: one rule must not hide another."""
-    seen: Counter[str] = Counter()
+def _interleave_by_rule(verdicts: Iterable[Verdict]) -> list[Verdict]:
+    """Returns the first verdict of each rule, then the second of each, and so on.
+
+    When the list is cut, a rule with many verdicts must not hide another rule.
+    """
+    counts: Counter[str] = Counter()
     numbered = []
     for verdict in sorted(verdicts, key=lambda verdict: verdict.at_us):
-        seen[verdict.rule] += 1
-        numbered.append((seen[verdict.rule], verdict))
+        counts[verdict.rule] += 1
+        numbered.append((counts[verdict.rule], verdict))
     return [verdict for _, verdict in sorted(numbered, key=lambda pair: pair[0])]
 
 
-def _hosts(verdicts: Iterable[Verdict], named: Iterable[str]) -> dict[str, str]:
-    wanted = {verdict.server for verdict in verdicts}
-    return {str(server_number(host)): host for host in named if server_number(host) in wanted}
+def _verdict_hosts(verdicts: Iterable[Verdict], hosts: Iterable[str]) -> dict[str, str]:
+    servers = {verdict.server for verdict in verdicts}
+    return {str(server_number(host)): host for host in hosts if server_number(host) in servers}
 
 
-def _worst(of_servers: Loads) -> tuple[ServerLoad, ...]:
+def _worst_servers(loads: ServerLoads) -> tuple[ServerLoad, ...]:
     return tuple(
         ServerLoad(name, float(np.nanmax(row)), float(np.nanmean(row)), float(over_s))
-        for name, row, over_s in zip(
-            of_servers.names[:SERVERS], of_servers.values, of_servers.over_s, strict=False
-        )
+        for name, row, over_s in zip(loads.names[:MAX_SERVERS], loads.values, loads.over_s, strict=False)
     )
 
 
-def _groups(found: Iterable[Short]) -> Iterator[Group]:
-    together: dict[tuple[object, ...], list[Short]] = defaultdict(list)
-    for one in found:
-        together[one.scenario, one.revision, *sorted(one.factors.items())].append(one)
-    several_revisions = len({members[0].revision for members in together.values()}) > 1
-    for members in together.values():
+def _groups(histories: Iterable[Short]) -> Iterator[Group]:
+    members_by_key: dict[tuple[object, ...], list[Short]] = defaultdict(list)
+    for history in histories:
+        members_by_key[history.scenario, history.revision, *sorted(history.factors.items())].append(history)
+    several_revisions = len({members[0].revision for members in members_by_key.values()}) > 1
+    for members in members_by_key.values():
         first = members[0]
         names = [first.scenario, *(f"{key} {value}" for key, value in sorted(first.factors.items()))]
         if several_revisions:
@@ -176,11 +186,11 @@
             scenario=first.scenario,
             revision=first.revision,
             factors=first.factors,
-            seeds=tuple(one.seed for one in members),
-            rules_broken=sum(one.rules_broken for one in members),
+            seeds=tuple(history.seed for history in members),
+            rules_broken=sum(history.rules_broken for history in members),
             figures={
-                name: _spread([one.figures[name] for one in members if name in one.figures])
-                for name in dict.fromkeys(name for one in members for name in one.figures)
+                name: _spread([history.figures[name] for history in members if name in history.figures])
+                for name in dict.fromkeys(name for history in members for name in history.figures)
             },
         )
 
--- a/tests/glenfold_lab/test_demo.py
+++ b/tests/glenfold_lab/test_demo.py
@@ -39,7 +39,7 @@
 
 def test_without_a_terminal_each_second_is_one_plain_line():
     output = io.StringIO()
-    with live.watch(
+    with live.live_display(
         Console(file=output, force_terminal=False, width=100), {1: "a server [drains]"}
     ) as on_second:
         on_second(second(0))
--- a/tests/glenfold_lab/test_reports.py
+++ b/tests/glenfold_lab/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports: sound pages of a bounded size, the same bytes for the same input, and results refused by name."""
+"""Reports: valid pages of a bounded size, reproducible output, and errors that name the bad file."""
 
 import re
 import xml.etree.ElementTree as xml
@@ -14,8 +14,8 @@
 from glenfold_lab.experiments import store
 from glenfold_lab.experiments.compare import Difference
 from glenfold_lab.reports import summary
-from glenfold_lab.reports.page import page
-from glenfold_lab.reports.read import Found, Input, Short, read
+from glenfold_lab.reports.page import render_page
+from glenfold_lab.reports.read import ReportInput, Short, StoredHistory, read_results
 from glenfold_lab.results import Distribution, Happened, RunResult, Series, Verdict
 
 SECOND = 1_000_000
@@ -42,30 +42,32 @@
     return RunResult(**(fields | changes))  # type: ignore[arg-type]
 
 
-def found(*results: RunResult) -> Input:
+def report_input(*results: RunResult) -> ReportInput:
     contents = [msgspec.Raw(msgspec.json.encode(one)) for one in results]
-    return Input([Found("file", "here", msgspec.json.decode(one, type=Short), one) for one in contents], [])
+    return ReportInput(
+        [StoredHistory("file", "here", msgspec.json.decode(one, type=Short), one) for one in contents], []
+    )
 
 
 def page_of(*results: RunResult) -> str:
-    return page(summary.summarize(found(*results), results), results)
+    return render_page(summary.summarize(report_input(*results), results), results)
 
 
-def test_a_page_stands_alone_and_is_the_same_twice():
-    drawn = page_of(result())
-    assert drawn == page_of(result())
-    assert not re.search(r"""(src|href)=["'](?!#|data:image/png)|url\((?!#)|@import|<script""", drawn)
-    for svg in re.findall(r"<svg.*?</svg>", drawn, re.S):
+def test_a_page_is_self_contained_and_reproducible():
+    html = page_of(result())
+    assert html == page_of(result())
+    assert not re.search(r"""(src|href)=["'](?!#|data:image/png)|url\((?!#)|@import|<script""", html)
+    for svg in re.findall(r"<svg.*?</svg>", html, re.S):
         xml.fromstring(svg.replace("<svg", '<svg xmlns:xlink="http://www.w3.org/1999/xlink"', 1))
-    ids = re.findall(r'\bid="([^"]*)"', drawn)
+    ids = re.findall(r'\bid="([^"]*)"', html)
     assert len(ids) == len(set(ids))
-    assert set(re.findall(r'(?:href="|url\()#([^")]*)', drawn)) <= set(ids)
-    assert set(re.findall(r"var\((--\w+)\)", drawn)) <= set(re.findall(r"(--\w+):", drawn))
+    assert set(re.findall(r'(?:href="|url\()#([^")]*)', html)) <= set(ids)
+    assert set(re.findall(r"var\((--\w+)\)", html)) <= set(re.findall(r"(--\w+):", html))
 
 
-def test_names_are_escaped_wherever_they_stand():
+def test_names_are_escaped_everywhere_on_the_page():
     name = "_<u>$x$&'\""
-    drawn = page_of(
+    html = page_of(
         result(
             scenario=name,
             guards_against=name,
@@ -81,14 +83,14 @@
             verdicts=(Verdict(name, 5, None, 7, None, (f"{name} seen",)),),
         )
     )
-    assert "<u>" not in drawn and f"{escape_as_page(name)} seen" in drawn
+    assert "<u>" not in html and f"{escape_as_page(name)} seen" in html
 
 
 def escape_as_page(text: str) -> str:
     return escape(text).replace("&#x27;", "&#39;").replace("&quot;", "&#34;")
 
 
-def test_a_huge_world_makes_a_page_of_bounded_size():
+def test_a_page_on_many_servers_and_events_has_a_bounded_size():
     many = {f"s-{n}": Series(500_000, tuple((n * k) % 150 / 100 for k in range(120))) for n in range(10_000)}
     broken = tuple(Verdict("cold" if n else "move", n, n, n, None, ("seen",) * 3) for n in range(5_000))
     events = tuple(Happened(f"drain {n}", n * 1000, n * 1000 + 500) for n in range(5_000))
@@ -100,12 +102,12 @@
         happened=events,
         series={"service": long, "up": long, "busy": long},
     )
-    report = summary.summarize(found(huge), [huge])
-    assert len(page(report, [huge])) < 1_000_000
+    report = summary.summarize(report_input(huge), [huge])
+    assert len(render_page(report, [huge])) < 1_000_000
     assert len(msgspec.json.encode(report)) < 200_000
-    told = report.histories[0]
-    assert told.verdicts[0].rule == "move", "one rule must not hide another"
-    assert len(told.verdicts) + told.verdicts_left_out == 5_000
+    history = report.histories[0]
+    assert history.verdicts[0].rule == "move", "one rule must not hide another"
+    assert len(history.verdicts) + history.verdicts_left_out == 5_000
 
 
 @pytest.mark.parametrize(
@@ -121,7 +123,7 @@
         (store.MAGIC, "is damaged"),
     ],
 )
-def test_a_file_that_cannot_be_drawn_is_refused_by_name_and_nothing_is_written(tmp_path, content, reason):
+def test_an_invalid_file_is_named_in_the_error_and_nothing_is_written(tmp_path, content, reason):
     (tmp_path / "bad.json").write_bytes(content)
     done = CliRunner().invoke(command, [str(tmp_path / "bad.json"), "--out", str(tmp_path / "out.html")])
     assert done.exit_code == 2 and re.search(f"bad.json.*({reason})", done.output)
@@ -150,8 +152,8 @@
 )
 
 
-def test_an_exported_experiment_shows_its_pairs_and_what_failed(tmp_path: Path):
-    of_cell = msgspec.Raw(msgspec.json.encode(result(factors={"load": "<0.3>"})))
+def test_an_exported_experiment_shows_its_pairs_and_failed_cells(tmp_path: Path):
+    cell_result = msgspec.Raw(msgspec.json.encode(result(factors={"load": "<0.3>"})))
     (tmp_path / "load.json").write_bytes(
         msgspec.json.encode(
             {
@@ -161,29 +163,31 @@
                 "revisions": [],
                 "differences": [PAIR],
                 "cells": [
-                    {**CELL, "repeat": 0, "result": of_cell},
-                    {**CELL, "repeat": 1, "result": of_cell},
+                    {**CELL, "repeat": 0, "result": cell_result},
+                    {**CELL, "repeat": 1, "result": cell_result},
                     {**CELL, "repeat": 0, "failed": "RuntimeError: <no>"},
                 ],
             }
         )
     )
-    given = read([tmp_path / "load.json"])
-    drawn = page(summary.summarize(given, told := summary.one_by_one(given.histories)), told)
-    assert len(told) == 1
-    assert "how &lt;much&gt;?" in drawn and "RuntimeError: &lt;no&gt;" in drawn
-    assert "-0.5 to -0.1" in drawn and "0.1 to &lt;0.3&gt;" in drawn and 'id="forest0-figure_1"' in drawn
+    contents = read_results([tmp_path / "load.json"])
+    html = render_page(
+        summary.summarize(contents, selected := summary.select_histories(contents.histories)), selected
+    )
+    assert len(selected) == 1
+    assert "how &lt;much&gt;?" in html and "RuntimeError: &lt;no&gt;" in html
+    assert "-0.5 to -0.1" in html and "0.1 to &lt;0.3&gt;" in html and 'id="forest0-figure_1"' in html
 
 
-def test_an_experiments_own_file_is_read_whatever_the_order_of_its_cells(tmp_path: Path):
+def test_an_experiment_store_is_read_with_its_cells_in_any_order(tmp_path: Path):
     name = str(tmp_path / "kept")
-    with closing(store.go_on(name, store.Header("load", "how much?", 3, {}))) as kept:
+    with closing(store.go_on(name, store.Header("load", "how much?", 3, {}))) as result_store:
         for outcome in (
             store.Outcome(2, failed="RuntimeError: no"),
             store.Outcome(1, result(seed=7)),
             store.Outcome(0, result(seed=7)),
         ):
-            kept.add(msgspec.json.encode(outcome))
-    given = read([Path(name)])
-    assert [one.short.seed for one in given.histories] == [7], "the second is a repeat"
-    assert given.experiments[0].failed == ("cell 2: RuntimeError: no",)
+            result_store.add(msgspec.json.encode(outcome))
+    contents = read_results([Path(name)])
+    assert [one.short.seed for one in contents.histories] == [7], "the second is a repeat"
+    assert contents.experiments[0].failed == ("cell 2: RuntimeError: no",)
