--- a/glenfold/replica/watches.py
+++ b/glenfold/replica/watches.py
@@ -189,7 +189,7 @@
 
     def _cut_behind(self, watch: Watch) -> None:
         self._counters.cut_behind += 1
-        self._cut(watch, "the child fell behind the history")
+        self._cut(watch, "the child is behind the history")
 
     def _cut(self, watch: Watch, reason: str) -> None:
         """Resets the connection, even within a line. The child discards an incomplete line."""
--- a/glenfold_lab/commands/load.py
+++ b/glenfold_lab/commands/load.py
@@ -209,8 +209,8 @@
 
 
 def _from_file(file: Path, options: dict[str, Any]) -> plan_options.LoadPlan:
-    plan_options = [name for name, value in options.items() if value]
-    if plan_options:
+    load_options = [name for name, value in options.items() if value]
+    if load_options:
         raise click.UsageError("--plan excludes --rate and the other options of the load")
     return plan_options.read(file)
 
