--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -26,7 +26,7 @@
 from glenfold_lab.stand_ins.judge import SLACK_US
 from glenfold_lab.stand_ins.run import play_on_sockets, scaled
 
-FILES = Path(__file__).parent / "fleet"
+SCENARIO_FOLDER = Path(__file__).parent / "fleet"
 CASES = (
     "one-joins",
     "all-restart-marked",
@@ -35,36 +35,36 @@
     "all-restart-unmarked-shares",
     "all-restart-late-list",
 )
-KEPT = ("requests", "refused", "service", "rules_broken", "late_p99_ms")
+REPORTED_FIGURES = ("requests", "refused", "service", "rules_broken", "late_p99_ms")
 
 
-def measure(where: str, day: Scenario, seed: int) -> tuple[RunResult, tuple[ColdLife, ...]]:
-    work = ColdWork(day.rules, 0 if where == "model" else SLACK_US)
+def measure(where: str, scenario: Scenario, seed: int) -> tuple[RunResult, tuple[ColdLife, ...]]:
+    work = ColdWork(scenario.rules, 0 if where == "model" else SLACK_US)
     if where == "model":
-        return world.play(day, seed, watchers=[work]), work.lives()
-    return play_on_sockets(day, seed, bad_per_s=0.0, watchers=[work]), work.lives()
+        return world.play(scenario, seed, watchers=[work]), work.lives()
+    return play_on_sockets(scenario, seed, bad_per_s=0.0, watchers=[work]), work.lives()
 
 
-def told(result: RunResult, lives: tuple[ColdLife, ...]) -> dict[str, Any]:
+def summarize_run(result: RunResult, lives: tuple[ColdLife, ...]) -> dict[str, Any]:
     """What is reported of one history; spans as in `ColdLife`."""
     cold = [verdict for verdict in result.verdicts if verdict.rule == "cold"]
     return {
         "cold_starts": len(lives),
-        "worst": spans([life.worst for life in lives]),
-        "known": spans([life.known for life in lives]),
+        "worst": summarize_spans([life.worst for life in lives]),
+        "known": summarize_spans([life.known for life in lives]),
         "cold_verdicts": len(cold),
-    } | {name: round(result.figures[name], 4) for name in KEPT if name in result.figures}
+    } | {name: round(result.figures[name], 4) for name in REPORTED_FIGURES if name in result.figures}
 
 
-def spans(found: Sequence[Span]) -> dict[str, Any]:
+def summarize_spans(spans: Sequence[Span]) -> dict[str, Any]:
     """used: of the budget, by the median of all cold starts and by the worst one, which is given too."""
-    worst = max(found, key=lambda span: span.used)
+    worst = max(spans, key=lambda span: span.used)
     return {
-        "used_median": round(float(np.median([span.used for span in found])), 2),
+        "used_median": round(float(np.median([span.used for span in spans])), 2),
         "used_worst": round(worst.used, 2),
         "sent": worst.sent,
         "budget": round(worst.budget, 2),
-        "starts_over": sum(span.over for span in found),
+        "starts_over": sum(span.over for span in spans),
     }
 
 
@@ -86,17 +86,18 @@
     out: Path | None,
 ) -> None:
     for case in cases:
-        day = scaled(scenarios.load(str(FILES / f"{case}.toml")), 1, relays, servers)
-        for one in range(seed, seed + repeats):
-            result, lives = measure(where, day, one)
+        scenario = scaled(scenarios.load(str(SCENARIO_FOLDER / f"{case}.toml")), 1, relays, servers)
+        for run_seed in range(seed, seed + repeats):
+            result, lives = measure(where, scenario, run_seed)
             click.echo(
                 json.dumps(
-                    {"case": case, "where": where, "relays": relays, "seed": one} | told(result, lives)
+                    {"case": case, "where": where, "relays": relays, "seed": run_seed}
+                    | summarize_run(result, lives)
                 )
             )
             if out is not None:
                 out.mkdir(parents=True, exist_ok=True)
-                name = f"{case}-{where}-{relays}-{one}.json"
+                name = f"{case}-{where}-{relays}-{run_seed}.json"
                 (out / name).write_bytes(msgspec.json.encode(result))
 
 
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -21,30 +21,32 @@
 SIZES = (1000, 10_000, 200_000)
 
 
-class Budgets(Watcher):
+class BudgetWatcher(Watcher):
     """The most that was used of each cold server's budget, over any span of the rules' length."""
 
     def __init__(self, rules: spec.Rules) -> None:
         self._span = round(rules.fall_s * 1e6)
-        self._multiple = rules.fall_multiple * rules.fall_s
-        self._started: dict[int, tuple[int, Capacity]] = {}
-        self._sent: dict[int, deque[int]] = {}
+        self._budget_span_s = rules.fall_multiple * rules.fall_s
+        self._cold_starts: dict[int, tuple[int, Capacity]] = {}
+        self._send_times: dict[int, deque[int]] = {}
         self.used: dict[int, float] = {}
 
     def server_started(self, at: int, server: int, capacity: Capacity, cold: bool) -> None:
         if cold:
-            self._started[server] = at, capacity
-            self._sent[server], self.used[server] = deque(), 0.0
+            self._cold_starts[server] = at, capacity
+            self._send_times[server], self.used[server] = deque(), 0.0
 
     def sent(self, at: int, request: int, relay: int, server: int, first: int) -> None:
-        if server not in self._started:
+        if server not in self._cold_starts:
             return
-        sends, (start, capacity) = self._sent[server], self._started[server]
+        sends, (started_us, capacity) = self._send_times[server], self._cold_starts[server]
         sends.append(at)
         while sends[0] <= at - self._span:
             sends.popleft()
-        warmth = capacity.cold_share + (1 - capacity.cold_share) * min(1.0, (at - start) / capacity.cold_us)
-        budget = self._multiple * capacity.warm_per_s * warmth
+        warmth = capacity.cold_share + (1 - capacity.cold_share) * min(
+            1.0, (at - started_us) / capacity.cold_us
+        )
+        budget = self._budget_span_s * capacity.warm_per_s * warmth
         self.used[server] = max(self.used[server], len(sends) / budget)
 
 
@@ -67,10 +69,10 @@
         server_list=spec.ServerList(notice_s=0, add_s=0, period_ms=20, spread_ms=(0, 1)),
         faults=(spec.Fault(kind="restart_servers", at_s=0.0005, part=1.0),),
     )
-    budgets = Budgets(scenario.rules)
-    began = time.perf_counter()
+    budgets = BudgetWatcher(scenario.rules)
+    started_at = time.perf_counter()
     result = world.play(scenario, 1, watchers=[budgets])
-    used = np.array(list(budgets.used.values()))
+    used_parts = np.array(list(budgets.used.values()))
     figures = result.figures
     print(
         json.dumps(
@@ -78,7 +80,7 @@
                 "relays": relays,
                 "servers": servers,
                 "clients": figures["clients"],
-                "seconds": round(time.perf_counter() - began, 1),
+                "seconds": round(time.perf_counter() - started_at, 1),
                 "build_s": round(result.cost["build_s"], 1),
                 "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
                 "placed": result.answers["up"],
@@ -87,8 +89,8 @@
                 "wanted_at_the_end": result.series["wanted"].values[-1],
                 "set_up_ms": {name: us / 1000 for name, us in result.set_up["watch"].quantiles.items()},
                 "budget_used": {
-                    "median": round(float(np.median(used)), 3),
-                    "worst": round(float(used.max()), 3),
+                    "median": round(float(np.median(used_parts)), 3),
+                    "worst": round(float(used_parts.max()), 3),
                 },
                 "servers_fallen": figures["servers_fallen"],
                 "rules_broken": figures["rules_broken"],
--- a/benchmarks/cold_turns.py
+++ b/benchmarks/cold_turns.py
@@ -26,27 +26,29 @@
 
 import click
 
-from linnetspread import interface as i
+from linnetspread import interface
 from linnetspread.choice import Balancer
 
-SECOND = 1_000_000
-TICK_US = SECOND // 100
+SECOND_US = 1_000_000
+TICK_US = SECOND_US // 100
 RUSH_S = 2.0
 GROUP_SIZE = 8  # clients of one group, over the whole fleet
-COMES_BACK_US = 100_000  # after a MOVE
-SHARES = i.Tenant(1.0, quota_per_s=100.0, quota_connections=4_000.0)
-SETTINGS = i.Settings(
+RECONNECT_DELAY_US = 100_000  # after a MOVE
+TENANT = interface.Tenant(1.0, quota_per_s=100.0, quota_connections=4_000.0)
+SETTINGS = interface.Settings(
     classes=(
-        i.RequestClass(deadline_us=3 * SECOND, semantics=i.Semantics.REPEATABLE, message_aim_us=100_000.0),
+        interface.RequestClass(
+            deadline_us=3 * SECOND_US, semantics=interface.Semantics.REPEATABLE, message_aim_us=100_000.0
+        ),
     ),
-    tenants=(SHARES,),
+    tenants=(TENANT,),
     pass_through=True,
     tells_delay=True,
     max_attempts=4,
     cold_share=0.15,
-    cold_us=20 * SECOND,
+    cold_us=20 * SECOND_US,
     fall_multiple=3.0,
-    fall_us=3 * SECOND,
+    fall_us=3 * SECOND_US,
 )
 
 
@@ -55,27 +57,27 @@
     """One way in which clients come back. used: clients, as a part of what the shares tell."""
 
     name: str
-    used: float
-    back_per_s: float = 0.0  # 0: all of them within RUSH_S
+    client_ratio: float
+    returns_per_s: float = 0.0  # 0: all of them within RUSH_S
     rush_at_s: float = 0.0
-    all_anew: bool = False  # all servers start, and who is refused comes again
+    restart_all: bool = False  # all servers start, and who is refused comes again
     marked: bool = True  # clients say that they come back
 
 
 CASES = (
-    Case("steady, 0.4 of the shares", 0.4, back_per_s=300.0),
-    Case("steady, the whole shares", 1.0, back_per_s=300.0),
+    Case("steady, 0.4 of the shares", 0.4, returns_per_s=300.0),
+    Case("steady, the whole shares", 1.0, returns_per_s=300.0),
     Case("rush at once, 0.4 of the shares", 0.4),
     Case("rush at once, the whole shares", 1.0),
     Case("rush after 10 s, 0.4 of the shares", 0.4, rush_at_s=10.0),
     Case("rush after 10 s, the whole shares", 1.0, rush_at_s=10.0),
     Case("rush at once, the whole shares, unmarked", 1.0, marked=False),
     Case("rush after 10 s, the whole shares, unmarked", 1.0, rush_at_s=10.0, marked=False),
-    Case("all anew, 0.4 of the shares", 0.4, all_anew=True),
-    Case("all anew, the whole shares", 1.0, all_anew=True),
-    Case("all anew after 10 s, the whole shares", 1.0, rush_at_s=10.0, all_anew=True),
-    Case("all anew, 0.4 of the shares, unmarked", 0.4, all_anew=True, marked=False),
-    Case("all anew, the whole shares, unmarked", 1.0, all_anew=True, marked=False),
+    Case("all anew, 0.4 of the shares", 0.4, restart_all=True),
+    Case("all anew, the whole shares", 1.0, restart_all=True),
+    Case("all anew after 10 s, the whole shares", 1.0, rush_at_s=10.0, restart_all=True),
+    Case("all anew, 0.4 of the shares, unmarked", 0.4, restart_all=True, marked=False),
+    Case("all anew, the whole shares, unmarked", 1.0, restart_all=True, marked=False),
 )
 
 
@@ -89,19 +91,19 @@
     total: int = 0
     fullest: float = 0.0
 
-    def take(self, now: int) -> None:
+    def record_send(self, now: int) -> None:
         self.sends.append(now)
         self.total += 1
         while self.sends[0] <= now - SETTINGS.fall_us:
             self.sends.popleft()
-        allowed = self.allowed(max(self.started_us, now - SETTINGS.fall_us), now)
-        self.fullest = max(self.fullest, len(self.sends) / (allowed + 2 * math.sqrt(allowed) + 2))
+        allowed_calls = self.allowed_calls(max(self.started_us, now - SETTINGS.fall_us), now)
+        self.fullest = max(self.fullest, len(self.sends) / (allowed_calls + 2 * math.sqrt(allowed_calls) + 2))
 
-    def allowed(self, since: int, until: int) -> float:
+    def allowed_calls(self, since: int, until: int) -> float:
         """N: the multiple of what it can take in that time at the least, as it warms up evenly."""
         middle = (since + until) / 2 - self.started_us
         warmth = SETTINGS.cold_share + (1 - SETTINGS.cold_share) * min(1.0, middle / SETTINGS.cold_us)
-        return SETTINGS.fall_multiple * warmth * self.rate_per_s * (until - since) / SECOND
+        return SETTINGS.fall_multiple * warmth * self.rate_per_s * (until - since) / SECOND_US
 
 
 @dataclass(slots=True)
@@ -116,137 +118,140 @@
     """All gateways, the servers and their clients."""
 
     def __init__(self, gateways: int, servers: int, seed: int, clients: int) -> None:
-        self.chance = random.Random(seed)
-        self.now = 30 * SECOND
+        self.rng = random.Random(seed)
+        self.now = 30 * SECOND_US
         self.servers = list(range(100 + 1_000 * seed, 100 + 1_000 * seed + servers))
         self.gateways = [Balancer(replace(SETTINGS, gateways=gateways), slot) for slot in range(gateways)]
-        self.give_list(self.servers, 0, i.ListKind.FULL)
+        self.send_list(self.servers, 0, interface.ListKind.FULL)
         self.cold: dict[int, ColdServer] = {}
         self.requests = 0
         self.keys = 0
         self.clients = [self.new_client() for _ in range(clients)]
-        self.of_request: dict[int, Client] = {}
-        self.coming: list[tuple[int, int, Client]] = []  # moved clients: when, request, who
+        self.clients_by_request: dict[int, Client] = {}
+        self.moved: list[tuple[int, int, Client]] = []  # moved clients: when, request, who
         self.refused: list[tuple[int, int, Client]] = []  # when they come again, request, who
 
     def new_client(self) -> Client:
         self.keys += 1
         return Client(self.keys * 977)
 
-    def give_list(self, servers: Iterable[int], started_us: int, kind: i.ListKind) -> None:
-        lines = tuple(i.ListedServer(one, i.ServerState.READY, started_us=started_us) for one in servers)
+    def send_list(self, servers: Iterable[int], started_us: int, kind: interface.ListKind) -> None:
+        entries = tuple(
+            interface.ListedServer(server, interface.ServerState.READY, started_us=started_us)
+            for server in servers
+        )
         for gateway in self.gateways:
-            gateway.handle(self.now, i.ServerList(kind, 0, lines))
+            gateway.handle(self.now, interface.ServerList(kind, 0, entries))
 
-    def start_anew(self, everyone: bool) -> None:
+    def restart_servers(self, all_servers: bool) -> None:
         """All servers, or every second one."""
-        started = self.servers if everyone else self.servers[::2]
-        rate = SHARES.quota_per_s / len(self.servers)
+        started = self.servers if all_servers else self.servers[::2]
+        rate = TENANT.quota_per_s / len(self.servers)
         for client in self.clients:
             if client.server in started:
-                self.end(client, i.Outcome.RESET)
+                self.end_connection(client, interface.Outcome.RESET)
         self.cold = {server: ColdServer(self.now, rate) for server in started}
-        self.give_list(started, self.now, i.ListKind.DELTA)
+        self.send_list(started, self.now, interface.ListKind.DELTA)
 
-    def end(self, client: Client, outcome: i.Outcome) -> None:
+    def end_connection(self, client: Client, outcome: interface.Outcome) -> None:
         if client.request:
-            self.of_request.pop(client.request)
-            answer = i.Answer(client.request, 0, client.server, outcome, SECOND, done=True)
-            self.act(client.gateway, self.gateways[client.gateway].handle(self.now, answer))
+            self.clients_by_request.pop(client.request)
+            answer = interface.Answer(client.request, 0, client.server, outcome, SECOND_US, done=True)
+            self.apply_actions(client.gateway, self.gateways[client.gateway].handle(self.now, answer))
         client.request = client.server = 0
 
-    def come(self, client: Client, returning: bool) -> None:
-        self.end(client, i.Outcome.RESET)
+    def connect(self, client: Client, returning: bool) -> None:
+        self.end_connection(client, interface.Outcome.RESET)
         self.requests += 1
-        client.gateway = self.chance.randrange(len(self.gateways))
-        event = i.Request(
-            self.requests, 3 * SECOND, client.key, client.key // 977 // GROUP_SIZE + 1, returning=returning
+        client.gateway = self.rng.randrange(len(self.gateways))
+        event = interface.Request(
+            self.requests, 3 * SECOND_US, client.key, client.key // 977 // GROUP_SIZE + 1, returning=returning
         )
         gateway = self.gateways[client.gateway]
         actions = gateway.handle(self.now, event)
-        for attempt in (action for action in actions if isinstance(action, i.Attempt)):
+        for attempt in (action for action in actions if isinstance(action, interface.Attempt)):
             client.request, client.server = self.requests, attempt.server
-            self.of_request[self.requests] = client
+            self.clients_by_request[self.requests] = client
             if attempt.server in self.cold:
-                self.cold[attempt.server].take(self.now)
-            up = i.Established(self.requests, 0, attempt.server, 5_000)
+                self.cold[attempt.server].record_send(self.now)
+            up = interface.Established(self.requests, 0, attempt.server, 5_000)
             actions = actions + gateway.handle(self.now, up)
         if not client.request:
-            again = self.now + self.chance.randrange(SECOND // 2, SECOND * 3 // 2)
-            heapq.heappush(self.refused, (again, self.requests, client))
-        self.act(client.gateway, actions)
+            retry_at_us = self.now + self.rng.randrange(SECOND_US // 2, SECOND_US * 3 // 2)
+            heapq.heappush(self.refused, (retry_at_us, self.requests, client))
+        self.apply_actions(client.gateway, actions)
 
-    def act(self, gateway: int, actions: list[i.Action]) -> None:
+    def apply_actions(self, gateway: int, actions: list[interface.Action]) -> None:
         """Only a MOVE has effects here: the client ends its connection and comes back."""
-        for move in (action for action in actions if isinstance(action, i.Move)):
-            client = self.of_request.get(move.request)
+        for move in (action for action in actions if isinstance(action, interface.Move)):
+            client = self.clients_by_request.get(move.request)
             if client is not None:
-                heapq.heappush(self.coming, (self.now + COMES_BACK_US, move.request, client))
+                heapq.heappush(self.moved, (self.now + RECONNECT_DELAY_US, move.request, client))
 
-    def come_moved(self) -> None:
-        while self.coming and self.coming[0][0] <= self.now:
-            _, request, client = heapq.heappop(self.coming)
+    def reconnect_moved(self) -> None:
+        while self.moved and self.moved[0][0] <= self.now:
+            _, request, client = heapq.heappop(self.moved)
             if client.request == request:
-                self.end(client, i.Outcome.CANCELLED)
-                self.come(client, returning=True)
+                self.end_connection(client, interface.Outcome.CANCELLED)
+                self.connect(client, returning=True)
 
-    def come_refused(self, returning: bool) -> None:
+    def retry_refused(self, returning: bool) -> None:
         while self.refused and self.refused[0][0] <= self.now:
             client = heapq.heappop(self.refused)[2]
             if not client.request:
-                self.come(client, returning)
+                self.connect(client, returning)
 
-    def replace_one(self) -> None:
+    def replace_client(self) -> None:
         """One client leaves for good and a new one comes."""
-        place = self.chance.randrange(len(self.clients))
-        self.end(self.clients[place], i.Outcome.OK)
-        self.clients[place] = self.new_client()
-        self.come(self.clients[place], returning=False)
+        index = self.rng.randrange(len(self.clients))
+        self.end_connection(self.clients[index], interface.Outcome.OK)
+        self.clients[index] = self.new_client()
+        self.connect(self.clients[index], returning=False)
 
 
 class Arrivals:
     """Who comes in each tick of one case."""
 
     def __init__(self, fleet: Fleet, case: Case) -> None:
-        self.fleet, self.case, self.began = fleet, case, fleet.now
+        self.fleet, self.case, self.started_us = fleet, case, fleet.now
         self.waiting = fleet.clients.copy()  # of a rush: clients that have not come back yet
-        fleet.chance.shuffle(self.waiting)
-        self.new_due = self.back_due = 0.0
+        fleet.rng.shuffle(self.waiting)
+        self.new_due = self.returns_due = 0.0
 
     def tick(self) -> None:
-        self.fleet.come_moved()
-        if self.case.all_anew:
-            self.fleet.come_refused(self.case.marked)
-        if self.case.back_per_s:
+        self.fleet.reconnect_moved()
+        if self.case.restart_all:
+            self.fleet.retry_refused(self.case.marked)
+        if self.case.returns_per_s:
             self._steady()
-        elif self.fleet.now - self.began >= self.case.rush_at_s * SECOND:
+        elif self.fleet.now - self.started_us >= self.case.rush_at_s * SECOND_US:
             self._rush()
 
     def _steady(self) -> None:
-        self.new_due += self.case.used * SHARES.quota_per_s * TICK_US / SECOND
-        self.back_due += self.case.back_per_s * TICK_US / SECOND
+        self.new_due += self.case.client_ratio * TENANT.quota_per_s * TICK_US / SECOND_US
+        self.returns_due += self.case.returns_per_s * TICK_US / SECOND_US
         for _ in range(int(self.new_due)):
-            self.fleet.replace_one()
-        for _ in range(int(self.back_due)):
-            client = self.fleet.chance.choice(self.fleet.clients)
+            self.fleet.replace_client()
+        for _ in range(int(self.returns_due)):
+            client = self.fleet.rng.choice(self.fleet.clients)
             if client.server not in self.fleet.cold:
-                self.fleet.come(client, returning=True)
-        self.new_due, self.back_due = self.new_due % 1, self.back_due % 1
+                self.fleet.connect(client, returning=True)
+        self.new_due, self.returns_due = self.new_due % 1, self.returns_due % 1
 
     def _rush(self) -> None:
-        self.back_due += len(self.fleet.clients) / RUSH_S * TICK_US / SECOND
-        for _ in range(min(int(self.back_due), len(self.waiting))):
-            self.fleet.come(self.waiting.pop(), self.case.marked)
-        self.back_due %= 1
+        self.returns_due += len(self.fleet.clients) / RUSH_S * TICK_US / SECOND_US
+        for _ in range(min(int(self.returns_due), len(self.waiting))):
+            self.fleet.connect(self.waiting.pop(), self.case.marked)
+        self.returns_due %= 1
 
 
 def play(case: Case, gateways: int, servers: int, seed: int) -> list[ColdServer]:
     """All servers that started anew, when they are nearly warm."""
-    fleet = Fleet(gateways, servers, seed, round(case.used * SHARES.quota_connections))
-    if case.back_per_s:
+    fleet = Fleet(gateways, servers, seed, round(case.client_ratio * TENANT.quota_connections))
+    if case.returns_per_s:
         for client in fleet.clients:
-            fleet.come(client, returning=False)
-    fleet.start_anew(case.all_anew)
+            fleet.connect(client, returning=False)
+    fleet.restart_servers(case.restart_all)
     arrivals = Arrivals(fleet, case)
     for _ in range(SETTINGS.cold_us // TICK_US - 1):
         fleet.now += TICK_US
@@ -254,9 +259,11 @@
     return list(fleet.cold.values())
 
 
-def told(case: Case, cold: list[ColdServer]) -> dict[str, str | float]:
+def summarize(case: Case, cold: list[ColdServer]) -> dict[str, str | float]:
     """What is reported of one case; the figures as in the module's text."""
-    budget = sum(server.allowed(server.started_us, server.started_us + SETTINGS.cold_us) for server in cold)
+    budget = sum(
+        server.allowed_calls(server.started_us, server.started_us + SETTINGS.cold_us) for server in cold
+    )
     return {
         "case": case.name,
         "fullest": round(max(server.fullest for server in cold), 2),
@@ -274,7 +281,7 @@
     for case in CASES:
         cold = [server for seed in range(1, seeds + 1) for server in play(case, gateways, servers, seed)]
         falls += sum(server.fullest > 1 for server in cold)
-        click.echo(json.dumps(told(case, cold)))
+        click.echo(json.dumps(summarize(case, cold)))
     sys.exit(falls > 0)
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -35,14 +35,14 @@
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
 
 LENGTH_S = 62.0
-MASS_S = 2.0  # when the crowd comes
-ROLL_S = 6.0
-CROWD = 1000
-ONE_S = 0.05  # that discovery takes for one whole list
+BURST_AT_S = 2.0  # when the crowd comes
+ROLL_AT_S = 6.0
+BURST_CLIENTS = 1000
+LIST_RESPONSE_S = 0.05  # that discovery takes for one whole list
 DEADLINE_S = 10.0  # that an old process has to end
-STAND_INS = 4  # processes
-MOST_SHOWN = 5  # verdicts
-FLEET = {"stagger_s": 0.0, "window_s": 1.0, "settle_within_s": 20.0, "backoff_s": 0.5}
+STAND_IN_PROCESSES = 4  # processes
+MAX_SHOWN_VERDICTS = 5  # verdicts
+FLEET_SETTINGS = {"stagger_s": 0.0, "window_s": 1.0, "settle_within_s": 20.0, "backoff_s": 0.5}
 
 Figures = dict[str, Any]
 
@@ -68,76 +68,78 @@
 
 
 @dataclass
-class Day:
+class DayCourse:
     """The course. Spans are microseconds from the history's start."""
 
     most_out: int
     roll: tuple[int, int] = (0, 0)
-    said: dict[str, tuple[int, str]] = field(default_factory=dict)
-    starts: list[float] = field(default_factory=list)
-    down: list[tuple[int, int, int]] = field(default_factory=list)  # killed relays: since, until
+    command_results: dict[str, tuple[int, str]] = field(default_factory=dict)
+    start_times_s: list[float] = field(default_factory=list)
+    downtimes: list[tuple[int, int, int]] = field(default_factory=list)  # killed relays: since, until
 
     async def begin(self, daemons: Daemons) -> None:
         daemons.up()
         await daemons.all_ready()
         logs = [path.read_text() for path in daemons.folder.glob("supervisor/logs/*.log")]
-        self.starts = start_times(daemons, "\n".join(logs))
+        self.start_times_s = start_times(daemons, "\n".join(logs))
         await daemons.all_answer()
 
-    async def goes(self, course: Course) -> None:
-        await course.until_s(MASS_S + 1.0)
-        await self._kills(course, 0, draining=False)
+    async def run_course(self, course: Course) -> None:
+        await course.until_s(BURST_AT_S + 1.0)
+        await self._kill_relay(course, 0, draining=False)
         await course.daemons.all_ready()
-        await course.until_s(ROLL_S)
-        await self._rolls(course)
-        await self._reads_a_faulty_file(course)
-        await self._kills(course, 1, draining=True)
-        await self._kills_a_successor(course, 2)
-
-    async def _say(self, course: Course, what: str, *words: str) -> None:
-        said = await course.daemons.say(*words)
-        self.said[what] = said.status, said.out.strip()[-300:]
-        course.note(f"{what}: status {said.status}")
-
-    async def _rolls(self, course: Course) -> None:
-        daemons, begun = course.daemons, course.now_us()
-        await self._say(course, "roll", "fleet", "roll", "--most-out", str(self.most_out), "--no-wait")
-        await daemons.when(daemons.fleet, lambda one: _done(one) >= len(daemons.relays) // 4)
-        await self._say(course, "fleet reload in the roll", "fleet", "reload")
-        await self._say(course, "reload of all in the roll", "reload")
-        await daemons.when(daemons.fleet, lambda one: _done(one) >= len(daemons.relays) // 2)
+        await course.until_s(ROLL_AT_S)
+        await self._roll(course)
+        await self._reload_faulty_file(course)
+        await self._kill_relay(course, 1, draining=True)
+        await self._kill_successor(course, 2)
+
+    async def _run_command(self, course: Course, command: str, *words: str) -> None:
+        result = await course.daemons.say(*words)
+        self.command_results[command] = result.status, result.out.strip()[-300:]
+        course.note(f"{command}: status {result.status}")
+
+    async def _roll(self, course: Course) -> None:
+        daemons, started_us = course.daemons, course.now_us()
+        await self._run_command(
+            course, "roll", "fleet", "roll", "--most-out", str(self.most_out), "--no-wait"
+        )
+        await daemons.when(daemons.fleet, lambda one: _rolled_count(one) >= len(daemons.relays) // 4)
+        await self._run_command(course, "fleet reload in the roll", "fleet", "reload")
+        await self._run_command(course, "reload of all in the roll", "reload")
+        await daemons.when(daemons.fleet, lambda one: _rolled_count(one) >= len(daemons.relays) // 2)
         course.note("supervisor killed")
         daemons.kill_supervisor()
         daemons.up()
         await daemons.when(daemons.fleet, lambda one: one["roll"] is None or not one["roll"]["running"])
         last = await daemons.fleet()
         if last["roll"] is not None:
-            self.said["roll stopped"] = 1, str(last["roll"]["reason"])
-            await self._say(course, "roll continued", "fleet", "roll", "--continue")
+            self.command_results["roll stopped"] = 1, str(last["roll"]["reason"])
+            await self._run_command(course, "roll continued", "fleet", "roll", "--continue")
         await daemons.all_ready()
-        course.note("roll", begun)
-        self.roll = begun, course.now_us()
-
-    async def _reads_a_faulty_file(self, course: Course) -> None:
-        file = course.daemons.file
-        sound = file.read_text()
-        file.write_text(sound.replace("max_attempts = 5", 'max_attempts = "many"'))
-        await self._say(course, "fleet reload of a faulty file", "fleet", "reload")
-        await self._say(course, "reload of a faulty file", "reload")
-        file.write_text(sound)
-
-    async def _kills(self, course: Course, relay: int, draining: bool) -> None:
+        course.note("roll", started_us)
+        self.roll = started_us, course.now_us()
+
+    async def _reload_faulty_file(self, course: Course) -> None:
+        config_file = course.daemons.file
+        valid_text = config_file.read_text()
+        config_file.write_text(valid_text.replace("max_attempts = 5", 'max_attempts = "many"'))
+        await self._run_command(course, "fleet reload of a faulty file", "fleet", "reload")
+        await self._run_command(course, "reload of a faulty file", "reload")
+        config_file.write_text(valid_text)
+
+    async def _kill_relay(self, course: Course, relay: int, draining: bool) -> None:
         daemons, since = course.daemons, course.now_us()
         if draining:
-            await self._say(course, "drain", "drain", "--instance", str(relay + 1))
+            await self._run_command(course, "drain", "drain", "--instance", str(relay + 1))
             daemons.seen.stopping(course.clock.now_us(), relay)
             await daemons.in_state(relay, "finishing")
         killed = daemons.kill(relay)
         course.note("killed in its shutdown" if draining else "killed", relays=(relay,))
         await daemons.comes_back(relay, killed)
-        self.down.append((relay, since, course.now_us()))
+        self.downtimes.append((relay, since, course.now_us()))
 
-    async def _kills_a_successor(self, course: Course, relay: int) -> None:
+    async def _kill_successor(self, course: Course, relay: int) -> None:
         """The old process goes on serving, and nobody notices."""
         daemons = course.daemons
         process = daemons.run(relay)
@@ -146,71 +148,71 @@
         process.kill()
         course.note("new process killed before it was ready", relays=(relay,))
         status = await daemons.instance(relay)
-        self.said["old process after that"] = 0, str(status.get("state"))
+        self.command_results["old process after that"] = 0, str(status.get("state"))
 
 
-def _done(status: dict[str, Any]) -> int:
+def _rolled_count(status: dict[str, Any]) -> int:
     roll = status["roll"]
     return 1 << 30 if roll is None else len(roll["done"])
 
 
 def measure_day(
-    world: spec.Scenario, seed: int, most_out: int, processes: int, take_over: bool = True
+    day_scenario: spec.Scenario, seed: int, most_out: int, processes: int, take_over: bool = True
 ) -> tuple[Played, Figures]:
     """`world`: as `scenario` gives it."""
-    day = Day(most_out)
+    day = DayCourse(most_out)
     restart = {"deadline_s": DEADLINE_S, "take_over": take_over}
     played = play_fleet(
-        world,
+        day_scenario,
         seed,
         day.begin,
-        day.goes,
+        day.run_course,
         processes=processes,
-        crowds=Crowds(MASS_S, CROWD, ONE_S),
-        tables={"fleet": {**FLEET, "most_out": most_out}, "restart": restart},
+        crowds=Crowds(BURST_AT_S, BURST_CLIENTS, LIST_RESPONSE_S),
+        tables={"fleet": {**FLEET_SETTINGS, "most_out": most_out}, "restart": restart},
     )
-    return played, told(played, day)
+    return played, summarize(played, day)
 
 
-def told(played: Played, day: Day) -> Figures:
+def summarize(played: Played, day: DayCourse) -> Figures:
     result = played.result
     rules: dict[str, int] = {}
     for verdict in result.verdicts:
         rules[verdict.rule] = rules.get(verdict.rule, 0) + 1
-    begun, ended = (played.start + at for at in day.roll)
-    in_roll = [one for one in played.unreached if begun <= one[0] <= ended]
+    started_us, ended_us = (played.start + at for at in day.roll)
+    refused_in_roll = [one for one in played.unreached if started_us <= one[0] <= ended_us]
     lost = [
         values
         for name, values in played.records
-        if name == "ended" and begun <= values[0] <= ended and values[2] in (End.CUT, End.RELAY_DIED)
+        if name == "ended" and started_us <= values[0] <= ended_us and values[2] in (End.CUT, End.RELAY_DIED)
     ]
     cut = [
         values
         for name, values in played.records
-        if name == "answered" and values[2] == Final.CLOSED and begun <= values[0] <= ended
+        if name == "answered" and values[2] == Final.CLOSED and started_us <= values[0] <= ended_us
     ]
-    elsewhere = [
+    refused_elsewhere = [
         one
         for one in played.unreached
-        if not begun <= one[0] <= ended and not _down(day, one[1], one[0] - played.start)
+        if not started_us <= one[0] <= ended_us and not _is_down(day, one[1], one[0] - played.start)
     ]
     return {
         "requests": result.figures["requests"],
         "answers": result.answers,
-        "unanswered_as_their_relay_was_killed": unanswered(played.records),
+        "unanswered_as_their_relay_was_killed": count_unanswered(played.records),
         "verdicts": rules,
         "verdicts_left_out": result.verdicts_left_out,
         "roll_s": round((day.roll[1] - day.roll[0]) / SECOND_US, 1),
         "most_out": day.most_out,
-        "refused_connects_in_roll": len(in_roll),
+        "refused_connects_in_roll": len(refused_in_roll),
         "reset_before_answer_in_roll": len(cut),
         "lost_in_roll": len(lost),
         "moved": result.figures["moves"],
-        "refused_connects_of_killed": len(played.unreached) - len(in_roll) - len(elsewhere),
-        "refused_connects_else": len(elsewhere),
-        "down_s": [round((until - since) / SECOND_US, 2) for _, since, until in day.down],
-        "said": day.said,
-        "start_s": spread(day.starts),
+        "refused_connects_of_killed": len(played.unreached) - len(refused_in_roll) - len(refused_elsewhere),
+        "refused_connects_else": len(refused_elsewhere),
+        "down_s": [round((until - since) / SECOND_US, 2) for _, since, until in day.downtimes],
+        "said": day.command_results,
+        "start_s": spread(day.start_times_s),
         "set_up_ms": {at: us / 1000 for at, us in result.set_up["watch"].quantiles.items()},
         "service": round(result.figures["service"], 4),
         "worst_window": round(result.figures["worst_window"], 4),
@@ -221,19 +223,19 @@
     }
 
 
-def unanswered(records: Sequence[Record]) -> int:
+def count_unanswered(records: Sequence[Record]) -> int:
     """Requests taken whose connections ended without an answer, and whose clients did not leave before. The
     checker excuses those of a relay that died, and no others."""
-    over = {
+    answered = {
         values[1]
         for name, values in records
         if name == "left" or name == "answered" and values[2] != Final.CLOSED
     }
-    return sum(name == "taken" and values[1] not in over for name, values in records)
+    return sum(name == "taken" and values[1] not in answered for name, values in records)
 
 
-def _down(day: Day, relay: int, at: int) -> bool:
-    return any(killed == relay and since <= at <= until for killed, since, until in day.down)
+def _is_down(day: DayCourse, relay: int, at: int) -> bool:
+    return any(killed == relay and since <= at <= until for killed, since, until in day.downtimes)
 
 
 # ---- starts ----
@@ -242,14 +244,14 @@
 READY = re.compile(r'\{"time":"([^"]+)".*"instance":"([^"]+)".*"before":"waiting".*"state":"ready"')
 
 
-def started_at(pid: int) -> float:
+def process_started_at(pid: int) -> float:
     """Unix seconds, to 10 ms: when the kernel began that process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     age_s = time.clock_gettime(time.CLOCK_BOOTTIME) - int(fields[19]) / os.sysconf("SC_CLK_TCK")
     return time.time() - age_s
 
 
-def ready_at(log: str) -> dict[str, float]:
+def ready_times(log: str) -> dict[str, float]:
     """Unix seconds, by instance: when it last became ready after its start."""
     return {
         match[2]: datetime.fromisoformat(match[1]).timestamp()
@@ -260,19 +262,19 @@
 
 def start_times(daemons: Daemons, log: str) -> list[float]:
     """Seconds from each process's start to its being ready."""
-    ready = ready_at(log)
+    ready = ready_times(log)
     return [
-        ready[f"{NAME}-{relay + 1}"] - started_at(processes[-1].pid)
+        ready[f"{NAME}-{relay + 1}"] - process_started_at(processes[-1].pid)
         for relay, processes in daemons.processes().items()
     ]
 
 
 @dataclass
-class Starts:
+class StartsCourse:
     """So many starts of all instances at once, without a supervisor; the last ones serve for a moment."""
 
     repeats: int
-    found: list[float] = field(default_factory=list)
+    start_times_s: list[float] = field(default_factory=list)
 
     async def begin(self, daemons: Daemons) -> None:
         for n in range(self.repeats):
@@ -283,26 +285,31 @@
             async with trio.open_nursery() as nursery:
                 for relay in daemons.relays:
                     nursery.start_soon(daemons.in_state, relay, "ready")
-            self.found += start_times(daemons, (daemons.file.parent / "log").read_text())
+            self.start_times_s += start_times(daemons, (daemons.file.parent / "log").read_text())
         await daemons.all_answer()
 
-    async def goes(self, course: Course) -> None:
+    async def run_course(self, course: Course) -> None:
         """Nothing more."""
 
 
 def measure_starts(instances: int, seed: int, one_s: float, repeats: int) -> Figures:
-    course = Starts(repeats)
-    play_fleet(scenario(instances, 0.5), seed, course.begin, course.goes, crowds=Crowds(one_s=one_s))
-    return {"instances": instances, "discovery_one_s": one_s, "seed": seed, "ready_s": spread(course.found)}
+    course = StartsCourse(repeats)
+    play_fleet(scenario(instances, 0.5), seed, course.begin, course.run_course, crowds=Crowds(one_s=one_s))
+    return {
+        "instances": instances,
+        "discovery_one_s": one_s,
+        "seed": seed,
+        "ready_s": spread(course.start_times_s),
+    }
 
 
 def spread(values: Sequence[float]) -> Figures:
-    p50, p99, most = np.percentile(values, (50, 99, 100))
+    p50, p99, maximum = np.percentile(values, (50, 99, 100))
     return {
         "n": len(values),
         "p50": round(float(p50), 3),
         "p99": round(float(p99), 3),
-        "most": round(float(most), 3),
+        "most": round(float(maximum), 3),
     }
 
 
@@ -313,7 +320,11 @@
 @click.option("--most-out", type=click.IntRange(1, 100), default=2, show_default=True)
 @click.option("--repeats", type=click.IntRange(1, 20), default=3, show_default=True, help="Of starts.")
 @click.option(
-    "--processes", type=click.IntRange(0, 16), default=STAND_INS, show_default=True, help="Of stand-ins."
+    "--processes",
+    type=click.IntRange(0, 16),
+    default=STAND_IN_PROCESSES,
+    show_default=True,
+    help="Of stand-ins.",
 )
 @click.option(
     "--take-over/--no-take-over",
@@ -336,13 +347,13 @@
         for count, one_s, times in (
             (1, 0.0, 5 * repeats),
             (instances, 0.0, repeats),
-            (instances, ONE_S, repeats),
+            (instances, LIST_RESPONSE_S, repeats),
         ):
             click.echo(json.dumps(measure_starts(count, seed, one_s, times)))
         return
     played, figures = measure_day(scenario(instances, LENGTH_S), seed, most_out, processes, take_over)
     click.echo(json.dumps({"instances": instances, "seed": seed} | figures))
-    for verdict in played.result.verdicts[:MOST_SHOWN]:
+    for verdict in played.result.verdicts[:MAX_SHOWN_VERDICTS]:
         click.echo(f"{verdict.rule} at {verdict.at_us / SECOND_US:.3f} s: " + "; ".join(verdict.evidence))
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/intervals.py
+++ b/benchmarks/intervals.py
@@ -22,7 +22,9 @@
 RESAMPLES = 4_000
 
 
-def kinds(random: np.random.Generator, shape: tuple[int, int]) -> Iterator[tuple[str, Floats, float]]:
+def difference_samples(
+    random: np.random.Generator, shape: tuple[int, int]
+) -> Iterator[tuple[str, Floats, float]]:
     """Differences as experiments give them: most of them nothing, or a few large ones."""
     yield "normal", random.normal(0, 1, shape), 0.0
     yield "lognormal", random.lognormal(0, 1, shape), math.exp(0.5)
@@ -34,45 +36,45 @@
 def intervals(values: Floats, means: Floats) -> Iterator[tuple[str, Floats, Floats]]:
     """values: samples by pairs. means: of their resamples, in order."""
     samples, count = values.shape
-    outside = np.full(samples, 0.025)
-    yield "percentile", *_between(means, outside, 1 - outside)
+    tail = np.full(samples, 0.025)
+    yield "percentile", *_between(means, tail, 1 - tail)
     yield "BCa", *_between(means, *_bca(values, means))
-    far = NORMAL.cdf(-math.sqrt(count / (count - 1)) * t_quantile(0.975, count - 1))
-    yield "expanded", *_between(means, np.full(samples, far), np.full(samples, 1 - far))
+    expanded_tail = NORMAL.cdf(-math.sqrt(count / (count - 1)) * t_quantile(0.975, count - 1))
+    yield "expanded", *_between(means, np.full(samples, expanded_tail), np.full(samples, 1 - expanded_tail))
 
 
 def _between(means: Floats, low: Floats, high: Floats) -> tuple[Floats, Floats]:
-    rows, most = np.arange(len(means)), means.shape[1] - 1
-    ends = [np.clip((part * means.shape[1]).astype(int), 0, most) for part in (low, high)]
-    return means[rows, ends[0]], means[rows, ends[1]]
+    rows, last = np.arange(len(means)), means.shape[1] - 1
+    bounds = [np.clip((fraction * means.shape[1]).astype(int), 0, last) for fraction in (low, high)]
+    return means[rows, bounds[0]], means[rows, bounds[1]]
 
 
 def _bca(values: Floats, means: Floats) -> tuple[Floats, Floats]:
     """Bias-corrected and accelerated (B. Efron, 1987)."""
     mean = values.mean(axis=1, keepdims=True)
     below = ((means < mean).mean(axis=1) + (means == mean).mean(axis=1) / 2).clip(1e-4, 1 - 1e-4)
-    bias = np.array([NORMAL.inv_cdf(part) for part in below])
-    off = (values - mean) / (values.shape[1] - 1)  # the jackknife's, with its sign turned
-    spread = 6 * (off**2).sum(axis=1) ** 1.5
-    skew = np.divide((off**3).sum(axis=1), spread, out=np.zeros(len(values)), where=spread > 0)
-    ends = []
+    bias = np.array([NORMAL.inv_cdf(fraction) for fraction in below])
+    deviations = (values - mean) / (values.shape[1] - 1)  # the jackknife's, with its sign turned
+    spread = 6 * (deviations**2).sum(axis=1) ** 1.5
+    skew = np.divide((deviations**3).sum(axis=1), spread, out=np.zeros(len(values)), where=spread > 0)
+    bounds = []
     for z in (NORMAL.inv_cdf(0.025), NORMAL.inv_cdf(0.975)):
-        ends.append(np.array([NORMAL.cdf(x) for x in bias + (bias + z) / (1 - skew * (bias + z))]))
-    return ends[0], ends[1]
+        bounds.append(np.array([NORMAL.cdf(x) for x in bias + (bias + z) / (1 - skew * (bias + z))]))
+    return bounds[0], bounds[1]
 
 
 def main(trials: int) -> None:
     random = np.random.default_rng(1)
     for count in (6, 10, 20, 40):
         drawn = random.integers(0, count, (RESAMPLES, count))
-        weights = np.stack([(drawn == place).mean(axis=1) for place in range(count)])
-        for kind, values, truth in kinds(random, (trials, count)):
+        weights = np.stack([(drawn == index).mean(axis=1) for index in range(count)])
+        for kind, values, true_mean in difference_samples(random, (trials, count)):
             means = np.sort(values @ weights, axis=1)
-            told = [
-                f"{name} {((low <= truth) & (truth <= high)).mean():.3f} ({(high - low).mean():.2f})"
+            columns = [
+                f"{name} {((low <= true_mean) & (true_mean <= high)).mean():.3f} ({(high - low).mean():.2f})"
                 for name, low, high in intervals(values, means)
             ]
-            print(f"{count:3} pairs, {kind:31}", "  ".join(told))
+            print(f"{count:3} pairs, {kind:31}", "  ".join(columns))
 
 
 if __name__ == "__main__":
--- a/benchmarks/leave.py
+++ b/benchmarks/leave.py
@@ -26,11 +26,11 @@
 from pathlib import Path
 from typing import Any
 
-SERVERS = 20
-OPENING = 64  # clients that wait for their UP at once
-KILL_S = 3.7
+SERVER_COUNT = 20
+MAX_OPENING_CLIENTS = 64  # clients that wait for their UP at once
+KILL_AFTER_S = 3.7
 SETTLE_S = 2.0
-SPARE = 200  # descriptors beside those of connections
+SPARE_DESCRIPTORS = 200  # descriptors beside those of connections
 SETTINGS: dict[str, Any] = {
     "classes": [
         {
@@ -51,67 +51,67 @@
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--tree", type=Path, default=Path(__file__).parent.parent)
-    words.add_argument("--lines-every", type=float, default=10.0)
-    words.add_argument("--through", action="store_true")
-    words.add_argument("--log", action="store_true")
-    words.add_argument("sizes", nargs="*", type=int)
-    told = words.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--tree", type=Path, default=Path(__file__).parent.parent)
+    parser.add_argument("--lines-every", type=float, default=10.0)
+    parser.add_argument("--through", action="store_true")
+    parser.add_argument("--log", action="store_true")
+    parser.add_argument("sizes", nargs="*", type=int)
+    options = parser.parse_args()
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # so that the processes below end too
-    hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    for size in told.sizes or (1000, 3000, 6000):
-        if 2 * size + SPARE > hard:
-            print(json.dumps({"size": size, "left_out": f"only {hard} descriptors"}), flush=True)
+    max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
+    for size in options.sizes or (1000, 3000, 6000):
+        if 2 * size + SPARE_DESCRIPTORS > max_descriptors:
+            print(json.dumps({"size": size, "left_out": f"only {max_descriptors} descriptors"}), flush=True)
             continue
-        print(json.dumps(measure(told, size)), flush=True)
+        print(json.dumps(measure(options, size)), flush=True)
     return 0
 
 
-def measure(told: argparse.Namespace, size: int) -> dict[str, Any]:
+def measure(options: argparse.Namespace, size: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as folder:
         to_servers, servers_end = mp.Pipe()
         servers = mp.Process(target=play_servers, args=(servers_end,), daemon=True)
         servers.start()
         log = Path(folder) / "log"
-        relay, port = start_relay(told, Path(folder), to_servers.recv(), size)
+        relay, port = start_relay(options, Path(folder), to_servers.recv(), size)
         to_clients, clients_end = mp.Pipe()
         clients = mp.Process(
-            target=play_clients, daemon=True, args=(clients_end, port, size, told.lines_every)
+            target=play_clients, daemon=True, args=(clients_end, port, size, options.lines_every)
         )
         clients.start()
         clients_end.close()
         try:
             opened_s = to_clients.recv()
             time.sleep(SETTLE_S)
-            stopped = time.monotonic()
+            stopped_at = time.monotonic()
             relay.send_signal(signal.SIGTERM)
             try:
-                relay.wait(KILL_S)
+                relay.wait(KILL_AFTER_S)
             except subprocess.TimeoutExpired:
                 relay.kill()
-            over_s = time.monotonic() - stopped
-            to_clients.send(stopped)
-            found: dict[str, Any] = to_clients.recv()
+            over_s = time.monotonic() - stopped_at
+            to_clients.send(stopped_at)
+            figures: dict[str, Any] = to_clients.recv()
         finally:
             for process in (relay, clients, servers):
                 process.kill()
             relay.wait()
-        if told.log:
+        if options.log:
             print(log.read_text(), file=sys.stderr)
         return {
             "size": size,
-            "through": told.through,
+            "through": options.through,
             "opened_s": round(opened_s, 1),
-            **found,
+            **figures,
             "exit_s": round(over_s, 2),
             "killed": relay.returncode == -signal.SIGKILL,
         }
 
 
 def start_relay(
-    told: argparse.Namespace, folder: Path, ports: list[int], size: int
+    options: argparse.Namespace, folder: Path, ports: list[int], size: int
 ) -> tuple[subprocess.Popen[bytes], int]:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
@@ -129,7 +129,7 @@
         }
         for n, at in enumerate(ports)
     ]
-    extra = {"extra": {"mode": "pass"}} if told.through else {}
+    extra = {"extra": {"mode": "pass"}} if options.through else {}
     (folder / "config.json").write_text(
         json.dumps(
             {
@@ -137,7 +137,7 @@
                 "listen": f"127.0.0.1:{port}",
                 "discovery": "127.0.0.1:9",
                 "seed": "1f",
-                "limits": {"sockets": 2 * size + SPARE},
+                "limits": {"sockets": 2 * size + SPARE_DESCRIPTORS},
                 "known": {"seq": 1, "whole": True, "hosts": hosts},
                 "settings": SETTINGS | extra,
             }
@@ -146,11 +146,11 @@
     with (folder / "log").open("wb") as log:
         relay = subprocess.Popen(
             [sys.executable, "-m", "glenfold"],
-            cwd=told.tree,
+            cwd=options.tree,
             stdout=log,
             stderr=log,
             stdin=subprocess.DEVNULL,
-            env={**os.environ, "LB_CONFIG": str(folder / "config.json"), "PYTHONPATH": str(told.tree)},
+            env={**os.environ, "LB_CONFIG": str(folder / "config.json"), "PYTHONPATH": str(options.tree)},
         )
     for _ in range(500):
         with socket.socket() as probe:
@@ -166,7 +166,7 @@
 
 def play_servers(parent: Connection) -> None:
     poll, socks, listeners = select.epoll(), {}, {}
-    for _ in range(SERVERS):
+    for _ in range(SERVER_COUNT):
         sock = socket.create_server(("127.0.0.1", 0), backlog=1024)
         sock.setblocking(False)
         listeners[sock.fileno()] = sock
@@ -178,11 +178,11 @@
                 sock, _ = listeners[number].accept()
                 socks[sock.fileno()] = sock
                 poll.register(sock, select.EPOLLIN)
-            elif not answer(socks[number]):
+            elif not answer_line(socks[number]):
                 socks.pop(number).close()
 
 
-def answer(sock: socket.socket) -> bool:
+def answer_line(sock: socket.socket) -> bool:
     try:
         data = sock.recv(4096)
         if data:
@@ -199,86 +199,90 @@
     """All connections to one relay; `ends`: how each was over, and when."""
 
     def __init__(self, port: int, size: int, lines_every: float) -> None:
-        self.port, self.size, self.every = port, size, lines_every
+        self.port, self.size, self.line_interval_s = port, size, lines_every
         self.poll = select.epoll()
         self.socks: dict[int, socket.socket] = {}
-        self.heard: dict[int, bytes] = {}
+        self.received: dict[int, bytes] = {}
         self.up = 0
-        self.ends: list[tuple[str, float]] = []
-        self.due: list[tuple[float, int]] = []
+        self.endings: list[tuple[str, float]] = []
+        self.lines_due: list[tuple[float, int]] = []
 
     def open_all(self) -> None:
-        begun = 0
+        opened = 0
         while self.up < self.size:
-            while begun < self.size and begun - self.up < OPENING:
-                self._open(begun)
-                begun += 1
-            self.turn()
-            begun -= len(self.ends)  # refused: they come again
-            self.ends.clear()
+            while opened < self.size and opened - self.up < MAX_OPENING_CLIENTS:
+                self._open(opened)
+                opened += 1
+            self.poll_once()
+            opened -= len(self.endings)  # refused: they come again
+            self.endings.clear()
         now = time.monotonic()
-        self.due = sorted((now + self.every * (number % 997) / 997, number) for number in self.socks)
+        self.lines_due = sorted(
+            (now + self.line_interval_s * (number % 997) / 997, number) for number in self.socks
+        )
 
     def _open(self, number: int) -> None:
         sock = socket.create_connection(("127.0.0.1", self.port))
         kind = "feed" if number % 10 == 0 else "watch"
         sock.send(b"OPEN %x %x c=%s,t=valleys,d=3000,g=%x\r\n" % (number, number, kind.encode(), number))
         sock.setblocking(False)
-        self.socks[sock.fileno()], self.heard[sock.fileno()] = sock, b""
+        self.socks[sock.fileno()], self.received[sock.fileno()] = sock, b""
         self.poll.register(sock, select.EPOLLIN)
 
-    def turn(self) -> None:
+    def poll_once(self) -> None:
         """What has come, and the lines that are due."""
         for number, _ in self.poll.poll(0.005):
             self._read(number)
         now = time.monotonic()
-        while self.due and self.due[0][0] <= now:
-            at, number = heapq.heappop(self.due)
+        while self.lines_due and self.lines_due[0][0] <= now:
+            at, number = heapq.heappop(self.lines_due)
             if number in self.socks:
                 try:
                     self.socks[number].send(b"hello\r\n")
                 except OSError:
                     continue  # its end is read next
-                heapq.heappush(self.due, (at + self.every, number))
+                heapq.heappush(self.lines_due, (at + self.line_interval_s, number))
 
     def _read(self, number: int) -> None:
         try:
             data = self.socks[number].recv(4096)
         except OSError:
             data = b""
-        before, self.heard[number] = self.heard[number], (self.heard[number] + data)[-100:]
+        before, self.received[number] = self.received[number], (self.received[number] + data)[-100:]
         if not data:
-            self._over(number)
+            self._record_end(number)
         elif not before and data.startswith(b"UP"):
             self.up += 1
 
-    def _over(self, number: int) -> None:
+    def _record_end(self, number: int) -> None:
         self.socks.pop(number).close()
-        last = self.heard.pop(number)
-        whole = "moved" if last.endswith(b"\r\nMOVE\r\n") else "cut"
-        how = whole if last.endswith(b"\r\n") else "within_a_line"
-        self.ends.append((how, time.monotonic()))
+        last = self.received.pop(number)
+        complete_ending = "moved" if last.endswith(b"\r\nMOVE\r\n") else "cut"
+        ending = complete_ending if last.endswith(b"\r\n") else "within_a_line"
+        self.endings.append((ending, time.monotonic()))
 
 
 def play_clients(parent: Connection, port: int, size: int, lines_every: float) -> None:
-    clients, began = Clients(port, size, lines_every), time.monotonic()
+    clients, started_at = Clients(port, size, lines_every), time.monotonic()
     clients.open_all()
-    parent.send(time.monotonic() - began)
+    parent.send(time.monotonic() - started_at)
     while clients.socks and not parent.poll():
-        clients.turn()
-    stopped = parent.recv()
+        clients.poll_once()
+    stopped_at = parent.recv()
     until = time.monotonic() + 5.0
     while clients.socks and time.monotonic() < until:
-        clients.turn()
-    counted = Counter(how for how, _ in clients.ends)
-    moments = sorted(at - stopped for how, at in clients.ends if how == "moved")
+        clients.poll_once()
+    counted = Counter(ending for ending, _ in clients.endings)
+    move_times = sorted(at - stopped_at for ending, at in clients.endings if ending == "moved")
     parent.send(
         {
             "moved": counted["moved"],
             "cut": counted["cut"],
             "within_a_line": counted["within_a_line"],
             "still_open": len(clients.socks),
-            "moves_s": [round(moments[n * (len(moments) - 1) // 4], 2) for n in range(5)] if moments else [],
+            "moves_s": [round(move_times[n * (len(move_times) - 1) // 4], 2) for n in range(5)]
+            if move_times
+            else [],
         }
     )
 
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -39,17 +39,17 @@
 from glenfold_lab.stand_ins.script import draw
 from glenfold_lab.stand_ins.seen import Seen
 
-COUNT = 20  # of relays, and of push servers
-WORKERS = 2
-LATE_US = 5_000
+NODE_COUNT = 20  # of relays, and of push servers
+WORKER_COUNT = 2
+LATE_THRESHOLD_US = 5_000
 SETTLE_US = 2 * SECOND_US  # from the last relay's being ready to the load's start
-AFTER_S = 4.0  # that the stand-ins stay after the last start
-SOCKETS = 4096  # of a relay
+STAND_IN_LINGER_S = 4.0  # that the stand-ins stay after the last start
+RELAY_SOCKETS = 4096  # of a relay
 
 Figures = dict[str, Any]
 
 
-class Unsealed(Part):
+class UnsealedPart(Part):
     """Push servers that take the lines of any client: those of a load bear no seal of a run."""
 
     async def bind(self) -> Places:
@@ -67,40 +67,40 @@
         name="load-tool",
         guards_against="a load that measures itself",
         classes=(spec.RequestClass(name="watch", load_sigma=0.5, set_up_ms=3.0),),
-        length_s=seconds + AFTER_S,
+        length_s=seconds + STAND_IN_LINGER_S,
         zones=spec.Zones(names=("one",), same_ms=0.2),
-        servers=spec.Servers(count=COUNT, kinds=(kind,), group_cost=0.0),
-        relays=spec.Relays(count=COUNT, sockets=SOCKETS),
+        servers=spec.Servers(count=NODE_COUNT, kinds=(kind,), group_cost=0.0),
+        relays=spec.Relays(count=NODE_COUNT, sockets=RELAY_SOCKETS),
         clients=spec.Clients(load=0.3, standing=False),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestedLoad:
     rate: float
     seconds: float
     life: float
 
     def offer(self, targets: Sequence[Address]) -> Offer:
-        kinds = (terms.LoadClass(name="watch", life_s=self.life),)
+        classes = (terms.LoadClass(name="watch", life_s=self.life),)
         arrivals = (terms.Arrivals(rate=self.rate, for_s=self.seconds, process="poisson"),)
-        asked = terms.LoadPlan(format=1, arrivals=arrivals, classes=kinds)
-        return Offer(asked, targets, 20_000, window_us(plan.length_us(asked)))
+        load_plan = terms.LoadPlan(format=1, arrivals=arrivals, classes=classes)
+        return Offer(load_plan, targets, 20_000, window_us(plan.length_us(load_plan)))
 
     def measure(self, targets: Sequence[Address], seed: int) -> LoadResult:
         offer = self.offer(targets)
         clients, length_us = plan.draw(offer.terms, seed, len(targets)), plan.length_us(offer.terms)
-        reports = worker_pool.offer_all(offer, clients, WORKERS, lambda: False)
-        return summarize(seed, offer, clients, length_us, reports, LATE_US, False)
+        reports = worker_pool.offer_all(offer, clients, WORKER_COUNT, lambda: False)
+        return summarize(seed, offer, clients, length_us, reports, LATE_THRESHOLD_US, False)
 
 
 @contextmanager
-def beside_the_load() -> Iterator[None]:
+def keep_off_load_cores() -> Iterator[None]:
     """What is started inside stays off the cores that the load's workers take after it."""
     process = psutil.Process()
     cores = process.cpu_affinity()
-    own = {core for some in worker_pool.cores_for(WORKERS) for core in some}
-    process.cpu_affinity([core for core in cores if core not in own] or cores)
+    load_cores = {core for worker_cores in worker_pool.cores_for(WORKER_COUNT) for core in worker_cores}
+    process.cpu_affinity([core for core in cores if core not in load_cores] or cores)
     try:
         yield
     finally:
@@ -110,44 +110,45 @@
 # ---- the two arrangements ----
 
 
-def against_echo(asked: Asked, seed: int) -> Figures:
-    with beside_the_load():
+def measure_echo(load: RequestedLoad, seed: int) -> Figures:
+    with keep_off_load_cores():
         cores = psutil.Process().cpu_affinity()
-    with echoes(WORKERS, cores) as targets:
-        return figures(asked.measure(targets, seed))
+    with echoes(WORKER_COUNT, cores) as targets:
+        return figures(load.measure(targets, seed))
 
 
-def against_relays(asked: Asked, seed: int) -> Figures:
+def measure_relays(load: RequestedLoad, seed: int) -> Figures:
     with tempfile.TemporaryDirectory(prefix="glenfold-load-") as folder:
-        return trio.run(play, asked, seed, Path(folder))
+        return trio.run(play, load, seed, Path(folder))
 
 
-async def play(asked: Asked, seed: int, folder: Path) -> Figures:
-    return await Fleet(asked, seed, folder).measure()
+async def play(load: RequestedLoad, seed: int, folder: Path) -> Figures:
+    return await Fleet(load, seed, folder).measure()
 
 
 class Fleet:
     """The relays, and the stand-ins that they need."""
 
-    def __init__(self, asked: Asked, seed: int, folder: Path) -> None:
-        self._asked, self._seed, self._folder = asked, seed, folder
-        self._scenario = scenario(asked.seconds)
+    def __init__(self, load: RequestedLoad, seed: int, folder: Path) -> None:
+        self._load, self._seed, self._folder = load, seed, folder
+        self._scenario = scenario(load.seconds)
         self._script = draw(self._scenario, seed)
         self._clock, self._seen, self._net = MachineClock(), Seen(), Net()
-        self._begin, self._times = trio.Event(), Times(0, 0)
+        self._times_set, self._times = trio.Event(), Times(0, 0)
 
     async def measure(self) -> Figures:
         parts = [
-            Unsealed(self._scenario, self._seed, Share(n, (n,), (n,), None), self._net) for n in range(COUNT)
+            UnsealedPart(self._scenario, self._seed, Share(n, (n,), (n,), None), self._net)
+            for n in range(NODE_COUNT)
         ]
-        with beside_the_load(), remote(parts) as played:
-            places = Places(relays=[free_address(self._net.host(RELAYS, n)) for n in range(COUNT)])
-            for part in played:
+        with keep_off_load_cores(), remote(parts) as remote_parts:
+            places = Places(relays=[free_address(self._net.host(RELAYS, n)) for n in range(NODE_COUNT)])
+            for part in remote_parts:
                 places |= await part.bind()
-            relays = [self._relay(n, places) for n in range(COUNT)]
+            relays = [self._relay(n, places) for n in range(NODE_COUNT)]
             keeper = Keeper(self._script, self._seed, relays, places, self._seen, self._clock)
             async with ended_in_the_end(relays):
-                return await self._play(played, places, relays, keeper)
+                return await self._run_parts(remote_parts, places, relays, keeper)
 
     def _relay(self, n: int, places: Places) -> RelayProcess:
         settings = settings_json(self._scenario, self._script.fleet.terms, n, 0)
@@ -158,46 +159,50 @@
             places.relays[n],
             places.agents[n],
             settings,
-            Limits(sockets=SOCKETS),
+            Limits(sockets=RELAY_SOCKETS),
             self._seen,
             self._clock,
         )
 
-    async def _play(
-        self, played: Sequence[RemotePart], places: Places, relays: Sequence[RelayProcess], keeper: Keeper
+    async def _run_parts(
+        self,
+        remote_parts: Sequence[RemotePart],
+        places: Places,
+        relays: Sequence[RelayProcess],
+        keeper: Keeper,
     ) -> Figures:
         async with trio.open_nursery() as nursery:
             async with trio.open_nursery() as parts:
-                for part in played:
-                    parts.start_soon(part.play, places, self._begun, lambda _: None)
+                for part in remote_parts:
+                    parts.start_soon(part.play, places, self._wait_for_times, lambda _: None)
                 await keeper.start_all()
                 start = self._clock.now_us() + SETTLE_US
                 self._times = Times(start, start)
-                self._begin.set()
+                self._times_set.set()
                 nursery.start_soon(keeper.run, start)
                 await self._clock.until(start)
-                found = await self._loaded(places, relays)
+                found = await self._measure_load(places, relays)
             nursery.cancel_scope.cancel()
-        late_ms = [percentile(part.report().late_ms, 99) for part in played]
-        faults = [*self._seen.faults, *(fault for part in played for fault in part.report().faults)]
-        return found | {"stand_ins_late_p99_ms": spread(late_ms), "faults": len(faults)}
+        late_ms = [percentile(part.report().late_ms, 99) for part in remote_parts]
+        errors = [*self._seen.faults, *(fault for part in remote_parts for fault in part.report().faults)]
+        return found | {"stand_ins_late_p99_ms": spread(late_ms), "faults": len(errors)}
 
-    async def _begun(self) -> Times:
-        await self._begin.wait()
+    async def _wait_for_times(self) -> Times:
+        await self._times_set.wait()
         return self._times
 
-    async def _loaded(self, places: Places, relays: Sequence[RelayProcess]) -> Figures:
+    async def _measure_load(self, places: Places, relays: Sequence[RelayProcess]) -> Figures:
         before = cpu_s(relays)
-        began = trio.current_time()
+        started_at = trio.current_time()
         psutil.Process().cpu_affinity(list(range(psutil.cpu_count())))
-        result = await trio.to_thread.run_sync(self._asked.measure, places.relays, self._seed)
-        took_s = trio.current_time() - began
-        spent = [after - first for after, first in zip(cpu_s(relays), before, strict=True)]
-        share = [seconds / took_s for seconds in spent]
+        result = await trio.to_thread.run_sync(self._load.measure, places.relays, self._seed)
+        took_s = trio.current_time() - started_at
+        cpu_used_s = [after - first for after, first in zip(cpu_s(relays), before, strict=True)]
+        share = [seconds / took_s for seconds in cpu_used_s]
         return figures(result) | {
             "relay_cores": spread(share),
             "relays_cores_together": round(sum(share), 2),
-            "relay_cpu_ms_a_start": round(1000 * sum(spent) / result.started, 3),
+            "relay_cpu_ms_a_start": round(1000 * sum(cpu_used_s) / result.started, 3),
             "relay_peak_mb": spread([relay.usage.peak_mb for relay in relays]),
         }
 
@@ -219,7 +224,7 @@
     }
 
 
-def in_ms(values: Distribution) -> dict[str, float]:
+def quantiles_ms(values: Distribution) -> dict[str, float]:
     return {at: round(us / 1000, 2) for at, us in values.quantiles.items()}
 
 
@@ -230,10 +235,10 @@
         "started": result.started,
         "marks": result.marks,
         "answers": {kind: values.count for kind, values in result.answers.items()},
-        "lateness_ms": in_ms(result.lateness),
-        "line_lateness_ms": in_ms(result.line_lateness),
-        "set_up_ms": in_ms(result.set_up["watch"]),
-        "lines_ms": in_ms(result.lines),
+        "lateness_ms": quantiles_ms(result.lateness),
+        "line_lateness_ms": quantiles_ms(result.line_lateness),
+        "set_up_ms": quantiles_ms(result.set_up["watch"]),
+        "lines_ms": quantiles_ms(result.lines),
         "lines": result.lines.count,
         "lines_unanswered": result.lines_unanswered,
         "standing": result.standing,
@@ -243,7 +248,7 @@
     }
 
 
-def over_repeats(repeats: Sequence[Figures]) -> Figures:
+def summarize_repeats(repeats: Sequence[Figures]) -> Figures:
     """Of the figures that are measured, what they came to over all repeats."""
     return {
         f"{name} {at}": spread([repeat[name][at] for repeat in repeats])
@@ -264,14 +269,20 @@
 @click.option("--life", type=click.FloatRange(0.1), default=10.0, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 def main(against: str, repeats: int, seconds: float, rate: float, life: float, seed: int) -> None:
-    asked = Asked(rate, seconds, life)
-    measure = against_relays if against == "relays" else against_echo
-    told = {"benchmark": "load_tool", "against": against, "rate": rate, "seconds": seconds, "life_s": life}
+    load = RequestedLoad(rate, seconds, life)
+    measure = measure_relays if against == "relays" else measure_echo
+    parameters = {
+        "benchmark": "load_tool",
+        "against": against,
+        "rate": rate,
+        "seconds": seconds,
+        "life_s": life,
+    }
     found = []
     for n in range(repeats):
-        found.append(measure(asked, seed + n))
-        click.echo(json.dumps(told | found[-1]))
-    click.echo(json.dumps(told | {"repeats": repeats} | over_repeats(found)))
+        found.append(measure(load, seed + n))
+        click.echo(json.dumps(parameters | found[-1]))
+    click.echo(json.dumps(parameters | {"repeats": repeats} | summarize_repeats(found)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -37,16 +37,16 @@
         relays=spec.Relays(count=100),
         clients=spec.Clients(connections=connections, life_s=60, group_size=20, group_zipf=0.5),
     )
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     result = world.play(scenario, 1)
-    seconds, built = time.perf_counter() - began, result.cost["build_s"]
-    came = result.figures["clients"]
+    elapsed_s, build_s = time.perf_counter() - started_at, result.cost["build_s"]
+    clients = result.figures["clients"]
     return {
-        "connections": came,
-        "seconds": seconds,
-        "build_s": built,
-        "us_each": seconds / came * 1e6,
-        "us_each_without_building": (seconds - built) / came * 1e6,
+        "connections": clients,
+        "seconds": elapsed_s,
+        "build_s": build_s,
+        "us_each": elapsed_s / clients * 1e6,
+        "us_each_without_building": (elapsed_s - build_s) / clients * 1e6,
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         "requests": result.figures["requests"],
         "service": result.figures["service"],
@@ -54,7 +54,7 @@
     }
 
 
-def in_own_process(connections: int) -> dict[str, float]:
+def play_in_subprocess(connections: int) -> dict[str, float]:
     run = subprocess.run(
         [sys.executable, __file__, "--play", str(connections)],
         check=True,
@@ -62,8 +62,8 @@
         text=True,
         timeout=1200,
     )
-    found: dict[str, float] = json.loads(run.stdout)
-    return found
+    figures: dict[str, float] = json.loads(run.stdout)
+    return figures
 
 
 def main() -> int:
@@ -72,17 +72,17 @@
         return 0
     rows = []
     for size in [int(word) for word in sys.argv[1:]] or SIZES:
-        rows.append(in_own_process(size))
+        rows.append(play_in_subprocess(size))
         print(json.dumps({name: round(value, 3) for name, value in rows[-1].items()}), flush=True)
     first, last = rows[0], rows[-1]
     ratios = {name: round(last[name] / first[name], 3) for name in ("us_each", "us_each_without_building")}
-    within = (
+    is_within_limits = (
         last["seconds"] <= LIMIT_S
         and last["peak_mb"] <= LIMIT_MB
         and (ratios["us_each_without_building"] <= LIMIT_RATIO)
     )
-    print(json.dumps({"ratio": ratios, "within_limits": within}))
-    return 0 if within else 1
+    print(json.dumps({"ratio": ratios, "within_limits": is_within_limits}))
+    return 0 if is_within_limits else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/replica/watchers.py
+++ b/benchmarks/replica/watchers.py
@@ -25,10 +25,10 @@
 from glenfold.rules.replication import ListDocument, Position
 
 REQUEST = b"GET /v1/servers?watch=1&from=1 HTTP/1.1\r\nHost: a\r\n\r\n"
-WITHIN_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 
 
-def drain(port: int, count: int) -> None:
+def run_watchers(port: int, count: int) -> None:
     """The watchers: tells on standard output once all have their response, then how many bytes they read a
     request on standard input."""
     selector = selectors.DefaultSelector()
@@ -38,15 +38,15 @@
         sock.setblocking(False)
         selector.register(sock, selectors.EVENT_READ)
     selector.register(sys.stdin, selectors.EVENT_READ)
-    read = 0
+    bytes_read = 0
     while True:
         for key, _ in selector.select():
             if key.fileobj is sys.stdin:
                 if not os.read(0, 1):
                     return
-                print(read, flush=True)
+                print(bytes_read, flush=True)
             elif isinstance(key.fileobj, socket.socket):
-                read += len(key.fileobj.recv(1 << 16))
+                bytes_read += len(key.fileobj.recv(1 << 16))
 
 
 def entry(number: int, revision: int) -> dict[str, object]:
@@ -70,31 +70,31 @@
     listener.listen(4096)
     port = listener.getsockname()[1]
     figures: dict[str, float] = {}
-    whole = tuple(entry(n, 1) for n in range(servers))
-    server.publish(ListDocument(Position(0, 1), True, whole))
+    entries = tuple(entry(n, 1) for n in range(servers))
+    server.publish(ListDocument(Position(0, 1), True, entries))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(server.serve, listener)
-        began_s = time.process_time()
+        started_s = time.process_time()
         program = [sys.executable, "-m", "benchmarks.replica.watchers", "--drain", str(port), str(watchers)]
         reader = await trio.to_thread.run_sync(
             lambda: subprocess.Popen(program, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         )
-        await until(lambda: counters.watches == watchers)
-        figures["resume"] = (time.process_time() - began_s) / watchers * 1e6
+        await wait_until(lambda: counters.watches == watchers)
+        figures["resume"] = (time.process_time() - started_s) / watchers * 1e6
 
-        async def cost(step: Callable[[int], None], times: int, pause_s: float) -> float:
-            began_s = time.process_time()
+        async def measure_cost(step: Callable[[int], None], times: int, pause_s: float) -> float:
+            started_s = time.process_time()
             for n in range(times):
                 step(n)
                 await trio.sleep(pause_s)
             await trio.sleep(0.2)
-            return (time.process_time() - began_s) / times / watchers * 1e6
+            return (time.process_time() - started_s) / times / watchers * 1e6
 
         def publish(n: int) -> None:
             server.publish(ListDocument(Position(0, n + 2), False, (entry(n % servers, n + 2),)))
 
-        figures["change"] = await cost(publish, changes, 0.1)
-        figures["renewal"] = await cost(lambda n: server.renew(trio.current_time()), 10, 0.6)
+        figures["change"] = await measure_cost(publish, changes, 0.1)
+        figures["renewal"] = await measure_cost(lambda n: server.renew(trio.current_time()), 10, 0.6)
         figures["renewals told"] = counters.renewals_told
         assert reader.stdin is not None
         reader.stdin.close()
@@ -104,27 +104,27 @@
     return figures
 
 
-async def until(true: Callable[[], bool]) -> None:
-    with trio.fail_after(WITHIN_S):
-        while not true():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    with trio.fail_after(WAIT_TIMEOUT_S):
+        while not condition():
             await trio.sleep(0.05)
 
 
 def main() -> None:
-    how = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=how)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--watchers", type=int, nargs="+", default=[500, 1500, 3400])
     parser.add_argument("--changes", type=int, default=50)
     parser.add_argument("--servers", type=int, default=1024)
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--drain", type=int, nargs=2, metavar=("PORT", "COUNT"), help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.drain:
-        drain(*told.drain)
+    options = parser.parse_args()
+    if options.drain:
+        run_watchers(*options.drain)
         return
-    for watchers in told.watchers:
-        for _ in range(told.repeats):
-            figures = trio.run(measure, watchers, told.changes, told.servers)
+    for watchers in options.watchers:
+        for _ in range(options.repeats):
+            figures = trio.run(measure, watchers, options.changes, options.servers)
             rounded = {name: round(value, 2) for name, value in figures.items()}
             print(json.dumps({"watchers": watchers, "us": rounded}), flush=True)
 
--- a/benchmarks/result_stores.py
+++ b/benchmarks/result_stores.py
@@ -21,7 +21,7 @@
 
 from glenfold_lab.experiments.store import Header, Outcome, Short, go_on, look
 
-Way = tuple[Callable[[Path, Sequence[Outcome]], None], Callable[[Path], int]]
+Store = tuple[Callable[[Path, Sequence[Outcome]], None], Callable[[Path], int]]
 
 HEAD = struct.Struct(">II")
 
@@ -47,30 +47,30 @@
 
 
 def read_msgpack(folder: Path) -> int:
-    found, data, at = 0, (folder / "results").read_bytes(), 0
-    while at < len(data):
-        size, check = HEAD.unpack_from(data, at)
-        record = data[at + HEAD.size : at + HEAD.size + size]
-        assert zlib.crc32(record) == check
+    count, data, offset = 0, (folder / "results").read_bytes(), 0
+    while offset < len(data):
+        size, checksum = HEAD.unpack_from(data, offset)
+        record = data[offset + HEAD.size : offset + HEAD.size + size]
+        assert zlib.crc32(record) == checksum
         short: Short = msgspec.msgpack.decode(record, type=Short)
-        found += short.result is not None
-        at += HEAD.size + size
-    return found
+        count += short.result is not None
+        offset += HEAD.size + size
+    return count
 
 
 def write_sqlite(folder: Path, outcomes: Sequence[Outcome]) -> None:
-    base = sqlite3.connect(folder / "results", isolation_level=None)
-    base.execute("PRAGMA journal_mode = WAL")
-    base.execute("PRAGMA synchronous = FULL")
-    base.execute("CREATE TABLE cells (cell INTEGER PRIMARY KEY, record BLOB)")
+    database = sqlite3.connect(folder / "results", isolation_level=None)
+    database.execute("PRAGMA journal_mode = WAL")
+    database.execute("PRAGMA synchronous = FULL")
+    database.execute("CREATE TABLE cells (cell INTEGER PRIMARY KEY, record BLOB)")
     for outcome in outcomes:
-        base.execute("INSERT INTO cells VALUES (?, ?)", (outcome.cell, msgspec.json.encode(outcome)))
-    base.close()
+        database.execute("INSERT INTO cells VALUES (?, ?)", (outcome.cell, msgspec.json.encode(outcome)))
+    database.close()
 
 
 def read_sqlite(folder: Path) -> int:
-    base = sqlite3.connect(folder / "results")
-    rows = base.execute("SELECT record FROM cells ORDER BY cell")
+    database = sqlite3.connect(folder / "results")
+    rows = database.execute("SELECT record FROM cells ORDER BY cell")
     return sum(msgspec.json.decode(record, type=Short).result is not None for (record,) in rows)
 
 
@@ -93,7 +93,7 @@
     return sum(len(parquet.read_table(path, columns=["cell", "service"])) for path in folder.iterdir())
 
 
-WAYS: dict[str, Way] = {
+STORES: dict[str, Store] = {
     "lines of JSON with checksums": (write_lines, read_lines),
     "msgpack with checksums": (write_msgpack, read_msgpack),
     "sqlite, WAL, synchronous FULL": (write_sqlite, read_sqlite),
@@ -102,23 +102,23 @@
 
 
 def main(path: str, cells: int) -> None:
-    kept = list(look(path).outcomes(Outcome))
-    outcomes = [msgspec.structs.replace(kept[number % len(kept)], cell=number) for number in range(cells)]
-    for name, (write, read) in WAYS.items():
+    stored = list(look(path).outcomes(Outcome))
+    outcomes = [msgspec.structs.replace(stored[number % len(stored)], cell=number) for number in range(cells)]
+    for name, (write, read) in STORES.items():
         with tempfile.TemporaryDirectory(dir=".") as folder:
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             try:
                 write(Path(folder), outcomes)
             except ModuleNotFoundError as error:
                 print(f"{name:31} left out: {error}")
                 continue
-            written = time.perf_counter()
+            written_at = time.perf_counter()
             read(Path(folder))
-            done = time.perf_counter()
+            read_at = time.perf_counter()
             size = sum(file.stat().st_size for file in Path(folder).iterdir())
             print(
-                f"{name:31} {(written - began) / cells * 1e3:6.2f} ms a cell, {size / cells / 1e3:6.1f} kB "
-                f"a cell, figures of all read in {done - written:.2f} s"
+                f"{name:31} {(written_at - started_at) / cells * 1e3:6.2f} ms a cell, "
+                f"{size / cells / 1e3:6.1f} kB a cell, figures of all read in {read_at - written_at:.2f} s"
             )
 
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -38,12 +38,12 @@
 from glenfold_lab.stand_ins.seen import Seen
 from glenfold_lab.stand_ins.sockets import Address, bind, take, written
 
-SERVERS = 16
-CLIENTS = 100
-AT_ONCE = 40
+SERVER_COUNT = 16
+CLIENT_COUNT = 100
+BURST_CLIENTS = 40
 SET_UP_S = 0.005
-LOOK_S = 0.01  # between two PINGs to a relay that starts
-LIMIT_LOOK_S = 0.002
+POLL_INTERVAL_S = 0.01  # between two PINGs to a relay that starts
+QUOTA_POLL_INTERVAL_S = 0.002
 SETTINGS: dict[str, Any] = {
     "classes": [{"name": "watch", "aim_us": 500_000, "hard_limit_us": 3_000_000, "semantics": "repeatable"}],
     "accounts": [{"name": "all"}],
@@ -54,12 +54,12 @@
 }
 
 
-class Arrivals:
+class PushServers:
     """Push servers that say UP after a moment; when each client's line first came."""
 
     def __init__(self) -> None:
-        self.at: dict[bytes, float] = {}
-        self._listeners = [bind("127.0.0.1") for _ in range(SERVERS)]
+        self.first_line_at: dict[bytes, float] = {}
+        self._listeners = [bind("127.0.0.1") for _ in range(SERVER_COUNT)]
         self.entries = [
             Entry(f"s-{n}", n, written(listener.getsockname()), "here", "m", 1, 1.0)
             for n, listener in enumerate(self._listeners)
@@ -73,18 +73,18 @@
     async def _accept(self, listener: trio.socket.SocketType, nursery: trio.Nursery) -> None:
         while True:
             sock, _ = await listener.accept()
-            nursery.start_soon(self._talk, sock)
+            nursery.start_soon(self._serve_connection, sock)
 
-    async def _talk(self, sock: trio.socket.SocketType) -> None:
+    async def _serve_connection(self, sock: trio.socket.SocketType) -> None:
         with sock, suppress(OSError):
             line = await sock.recv(4096)
-            self.at.setdefault(line.split(b" ", 2)[1], time.monotonic())
+            self.first_line_at.setdefault(line.split(b" ", 2)[1], time.monotonic())
             await trio.sleep(SET_UP_S)
             await take(sock, b"UP r\r\n")
             await sock.recv(1)
 
 
-class Started:
+class RelayProcess:
     """One relay's process."""
 
     def __init__(
@@ -92,7 +92,7 @@
         root: Path,
         folder: Path,
         discovery: Address,
-        known: dict[str, object],
+        server_list: dict[str, object],
         cores: float,
         core: int | None,
     ) -> None:
@@ -103,7 +103,7 @@
             "discovery": written(discovery),
             "seed": "1f",
             "limits": {"cores": cores},
-            "known": known,
+            "known": server_list,
             "settings": SETTINGS,
         }
         folder.mkdir()
@@ -123,7 +123,7 @@
             os.sched_setaffinity(self.process.pid, {core})
         self.ready_s = self.cpu_s = 0.0
 
-    def used_s(self) -> float:
+    def cpu_time_s(self) -> float:
         """CPU seconds so far."""
         try:
             tasks = Path(f"/proc/{self.process.pid}/task").glob("*/schedstat")
@@ -131,14 +131,14 @@
         except (OSError, IndexError):
             return 0.0
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         while await ping(self.listen) is not Ping.ANSWERED:
             if self.process.poll() is not None:
                 raise click.ClickException("a relay has ended")
-            await trio.sleep(LOOK_S)
-        self.ready_s, self.cpu_s = time.monotonic() - self.exec_at, self.used_s()
+            await trio.sleep(POLL_INTERVAL_S)
+        self.ready_s, self.cpu_s = time.monotonic() - self.exec_at, self.cpu_time_s()
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.process.send_signal(signal.SIGCONT)
         self.process.kill()
         self.process.wait()
@@ -147,81 +147,88 @@
 class Quota(threading.Thread):
     """Stops each relay that has used its part of the period, until the next one begins."""
 
-    def __init__(self, relays: Sequence[Started], share: float, period_s: float) -> None:
+    def __init__(self, relays: Sequence[RelayProcess], share: float, period_s: float) -> None:
         super().__init__(daemon=True)
         self._relays, self._quota_s, self._period_s = relays, share * period_s, period_s
-        self.over = threading.Event()
+        self.stopped = threading.Event()
 
     def run(self) -> None:
-        while not self.over.is_set():
-            ends = time.monotonic() + self._period_s
-            left = {relay: relay.used_s() + self._quota_s for relay in self._relays}
+        while not self.stopped.is_set():
+            period_end = time.monotonic() + self._period_s
+            limits_s = {relay: relay.cpu_time_s() + self._quota_s for relay in self._relays}
             for relay in self._relays:
                 relay.process.send_signal(signal.SIGCONT)
-            while time.monotonic() < ends and not self.over.wait(LIMIT_LOOK_S):
-                for relay in [relay for relay, most in left.items() if relay.used_s() >= most]:
-                    del left[relay]
+            while time.monotonic() < period_end and not self.stopped.wait(QUOTA_POLL_INTERVAL_S):
+                for relay in [relay for relay, limit_s in limits_s.items() if relay.cpu_time_s() >= limit_s]:
+                    del limits_s[relay]
                     relay.process.send_signal(signal.SIGSTOP)
 
 
 @contextmanager
-def limited(relays: Sequence[Started], share: float, period_s: float) -> Iterator[None]:
+def limit_cpu(relays: Sequence[RelayProcess], share: float, period_s: float) -> Iterator[None]:
     quota = Quota(relays, share, period_s)
     if share < 1:
         quota.start()
     try:
         yield
     finally:
-        quota.over.set()
+        quota.stopped.set()
         if share < 1:
             quota.join()
         for relay in relays:
-            relay.end()
+            relay.kill()
 
 
-async def client(number: int, relay: Started, sent: dict[bytes, float]) -> None:
+async def run_client(number: int, relay: RelayProcess, sent_at: dict[bytes, float]) -> None:
     name = b"%016x" % number
     with trio.socket.socket() as sock, suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await sock.connect(relay.listen)
-        sent[name] = time.monotonic()
+        sent_at[name] = time.monotonic()
         await take(sock, b"OPEN %s %x c=watch,t=all,d=3000\r\n" % (name, number * 2654435761))
         await sock.recv(4096)
         await trio.sleep_forever()
 
 
 async def one_run(root: Path, count: int, share: float, period_s: float, together: bool) -> dict[str, Any]:
-    arrivals, core = Arrivals(), max(os.sched_getaffinity(0)) if together else None
-    sent: dict[bytes, float] = {}
+    push_servers, core = PushServers(), max(os.sched_getaffinity(0)) if together else None
+    sent_at: dict[bytes, float] = {}
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
-            await arrivals.serve(nursery)
-            agent = Agent(range(count), "127.0.0.1", Holding(1, arrivals.entries), Seen(), MachineClock())
+            await push_servers.serve(nursery)
+            agent = Agent(range(count), "127.0.0.1", Holding(1, push_servers.entries), Seen(), MachineClock())
             await nursery.start(agent.serve)
-            known = whole_list(1, arrivals.entries)
+            server_list = whole_list(1, push_servers.entries)
             relays = [
-                Started(root, Path(folder, f"n{n}"), agent.address, known, share, core) for n in range(count)
+                RelayProcess(root, Path(folder, f"n{n}"), agent.address, server_list, share, core)
+                for n in range(count)
             ]
-            with limited(relays, share, period_s):
+            with limit_cpu(relays, share, period_s):
                 async with trio.open_nursery() as starting:
                     for relay in relays:
-                        starting.start_soon(relay.until_ready)
-                began = trio.current_time()
-                for number in range(1, CLIENTS + 1):
-                    await trio.sleep_until(began + max(0, number - AT_ONCE) / (CLIENTS - AT_ONCE))
-                    nursery.start_soon(client, number, relays[number % count], sent)
-                await trio.sleep_until(began + 1.5)
+                        starting.start_soon(relay.wait_until_ready)
+                started_at = trio.current_time()
+                for number in range(1, CLIENT_COUNT + 1):
+                    await trio.sleep_until(
+                        started_at + max(0, number - BURST_CLIENTS) / (CLIENT_COUNT - BURST_CLIENTS)
+                    )
+                    nursery.start_soon(run_client, number, relays[number % count], sent_at)
+                await trio.sleep_until(started_at + 1.5)
             nursery.cancel_scope.cancel()
-    late = sorted((arrivals.at[name] - at) * 1e3 for name, at in sent.items() if name in arrivals.at)
+    lateness_ms = sorted(
+        (push_servers.first_line_at[name] - at) * 1e3
+        for name, at in sent_at.items()
+        if name in push_servers.first_line_at
+    )
     return {
         "ready_ms": [relay.ready_s * 1e3 for relay in relays],
         "cpu_ms": [relay.cpu_s * 1e3 for relay in relays],
-        "late_ms": late,
-        "never": CLIENTS - len(late),
+        "late_ms": lateness_ms,
+        "never": CLIENT_COUNT - len(lateness_ms),
     }
 
 
-def figures(values: Sequence[float]) -> dict[str, float]:
+def summarize(values: Sequence[float]) -> dict[str, float]:
     ordered = sorted(values)
     return {
         "p50": round(percentile(ordered, 50), 1),
@@ -230,9 +237,9 @@
     }
 
 
-def told(run: dict[str, Any]) -> str:
+def summary_json(run: dict[str, Any]) -> str:
     return json.dumps(
-        {name: figures(value) if isinstance(value, list) else value for name, value in run.items()}
+        {name: summarize(value) if isinstance(value, list) else value for name, value in run.items()}
     )
 
 
@@ -244,21 +251,21 @@
 @click.option("--period", default=500.0, help="milliseconds")
 @click.option("--together", is_flag=True, help="all relays on one core")
 def main(root: Path, relays: int, runs: int, share: float, period: float, together: bool) -> None:
-    done = []
+    results = []
     for _ in range(runs):
-        done.append(trio.run(one_run, root.resolve(), relays, share, period / 1e3, together))
-        click.echo(told(done[-1]))
-    whole = {
-        name: [value for run in done for value in run[name]] for name in ("ready_ms", "cpu_ms", "late_ms")
+        results.append(trio.run(one_run, root.resolve(), relays, share, period / 1e3, together))
+        click.echo(summary_json(results[-1]))
+    combined = {
+        name: [value for run in results for value in run[name]] for name in ("ready_ms", "cpu_ms", "late_ms")
     }
-    low = sum(max(run["late_ms"]) > 50 for run in done)
+    slow_runs = sum(max(run["late_ms"]) > 50 for run in results)
     click.echo(
         json.dumps(
             {
                 "runs": runs,
-                **{name: figures(values) for name, values in whole.items()},
-                "runs_over_50_ms": low,
-                "median_of_worst": round(statistics.median(max(run["late_ms"]) for run in done), 1),
+                **{name: summarize(values) for name, values in combined.items()},
+                "runs_over_50_ms": slow_runs,
+                "median_of_worst": round(statistics.median(max(run["late_ms"]) for run in results), 1),
             }
         )
     )
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -34,10 +34,10 @@
 NAME = "cardiff-1"
 SERVER = 1
 UP = b"UP push-1.00\r\n"
-STANDS_S = 0.3
-REST_S = 0.5  # between two restarts
-MOST_S = 5.0  # that one restart may take to own its name, and then to end
-LOOK_S = 0.01
+STANDING_S = 0.3
+PAUSE_S = 0.5  # between two restarts
+STEP_TIMEOUT_S = 5.0  # that one restart may take to own its name, and then to end
+POLL_INTERVAL_S = 0.01
 SLACK_US = 50_000
 SETTINGS: dict[str, Any] = {
     "classes": [{"name": "watch", "aim_us": 500_000, "hard_limit_us": 2_000_000, "semantics": "repeatable"}],
@@ -55,9 +55,11 @@
 
 async def serve(folder: Path) -> None:
     config = platform.read_config({"LB_CONFIG": str(folder / "config.json")})
-    place = TakeoverLocation(folder, NAME)
+    location = TakeoverLocation(folder, NAME)
     try:
-        listeners, taken = await obtain_listeners(place, [config.listen], [], trio.current_time() + MOST_S)
+        listeners, taken = await obtain_listeners(
+            location, [config.listen], [], trio.current_time() + STEP_TIMEOUT_S
+        )
     except Refused as refused:
         sys.exit(str(refused))
     process = Process(
@@ -65,7 +67,7 @@
         lambda now: (now, []),
         listeners=listeners,
         start_paused=taken is not None,
-        background_tasks=[TakeoverServer(place, None, taken)],
+        background_tasks=[TakeoverServer(location, None, taken)],
     )
     await process.run()
 
@@ -83,18 +85,18 @@
     seconds; ended: how connections ended."""
 
     address: Address
-    seen: Recorder = field(default_factory=Recorder)
+    recorder: Recorder = field(default_factory=Recorder)
     set_ups: list[tuple[float, float]] = field(default_factory=list)
     ended: Counter[str] = field(default_factory=Counter)
-    asked: int = 0
+    request_count: int = 0
     arriving: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     async def push_server(self, stream: trio.SocketStream) -> None:
         with suppress(trio.BrokenResourceError):
             line = await stream.receive_some(4096)
             request = int(line.split(b" ")[1], 16)
-            self.seen.sent(now_us(), request, 0, SERVER, now_us())
-            self.seen.attempt_over(now_us(), request, SERVER, AttemptOutcome.UP)
+            self.recorder.sent(now_us(), request, 0, SERVER, now_us())
+            self.recorder.attempt_over(now_us(), request, SERVER, AttemptOutcome.UP)
             await stream.send_all(UP)
             while await stream.receive_some(4096):
                 pass
@@ -110,34 +112,34 @@
                     due += 1 / per_s
 
     async def _client(self, due: float) -> None:
-        self.asked += 1
-        request, how = self.asked, "answered"
+        self.request_count += 1
+        request, ending = self.request_count, "answered"
         try:
             async with await trio.open_tcp_stream(*self.address) as stream:
-                how = await self._talk(stream, request, due)
+                ending = await self._run_request(stream, request, due)
         except (OSError, trio.BrokenResourceError) as error:
             cause = error.__cause__ or error
-            how = "refused" if isinstance(cause, ConnectionRefusedError) else f"lost: {cause!r}"
-        self.ended[how] += 1
+            ending = "refused" if isinstance(cause, ConnectionRefusedError) else f"lost: {cause!r}"
+        self.ended[ending] += 1
 
-    async def _talk(self, stream: trio.SocketStream, request: int, due: float) -> str:
+    async def _run_request(self, stream: trio.SocketStream, request: int, due: float) -> str:
         await stream.send_all(b"OPEN %016x %016x c=watch,t=valleys,d=2000\r\n" % (request, request))
-        self.seen.taken(now_us(), request, 0, now_us() + 2_000_000, 0)
+        self.recorder.taken(now_us(), request, 0, now_us() + 2_000_000, 0)
         line = await stream.receive_some(4096)
         final = Final.UP if line == UP else Final.CLOSED if not line else Final.ERROR
-        self.seen.answered(now_us(), request, final, SERVER, 0)
+        self.recorder.answered(now_us(), request, final, SERVER, 0)
         if final is not Final.UP:
             return f"answered {line.decode()!r}"
         self.set_ups.append((due, trio.current_time() - due))
-        said = b""
-        with trio.move_on_at(trio.current_time() + STANDS_S):
-            said = await stream.receive_some(4096)
-            self.seen.ended(now_us(), request, 1)
-        return {b"": "stood", b"MOVE\r\n": "moved"}.get(said, f"told {said.decode()!r}")
+        received_line = b""
+        with trio.move_on_at(trio.current_time() + STANDING_S):
+            received_line = await stream.receive_some(4096)
+            self.recorder.ended(now_us(), request, 1)
+        return {b"": "stood", b"MOVE\r\n": "moved"}.get(received_line, f"told {received_line.decode()!r}")
 
     def verdicts(self) -> int:
         checker = Checker(Rules(), SLACK_US)
-        replay(self.seen.records, checker)
+        replay(self.recorder.records, checker)
         checker.finish(now_us() + 10_000_000)
         for verdict in checker.verdicts():
             print(verdict)
@@ -160,24 +162,24 @@
             stdin=subprocess.DEVNULL,
         )
 
-    def says(self, event: str) -> int:
+    def count_log_event(self, event: str) -> int:
         return (self.folder / "log").read_text().count(event)
 
-    async def said(self, event: str, times: int) -> None:
-        with trio.fail_at(trio.current_time() + MOST_S):
-            while self.says(event) < times:
-                await trio.sleep(LOOK_S)
+    async def wait_for_log_event(self, event: str, times: int) -> None:
+        with trio.fail_at(trio.current_time() + STEP_TIMEOUT_S):
+            while self.count_log_event(event) < times:
+                await trio.sleep(POLL_INTERVAL_S)
 
     async def restart(self, number: int) -> tuple[float, float]:
         """Seconds from its start to when it owns the name, and to when the old one has ended."""
-        old, began = self.process, trio.current_time()
+        old, started_at = self.process, trio.current_time()
         self.process = self._spawn()
-        await self.said("took over", number)
-        owned = trio.current_time() - began
-        with trio.fail_at(trio.current_time() + MOST_S):
+        await self.wait_for_log_event("took over", number)
+        owned_s = trio.current_time() - started_at
+        with trio.fail_at(trio.current_time() + STEP_TIMEOUT_S):
             while old.poll() is None:
-                await trio.sleep(LOOK_S)
-        return owned, trio.current_time() - began
+                await trio.sleep(POLL_INTERVAL_S)
+        return owned_s, trio.current_time() - started_at
 
     def end(self) -> None:
         self.process.send_signal(signal.SIGKILL)
@@ -187,30 +189,30 @@
 
 async def measure(folder: Path, restarts: int, per_s: float) -> bool:
     load = Load(free_address("127.0.0.1"))
-    load.seen.server_started(0, SERVER, Capacity(1e6, 0.2, 1), False)
-    load.seen.told(0, 0, SERVER, ListedState.READY, 0)
-    spans: list[tuple[float, float, float]] = []
+    load.recorder.server_started(0, SERVER, Capacity(1e6, 0.2, 1), False)
+    load.recorder.told(0, 0, SERVER, ListedState.READY, 0)
+    restart_times: list[tuple[float, float, float]] = []
     async with trio.open_nursery() as nursery:
         served = await nursery.start(trio.serve_tcp, load.push_server, 0)
-        write(folder, load.address, served[0].socket.getsockname())
+        write_config(folder, load.address, served[0].socket.getsockname())
         instance = Instance(folder)
         try:
-            await instance.said("listens on", 1)
+            await instance.wait_for_log_event("listens on", 1)
             async with trio.open_nursery() as around:
                 around.start_soon(load.clients, per_s)
                 for number in range(1, restarts + 1):
-                    await trio.sleep(REST_S)
-                    began = trio.current_time()
-                    spans.append((began, *await instance.restart(number)))
-                await trio.sleep(REST_S)
+                    await trio.sleep(PAUSE_S)
+                    started_at = trio.current_time()
+                    restart_times.append((started_at, *await instance.restart(number)))
+                await trio.sleep(PAUSE_S)
                 load.arriving.cancel()
         finally:
             nursery.cancel_scope.cancel()
             instance.end()
-    return report(load, spans)
+    return report(load, restart_times)
 
 
-def write(folder: Path, address: Address, server: Address) -> None:
+def write_config(folder: Path, address: Address, server: Address) -> None:
     entry = {
         "host": "push-1",
         "dial": written(("127.0.0.1", server[1])),
@@ -221,7 +223,7 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    known = {"seq": 1, "whole": True, "hosts": [entry]}
+    server_list = {"seq": 1, "whole": True, "hosts": [entry]}
     (folder / "config.json").write_text(
         json.dumps(
             {
@@ -229,25 +231,32 @@
                 "listen": written(address),
                 "discovery": "127.0.0.1:9",
                 "seed": "1f",
-                "known": known,
+                "known": server_list,
                 "settings": SETTINGS,
             }
         )
     )
 
 
-def report(load: Load, spans: list[tuple[float, float, float]]) -> bool:
-    owned, ended = (np.array([span[place] for span in spans]) for place in (1, 2))
-    print(f"{len(spans)} restarts, {load.asked} clients")
-    print(f"owns its name after {spread(owned)} s; the old one has ended after {spread(ended)} s")
-    inside = [any(began <= due <= began + end for began, _, end in spans) for due, _ in load.set_ups]
-    for name, wanted in (("while a restart runs", True), ("between restarts", False)):
-        lengths = [length for (_, length), held in zip(load.set_ups, inside, strict=True) if held is wanted]
-        p50, p99, most = np.percentile(lengths, (50, 99, 100)) * 1000
-        print(f"set-ups {name}: {len(lengths)}, p50 {p50:.1f}, p99 {p99:.1f}, most {most:.1f} ms")
+def report(load: Load, restart_times: list[tuple[float, float, float]]) -> bool:
+    owned_s, ended_s = (np.array([times[column] for times in restart_times]) for column in (1, 2))
+    print(f"{len(restart_times)} restarts, {load.request_count} clients")
+    print(f"owns its name after {spread(owned_s)} s; the old one has ended after {spread(ended_s)} s")
+    inside = [
+        any(started_at <= due <= started_at + end for started_at, _, end in restart_times)
+        for due, _ in load.set_ups
+    ]
+    for name, during_restart in (("while a restart runs", True), ("between restarts", False)):
+        lengths = [
+            length
+            for (_, length), is_inside in zip(load.set_ups, inside, strict=True)
+            if is_inside is during_restart
+        ]
+        p50, p99, slowest_ms = np.percentile(lengths, (50, 99, 100)) * 1000
+        print(f"set-ups {name}: {len(lengths)}, p50 {p50:.1f}, p99 {p99:.1f}, most {slowest_ms:.1f} ms")
     print("connections:", dict(sorted(load.ended.items())), "in all", sum(load.ended.values()))
     broken = load.verdicts()
-    lost = sum(count for how, count in load.ended.items() if how not in ("stood", "moved"))
+    lost = sum(count for ending, count in load.ended.items() if ending not in ("stood", "moved"))
     print(f"refused connects {load.ended['refused']}, lost {lost}, broken rules {broken}")
     return not lost and not broken
 
@@ -258,8 +267,8 @@
 
 def main(restarts: int, per_s: float) -> int:
     with tempfile.TemporaryDirectory() as folder:
-        sound = trio.run(measure, Path(folder), restarts, per_s)
-    return 0 if sound else 1
+        passed = trio.run(measure, Path(folder), restarts, per_s)
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/vast/count.py
+++ b/benchmarks/vast/count.py
@@ -21,7 +21,7 @@
 LISTED = re.compile(r"server=(\d+), state=<ServerState\.READY: \d+>.*?started_us=(\d+)")
 CLOCK = re.compile(r"\b(\d\d):(\d\d):(\d\d\.\d+)")
 DAY_S = 86_400
-NOTE = re.compile(r"INFO server (\d+) (suspect|jams)")
+SERVER_NOTICE = re.compile(r"INFO server (\d+) (suspect|jams)")
 COLUMNS = (
     "new",
     "back",
@@ -58,22 +58,26 @@
 
     by_time: defaultdict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     by_server: defaultdict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    refused: Counter[str] = field(default_factory=Counter)  # final answers other than UP, by class
-    started: dict[int, float] = field(default_factory=dict)  # servers, and the latest moment of the day (UTC)
-    tries: defaultdict[int, list[float]] = field(default_factory=lambda: defaultdict(list))  # in such moments
-
-    def add(self, at: float, what: str, server: int | None = None) -> None:
-        self.by_time[int(at)][what] += 1
+    refused_by_class: Counter[str] = field(default_factory=Counter)  # final answers other than UP, by class
+    started_at: dict[int, float] = field(
+        default_factory=dict
+    )  # servers, and the latest moment of the day (UTC)
+    attempt_times: defaultdict[int, list[float]] = field(
+        default_factory=lambda: defaultdict(list)
+    )  # in such moments
+
+    def add(self, at: float, column: str, server: int | None = None) -> None:
+        self.by_time[int(at)][column] += 1
         if server is not None:
-            self.by_server[server][what] += 1
+            self.by_server[server][column] += 1
 
 
 @dataclass(frozen=True)
-class Cold:
+class ColdBudget:
     """What the rule lets a server that just started take, by the settings. rate: connections a second that
     all servers together may be given (the schemes' quotas); each of them counts alike."""
 
-    rate: float
+    rate_per_s: float
     servers: int
     share: float = 0.12
     cold_s: float = 23.0
@@ -83,11 +87,11 @@
     def budget(self, age_s: float) -> float:
         """Of the window that begins at this age, at the capacity of its beginning."""
         share = self.share + (1 - self.share) * min(1.0, max(0.0, age_s) / self.cold_s)
-        return self.multiple * share * self.rate / self.servers * self.window_s
+        return self.multiple * share * self.rate_per_s / self.servers * self.window_s
 
-    def fullest(self, started: float, tries: list[float]) -> tuple[int, float, float]:
+    def fullest_window(self, started_at: float, attempt_times: list[float]) -> tuple[int, float, float]:
         """Of all windows that begin with an attempt while it was cold: attempts, budget, and their ratio."""
-        cold = sorted(at - started for at in tries if 0 <= at - started < self.cold_s)
+        cold = sorted(at - started_at for at in attempt_times if 0 <= at - started_at < self.cold_s)
         windows = [
             (sum(age <= other < age + self.window_s for other in cold), self.budget(age)) for age in cold
         ]
@@ -95,121 +99,129 @@
         return max(rows, key=lambda row: row[2], default=(0, 0.0, 0.0))
 
 
-def seconds(word: str) -> float:
+def parse_seconds(word: str) -> float:
     parts = [float(part) for part in word.split(":")]
     return sum(part * 60**power for power, part in enumerate(reversed(parts)))
 
 
-class Relay:
+class RelayLog:
     """One relay's log; a process that starts anew counts its requests anew."""
 
     def __init__(self, tally: Tally) -> None:
         self._tally = tally
-        self._begin()
+        self._reset()
 
-    def _begin(self) -> None:
-        self._mid: set[str] = set()
-        self._class: dict[str, str] = {}
-        self._up: set[str] = set()
+    def _reset(self) -> None:
+        self._mid_flow: set[str] = set()
+        self._classes: dict[str, str] = {}
+        self._established: set[str] = set()
 
-    def take(self, line: str) -> None:
+    def add_line(self, line: str) -> None:
         word, _, text = line.partition(" ")
         if not word[:1].isdigit():
             return
-        at = seconds(word)
+        at = parse_seconds(word)
         if "life: starting" in text:
-            self._begin()
-        elif found := NOTE.search(text):
-            self._tally.add(at, found[2], int(found[1]))
+            self._reset()
+        elif match := SERVER_NOTICE.search(text):
+            self._tally.add(at, match[2], int(match[1]))
         elif "discovery: " in text:
             self._tally.add(at, "no list")
-        elif found := EVENT.search(text):
-            fields = {name: enum or plain for name, enum, plain in FIELD.findall(found[2])}
+        elif match := EVENT.search(text):
+            fields = {name: enum or plain for name, enum, plain in FIELD.findall(match[2])}
             clock = CLOCK.search(line)
-            moment = seconds(":".join(clock.groups())) if clock else at
-            if found[1] == "ServerList":
+            time_of_day = parse_seconds(":".join(clock.groups())) if clock else at
+            if match[1] == "ServerList":
                 for server, started_us in LISTED.findall(text):
                     if int(started_us):
-                        latest = max(self._tally.started.get(int(server), 0.0), int(started_us) / 1e6 % DAY_S)
-                        self._tally.started[int(server)] = latest
-            self._event(at, found[1], fields)
-            self._actions(at, moment, found[3])
-
-    def _event(self, at: float, name: str, fields: dict[str, str]) -> None:
+                        latest = max(
+                            self._tally.started_at.get(int(server), 0.0), int(started_us) / 1e6 % DAY_S
+                        )
+                        self._tally.started_at[int(server)] = latest
+            self._count_event(at, match[1], fields)
+            self._count_actions(at, time_of_day, match[3])
+
+    def _count_event(self, at: float, name: str, fields: dict[str, str]) -> None:
         request, server = fields.get("request", ""), int(fields.get("server", 0))
         if name == "Request":
-            mid, back = fields["mid_flow"] == "True", fields["returning"] == "True"
-            self._mid |= {request} if mid else set()
-            self._class[request] = fields.get("request_class", "")
-            self._tally.add(at, "mid" if mid else "back" if back else "new")
+            is_mid_flow, is_returning = fields["mid_flow"] == "True", fields["returning"] == "True"
+            self._mid_flow |= {request} if is_mid_flow else set()
+            self._classes[request] = fields.get("request_class", "")
+            self._tally.add(at, "mid" if is_mid_flow else "back" if is_returning else "new")
         elif name == "ServerList":
             self._tally.add(at, "lists")
         elif name == "Established":
-            self._up.add(request)
+            self._established.add(request)
             self._tally.add(at, "up", server)
         elif name == "Answer":
             outcome = fields["outcome"]
-            if request in self._up:
-                self._up.discard(request)
+            if request in self._established:
+                self._established.discard(request)
                 if outcome in ("RESET", "ERROR", "TIMEOUT"):
                     self._tally.add(at, "dropped", server)
             elif outcome in OUTCOMES:
-                lost = outcome == "RESET" and request in self._mid and fields["attempt"] == "0"
-                self._tally.add(at, "mid lost" if lost else OUTCOMES[outcome], server)
+                is_mid_flow_loss = (
+                    outcome == "RESET" and request in self._mid_flow and fields["attempt"] == "0"
+                )
+                self._tally.add(at, "mid lost" if is_mid_flow_loss else OUTCOMES[outcome], server)
 
-    def _actions(self, at: float, moment: float, text: str) -> None:
+    def _count_actions(self, at: float, time_of_day: float, text: str) -> None:
         for _, server in ATTEMPT.findall(text):
             self._tally.add(at, "try", int(server))
-            self._tally.tries[int(server)].append(moment)
-        for what, request in FINAL.findall(text):
-            self._tally.add(at, "moved" if what == "Move" else "refused")
-            if what != "Move":
-                self._tally.refused[self._class.get(request, "")] += 1
+            self._tally.attempt_times[int(server)].append(time_of_day)
+        for action, request in FINAL.findall(text):
+            self._tally.add(at, "moved" if action == "Move" else "refused")
+            if action != "Move":
+                self._tally.refused_by_class[self._classes.get(request, "")] += 1
 
 
 def count(logs: Iterable[Iterable[str]]) -> Tally:
     tally = Tally()
     for log in logs:
-        relay = Relay(tally)
+        relay = RelayLog(tally)
         for line in log:
-            relay.take(line)
+            relay.add_line(line)
     return tally
 
 
-def table(head: str, rows: Iterable[tuple[int, Counter[str]]]) -> Iterator[str]:
-    yield f"{head:>12}" + "".join(f"{name:>9}" for name in COLUMNS)
+def table(title: str, rows: Iterable[tuple[int, Counter[str]]]) -> Iterator[str]:
+    yield f"{title:>12}" + "".join(f"{name:>9}" for name in COLUMNS)
     for key, counts in rows:
         yield f"{key:12}" + "".join(f"{counts[name] or '.':>9}" for name in COLUMNS)
 
 
 def main() -> None:
-    arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    arguments.add_argument("logs", type=Path)
-    arguments.add_argument("--step", type=int, default=1, help="seconds to a row")
-    arguments.add_argument("--servers", action="store_true", help="a row for each server, too")
-    arguments.add_argument("--cold", action="store_true", help="what started servers took of their budget")
-    arguments.add_argument("--rate", type=float, help="sum of the schemes' quota_per_s, for --cold")
-    told = arguments.parse_args()
-    if told.cold and not told.rate:
-        arguments.error("--cold needs --rate: the sum of quota_per_s in the settings")
-    tally = count(path.read_text(errors="replace").splitlines() for path in sorted(told.logs.iterdir()))
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    parser.add_argument("logs", type=Path)
+    parser.add_argument("--step", type=int, default=1, help="seconds to a row")
+    parser.add_argument("--servers", action="store_true", help="a row for each server, too")
+    parser.add_argument("--cold", action="store_true", help="what started servers took of their budget")
+    parser.add_argument("--rate", type=float, help="sum of the schemes' quota_per_s, for --cold")
+    options = parser.parse_args()
+    if options.cold and not options.rate:
+        parser.error("--cold needs --rate: the sum of quota_per_s in the settings")
+    tally = count(path.read_text(errors="replace").splitlines() for path in sorted(options.logs.iterdir()))
     by_step: defaultdict[int, Counter[str]] = defaultdict(Counter)
     for at, counts in tally.by_time.items():
-        by_step[at // told.step * told.step] += counts
+        by_step[at // options.step * options.step] += counts
     print(*table("second", sorted(by_step.items())), sep="\n")
-    if told.servers:
+    if options.servers:
         print(*table("server", sorted(tally.by_server.items(), key=lambda row: -row[1]["try"])), sep="\n")
-    print("refused by class:", dict(tally.refused))
-    if told.cold:
+    print("refused by class:", dict(tally.refused_by_class))
+    if options.cold:
         # As many as were there before any started; long lists stand cut short in a log.
-        cold = Cold(told.rate, max(1, len(tally.by_server.keys() - tally.started.keys())))
+        cold = ColdBudget(options.rate, max(1, len(tally.by_server.keys() - tally.started_at.keys())))
         print("".join(f"{name:>12}" for name in ("cold server", "tries", "in a window", "budget", "of it")))
         rows = [
-            (server, len(tally.tries[server]), *cold.fullest(started, tally.tries[server]))
-            for server, started in tally.started.items()
+            (
+                server,
+                len(tally.attempt_times[server]),
+                *cold.fullest_window(started_at, tally.attempt_times[server]),
+            )
+            for server, started_at in tally.started_at.items()
         ]
-        for server, tries, most, budget, part in sorted(rows, key=lambda row: -row[4]):
-            print(f"{server:12}{tries:12}{most:12}{budget:12.1f}{part:12.2f}")
+        for server, total_attempts, window_attempts, budget, ratio in sorted(rows, key=lambda row: -row[4]):
+            print(f"{server:12}{total_attempts:12}{window_attempts:12}{budget:12.1f}{ratio:12.2f}")
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -24,7 +24,7 @@
 from glenfold_lab.stand_ins.run import scaled
 
 SEEDS = (41, 42, 43)
-LEAST_USED = 0.3  # of the budget, in the fullest span of the median start
+MIN_MEDIAN_USED = 0.3  # of the budget, in the fullest span of the median start
 
 
 @pytest.mark.parametrize("relays", [2, 20])
@@ -37,11 +37,11 @@
         "all-restart-unmarked-shares",
     ],
 )
-def test_servers_that_all_start_again_are_used_and_none_is_pushed_over(case, relays):
-    day = scaled(scenarios.load(str(cold_fleet.FILES / f"{case}.toml")), 1, relays, None)
-    plays = [cold_fleet.measure("model", day, seed) for seed in SEEDS]
+def test_servers_that_all_restart_are_used_and_none_is_overloaded(case, relays):
+    scenario = scaled(scenarios.load(str(cold_fleet.SCENARIO_FOLDER / f"{case}.toml")), 1, relays, None)
+    plays = [cold_fleet.measure("model", scenario, seed) for seed in SEEDS]
     spans = [life.worst for life in chain.from_iterable(lives for _, lives in plays)]
     assert len(spans) == 8 * len(SEEDS)
     assert not any(span.over for span in spans)
     assert all(result.figures["rules_broken"] == 0 for result, _ in plays)
-    assert np.median([span.used for span in spans]) >= LEAST_USED
+    assert np.median([span.used for span in spans]) >= MIN_MEDIAN_USED
--- a/tests/test_cold_turns.py
+++ b/tests/test_cold_turns.py
@@ -5,30 +5,30 @@
 import pytest
 
 from benchmarks import cold_turns
-from benchmarks.cold_turns import SECOND, Case, ColdServer
+from benchmarks.cold_turns import SECOND_US, Case, ColdServer
 
 
 def test_a_server_is_allowed_the_multiple_of_what_it_can_take_as_it_warms_up():
     server = ColdServer(started_us=0, rate_per_s=2.0)
-    assert server.allowed(0, 2 * SECOND) == pytest.approx(3 * (0.15 + 0.85 / 20) * 2 * 2)
-    assert server.allowed(9 * SECOND, 11 * SECOND) == pytest.approx(3 * (0.15 + 0.85 / 2) * 2 * 2)
+    assert server.allowed_calls(0, 2 * SECOND_US) == pytest.approx(3 * (0.15 + 0.85 / 20) * 2 * 2)
+    assert server.allowed_calls(9 * SECOND_US, 11 * SECOND_US) == pytest.approx(3 * (0.15 + 0.85 / 2) * 2 * 2)
 
 
 def test_the_fullest_window_counts_what_came_within_it_and_no_more():
     server = ColdServer(started_us=0, rate_per_s=2.0)
     for second in range(6):
-        server.take(second * SECOND)
-    allowed = server.allowed(2 * SECOND, 5 * SECOND)
+        server.record_send(second * SECOND_US)
+    allowed_calls = server.allowed_calls(2 * SECOND_US, 5 * SECOND_US)
     assert len(server.sends) == 3 and server.total == 6
-    assert 3 / (allowed + 2 * math.sqrt(allowed) + 2) < server.fullest < 1
+    assert 3 / (allowed_calls + 2 * math.sqrt(allowed_calls) + 2) < server.fullest < 1
     for _ in range(20):
-        server.take(6 * SECOND)
+        server.record_send(6 * SECOND_US)
     assert server.fullest > 1
 
 
 @pytest.mark.parametrize(
     "case",
-    [Case("steady", 0.4, back_per_s=300.0), Case("rush of all", 1.0)],
+    [Case("steady", 0.4, returns_per_s=300.0), Case("rush of all", 1.0)],
     ids=lambda case: case.name,
 )
 def test_no_cold_server_of_a_sparse_fleet_is_sent_more_than_it_can_carry(case):
@@ -84,7 +84,7 @@
     The turns at four servers came to four times those at one: 29 to 38 of 50 servers failed in each run of
     this case, and all of them where the clients came after 10 s.
     """
-    everyone = Case("all anew", 1.0, rush_at_s=at_s, all_anew=True)
+    everyone = Case("all anew", 1.0, rush_at_s=at_s, restart_all=True)
     cold = cold_turns.play(everyone, gateways=gateways, servers=50, seed=11)
     assert len(cold) == 50
     assert max(server.fullest for server in cold) <= 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,12 +12,12 @@
 import pytest
 import trio
 
-from benchmarks import fleet as day
+from benchmarks import fleet as fleet_benchmark
 from glenfold_lab import spec
 from glenfold_lab.stand_ins.daemons import Daemons
 from glenfold_lab.stand_ins.fleet import Course, Played, play_fleet
 
-SMALL = spec.Scenario(
+SMALL_SCENARIO = spec.Scenario(
     format=1,
     name="small",
     guards_against="nothing",
@@ -30,36 +30,43 @@
     front=spec.Front(notice_s=0.3, reshuffle=0.0),
     clients=spec.Clients(load=0.5, life_s=6.0, groups=False),
 )
-TABLES = {"restart": {"deadline_s": 3.7}}
+SETTINGS_TABLES = {"restart": {"deadline_s": 3.7}}
 
 
-async def both(daemons: Daemons) -> None:
+async def start_both(daemons: Daemons) -> None:
     for relay in daemons.relays:
         daemons.run(relay)
     await daemons.all_answer()
 
 
-def play(goes: Any, begin: Any = both, world: spec.Scenario = SMALL, **tables: dict[str, Any]) -> Played:
-    played = play_fleet(world, 3, begin, goes, tables=TABLES | tables)
+def play(
+    run_course: Any,
+    begin: Any = start_both,
+    scenario: spec.Scenario = SMALL_SCENARIO,
+    **tables: dict[str, Any],
+) -> Played:
+    played = play_fleet(scenario, 3, begin, run_course, tables=SETTINGS_TABLES | tables)
     assert played.result.verdicts == (), played.logs["log"]
     assert played.result.answers["up"] > 20
     return played
 
 
 def test_a_day_of_a_fleet_costs_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(day, "CROWD", 40)
-    monkeypatch.setattr(day, "DEADLINE_S", 4.0)
-    played, told = day.measure_day(day.scenario(3, 18.0, load=0.03), seed=1, most_out=1, processes=0)
+    monkeypatch.setattr(fleet_benchmark, "BURST_CLIENTS", 40)
+    monkeypatch.setattr(fleet_benchmark, "DEADLINE_S", 4.0)
+    played, figures = fleet_benchmark.measure_day(
+        fleet_benchmark.scenario(3, 18.0, load=0.03), seed=1, most_out=1, processes=0
+    )
     assert played.result.verdicts == ()
-    for none in (
+    for figure_name in (
         "refused_connects_in_roll",
         "reset_before_answer_in_roll",
         "lost_in_roll",
         "refused_connects_else",
     ):
-        assert told[none] == 0
-    assert told["answers"]["up"] > 100
-    assert {what: status for what, (status, _) in told["said"].items()} == {
+        assert figures[figure_name] == 0
+    assert figures["answers"]["up"] > 100
+    assert {what: status for what, (status, _) in figures["said"].items()} == {
         "roll": 0,
         "fleet reload in the roll": 1,
         "reload of all in the roll": 0,
@@ -68,12 +75,12 @@
         "drain": 0,
         "old process after that": 0,
     }
-    assert told["said"]["old process after that"][1] == "ready"
+    assert figures["said"]["old process after that"][1] == "ready"
 
 
 @pytest.mark.parametrize("step", ["ready", "draining", "finishing", "moving"])
 def test_a_relay_that_is_killed_at_a_step_of_its_shutdown_comes_back(step: str) -> None:
-    async def goes(course: Course) -> None:
+    async def run_course(course: Course) -> None:
         daemons = course.daemons
         standing = (await daemons.instance(0))["connections"]["standing"]
         if step != "ready":
@@ -89,52 +96,52 @@
         await daemons.comes_back(0, killed)
         await daemons.in_state(0, "ready")
 
-    played = play(goes)
+    played = play(run_course)
     assert {relay for _, relay, _ in played.unreached} <= {0}  # the other one never refused
 
 
-@pytest.mark.parametrize("said", ["", "takeover.offered"])
-def test_a_new_process_that_dies_before_it_is_ready_leaves_the_old_one_serving(said: str) -> None:
-    async def goes(course: Course) -> None:
+@pytest.mark.parametrize("log_text", ["", "takeover.offered"])
+def test_a_new_process_that_dies_before_it_is_ready_leaves_the_old_one_serving(log_text: str) -> None:
+    async def run_course(course: Course) -> None:
         daemons = course.daemons
         [old] = daemons.processes()[0]
         process = daemons.run(0)
-        while len(daemons.processes()[0]) < 2 or said not in (daemons.file.parent / "log").read_text():
+        while len(daemons.processes()[0]) < 2 or log_text not in (daemons.file.parent / "log").read_text():
             assert process.poll() is None
             await trio.lowlevel.checkpoint()
         process.kill()
         process.wait()
         assert (await daemons.in_state(0, "ready")) and daemons.processes()[0] == [old]
 
-    assert play(goes).unreached == []
+    assert play(run_course).unreached == []
 
 
 def test_of_several_processes_of_one_name_one_serves() -> None:
     async def begin(daemons: Daemons) -> None:
-        several = [daemons.run(0) for _ in range(4)]
+        processes = [daemons.run(0) for _ in range(4)]
         daemons.run(1)
         await daemons.all_answer()
         with trio.fail_after(30):
-            while len([one for one in several if one.poll() is None]) > 1:
+            while len([one for one in processes if one.poll() is None]) > 1:
                 await trio.sleep(0.02)
-        assert {one.poll() for one in several} <= {None, 0, 3}
+        assert {one.poll() for one in processes} <= {None, 0, 3}
 
-    async def goes(course: Course) -> None:
+    async def run_course(course: Course) -> None:
         assert len(course.daemons.processes()[0]) == 1
         await course.daemons.in_state(0, "ready")
 
-    assert play(goes, begin).unreached == []
+    assert play(run_course, begin).unreached == []
 
 
 def test_a_disk_that_takes_no_snapshot_costs_no_request() -> None:
     """Where this runs as root nothing is read-only: a file stands where the folder was, as there is news."""
-    news = msgspec.structs.replace(
-        SMALL,
+    scenario = msgspec.structs.replace(
+        SMALL_SCENARIO,
         faults=(spec.Fault(kind="start_servers", at_s=1.5, count=1),),
         server_list=spec.ServerList(add_s=0.1, period_ms=20.0),
     )
 
-    async def goes(course: Course) -> None:
+    async def run_course(course: Course) -> None:
         daemons = course.daemons
         folder: Path = daemons.folder / "snapshots"
         folder.rename(folder.with_name("aside"))
@@ -145,10 +152,10 @@
         folder.with_name("aside").rename(folder)
         await daemons.when(lambda: daemons.instance(0), lambda one: not one["snapshot"]["fault"])
 
-    assert play(goes, world=news, snapshot={"every_s": 0.2}).unreached == []
+    assert play(run_course, scenario=scenario, snapshot={"every_s": 0.2}).unreached == []
 
 
-def test_nothing_is_left_of_a_fleet() -> None:
+def test_no_process_of_a_fleet_remains_after_a_failure() -> None:
     played: list[Daemons] = []
 
     async def begin(daemons: Daemons) -> None:
@@ -160,5 +167,5 @@
         raise RuntimeError("it broke off")
 
     with pytest.raises(BaseExceptionGroup, match="Trio nursery"):
-        play_fleet(SMALL, 3, begin, both, tables=TABLES)
+        play_fleet(SMALL_SCENARIO, 3, begin, start_both, tables=SETTINGS_TABLES)
     assert played[0].processes() == {}
