--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -1,12 +1,12 @@
-"""Work that cold push servers are sent, against their budget, under few relays and many.
+"""Work sent to cold push servers, compared with their budget, for few and for many relays.
 
     python -m benchmarks.cold_fleet sockets|model [--relays 2] [--seed 1] [--repeats 1] [--case NAME]
 
-`sockets`: real relay processes, each without knowledge of the others, and stand-in push servers on loopback;
-`model`: the lab's model, for fleets that one machine can't hold. The cases are the scenarios in
-benchmarks/fleet/; all of one case have the same push servers and clients, whatever the number of relays.
-Prints a JSON line for each history; `--out` keeps the results for `glenfold lab report`. Half a minute each
-on sockets.
+`sockets` runs real relay processes, which don't know of each other, and stand-in push servers on loopback;
+`model` runs the lab's model, for fleets too large for one machine. The cases are the scenarios in
+benchmarks/fleet/. All runs of one case have the same push servers and clients, for any number of relays.
+Prints a line of JSON for each run; `--out` keeps the results for `glenfold lab report`. A run on sockets
+takes half a minute.
 """
 
 import json
@@ -39,6 +39,7 @@
 
 
 def measure(where: str, scenario: Scenario, seed: int) -> tuple[RunResult, tuple[ColdLife, ...]]:
+    """Runs the scenario in the model or on sockets, and returns its result and its cold starts."""
     work = ColdWork(scenario.rules, 0 if where == "model" else SLACK_US)
     if where == "model":
         return world.play(scenario, seed, watchers=[work]), work.lives()
@@ -46,7 +47,7 @@
 
 
 def summarize_run(result: RunResult, lives: tuple[ColdLife, ...]) -> dict[str, Any]:
-    """What is reported of one history; spans as in `ColdLife`."""
+    """Returns the figures to report for one run; the spans are those of `ColdLife`."""
     cold = [verdict for verdict in result.verdicts if verdict.rule == "cold"]
     return {
         "cold_starts": len(lives),
@@ -57,7 +58,9 @@
 
 
 def summarize_spans(spans: Sequence[Span]) -> dict[str, Any]:
-    """used: of the budget, by the median of all cold starts and by the worst one, which is given too."""
+    """Returns the used part of the budget, as the median and the worst of all cold starts, and the figures of
+    the worst one.
+    """
     worst = max(spans, key=lambda span: span.used)
     return {
         "used_median": round(float(np.median([span.used for span in spans])), 2),
@@ -71,7 +74,9 @@
 @click.command()
 @click.argument("where", type=click.Choice(["sockets", "model"]))
 @click.option("--relays", type=click.IntRange(1, 1000), default=2, show_default=True)
-@click.option("--servers", type=click.IntRange(2, 1000), help="So many instead of the scenario's.")
+@click.option(
+    "--servers", type=click.IntRange(2, 1000), help="Number of push servers, in place of the scenario's."
+)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--repeats", type=click.IntRange(1, 20), default=1, show_default=True)
 @click.option("--case", "cases", multiple=True, type=click.Choice(CASES), default=CASES)
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,9 +1,10 @@
-"""1,000 relays and 10,000 push servers start at once, and 200,000 clients come for the first time.
+"""Start of 1,000 relays and 10,000 push servers at the same time, with 200,000 new clients.
 
     python benchmarks/cold_start.py [RELAYS SERVERS CONNECTIONS]
 
-One line of JSON: time and peak memory, what was placed, how long set-ups took, and of the cold budgets of
-all servers the part that was used: of each server's most, that of the median and of the worst one.
+Prints one line of JSON: elapsed time and peak memory, how many connections were placed, how long set-ups
+took, and how much of their cold budgets the servers used. The highest use of each server over any window
+counts; the median and the worst of all servers are reported.
 """
 
 import json
@@ -22,7 +23,7 @@
 
 
 class BudgetWatcher(Watcher):
-    """The most that was used of each cold server's budget, over any span of the rules' length."""
+    """Records the highest use of each cold server's budget over any window of the length in the rules."""
 
     def __init__(self, rules: spec.Rules) -> None:
         self._span = round(rules.fall_s * 1e6)
@@ -61,11 +62,11 @@
         schemes=(spec.Scheme(name="all"),),
         servers=spec.Servers(count=servers),
         relays=spec.Relays(count=relays),
-        # No group is larger than what a push server can hold.
+        # Groups stay small enough for one push server to hold each of them.
         clients=spec.Clients(
             standing=False, connections=connections, life_s=60, group_size=8, group_zipf=0.3
         ),
-        # The agents know of every start at once, as they do when a fleet starts.
+        # The agents learn of every start immediately, as they do when a whole fleet starts.
         server_list=spec.ServerList(notice_s=0, add_s=0, period_ms=20, spread_ms=(0, 1)),
         faults=(spec.Fault(kind="restart_servers", at_s=0.0005, part=1.0),),
     )
--- a/benchmarks/cold_turns.py
+++ b/benchmarks/cold_turns.py
@@ -1,18 +1,23 @@
-"""How full cold servers get, in a model of a fleet of gateways whose decisions are the real ones.
+"""How full cold servers get, in a model of a fleet of gateways that make the real decisions.
 
     python -m benchmarks.cold_turns [--gateways 200] [--servers 50] [--seeds 3]
 
-Half of the servers start anew in one moment, or all of them. Each client that comes then is given to a
-gateway by chance, as a front without memory would. A case says how many of the shares' clients there are, and
-how they come back: `steady`: so many a second, drawn from those that no cold server holds, beside new ones at
-the rate that the shares tell; `rush`: all of them within two seconds, so many seconds after the start of the
-servers, at gateways that hold nothing yet. `all anew`: no server is warm; who is refused comes again after
-0.5 to 1.5 s; `unmarked`: clients don't say that they come back.
-
-Prints a JSON line for each case. fullest: the most that one server was sent in any window of the settings, as
-a part of N + 2 sqrt(N) + 2, the most that it bears; N is what the settings allow it in that window. mean:
-what all cold servers were sent, as a part of the sum of N until they are warm. falls: servers that were sent
-more than they bear. Exits with 1 if there is one. About ten seconds of processor time a seed.
+Half of the servers restart at the same time, or all of them. Each client that connects afterwards reaches a
+random gateway, as behind a front without memory. A case says how many of the clients that the shares allow
+there are, and how they come back:
+
+- `steady`: a constant number per second returns, drawn from the clients that no cold server holds, beside new
+  clients at the rate in the shares;
+- `rush`: all clients return within two seconds, at once or some seconds after the servers started, at
+  gateways without connections;
+- `all anew`: no server is warm; a refused client tries again after 0.5 to 1.5 s;
+- `unmarked`: clients don't say that they return.
+
+Prints a line of JSON for each case. N is the number of calls that the settings allow a server in one window.
+`fullest` is the largest number of calls sent to one server in any window, divided by N + 2 sqrt(N) + 2, the
+most that a server can carry. `mean` is the number of calls sent to all cold servers, divided by the sum of N
+until they are warm. `falls` is the number of servers that were sent more than they can carry; the exit status
+is 1 if there are any. Each seed takes about ten seconds of processor time.
 """
 
 import heapq
@@ -32,8 +37,8 @@
 SECOND_US = 1_000_000
 TICK_US = SECOND_US // 100
 RUSH_S = 2.0
-GROUP_SIZE = 8  # clients of one group, over the whole fleet
-RECONNECT_DELAY_US = 100_000  # after a MOVE
+GROUP_SIZE = 8  # number of clients of one group, over the whole fleet
+RECONNECT_DELAY_US = 100_000  # delay of a client after a MOVE
 TENANT = interface.Tenant(1.0, quota_per_s=100.0, quota_connections=4_000.0)
 SETTINGS = interface.Settings(
     classes=(
@@ -54,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One way in which clients come back. used: clients, as a part of what the shares tell."""
+    """One way in which clients return. `client_ratio` is their number as a part of the shares."""
 
     name: str
     client_ratio: float
-    returns_per_s: float = 0.0  # 0: all of them within RUSH_S
+    returns_per_s: float = 0.0  # with 0, all clients return within RUSH_S
     rush_at_s: float = 0.0
-    restart_all: bool = False  # all servers start, and who is refused comes again
-    marked: bool = True  # clients say that they come back
+    restart_all: bool = False  # all servers restart, and refused clients try again
+    marked: bool = True  # clients say that they return
 
 
 CASES = (
@@ -83,11 +88,11 @@
 
 @dataclass(slots=True)
 class ColdServer:
-    """What a server was sent since it started."""
+    """The calls sent to one server since it started."""
 
     started_us: int
-    rate_per_s: float  # of new connections that fill it, once it is warm
-    sends: deque[int] = field(default_factory=deque)  # times, in the last window
+    rate_per_s: float  # rate of new connections that fills the server once it is warm
+    sends: deque[int] = field(default_factory=deque)  # times of the calls in the last window
     total: int = 0
     fullest: float = 0.0
 
@@ -100,7 +105,10 @@
         self.fullest = max(self.fullest, len(self.sends) / (allowed_calls + 2 * math.sqrt(allowed_calls) + 2))
 
     def allowed_calls(self, since: int, until: int) -> float:
-        """N: the multiple of what it can take in that time at the least, as it warms up evenly."""
+        """Returns N: the allowed multiple of the calls that the server can certainly take in that time.
+
+        Its capacity grows evenly while it warms up.
+        """
         middle = (since + until) / 2 - self.started_us
         warmth = SETTINGS.cold_share + (1 - SETTINGS.cold_share) * min(1.0, middle / SETTINGS.cold_us)
         return SETTINGS.fall_multiple * warmth * self.rate_per_s * (until - since) / SECOND_US
@@ -110,12 +118,12 @@
 class Client:
     key: int
     gateway: int = 0
-    request: int = 0  # 0: it has no connection
+    request: int = 0  # 0 without a connection
     server: int = 0
 
 
 class Fleet:
-    """All gateways, the servers and their clients."""
+    """The gateways, the servers and their clients."""
 
     def __init__(self, gateways: int, servers: int, seed: int, clients: int) -> None:
         self.rng = random.Random(seed)
@@ -128,8 +136,8 @@
         self.keys = 0
         self.clients = [self.new_client() for _ in range(clients)]
         self.clients_by_request: dict[int, Client] = {}
-        self.moved: list[tuple[int, int, Client]] = []  # moved clients: when, request, who
-        self.refused: list[tuple[int, int, Client]] = []  # when they come again, request, who
+        self.moved: list[tuple[int, int, Client]] = []  # time of return, request, client
+        self.refused: list[tuple[int, int, Client]] = []  # time of the retry, request, client
 
     def new_client(self) -> Client:
         self.keys += 1
@@ -144,7 +152,7 @@
             gateway.handle(self.now, interface.ServerList(kind, 0, entries))
 
     def restart_servers(self, all_servers: bool) -> None:
-        """All servers, or every second one."""
+        """Restarts all servers, or every second one."""
         started = self.servers if all_servers else self.servers[::2]
         rate = TENANT.quota_per_s / len(self.servers)
         for client in self.clients:
@@ -182,7 +190,7 @@
         self.apply_actions(client.gateway, actions)
 
     def apply_actions(self, gateway: int, actions: list[interface.Action]) -> None:
-        """Only a MOVE has effects here: the client ends its connection and comes back."""
+        """Applies MOVE actions: the client ends its connection and returns. Other actions have no effect."""
         for move in (action for action in actions if isinstance(action, interface.Move)):
             client = self.clients_by_request.get(move.request)
             if client is not None:
@@ -202,7 +210,7 @@
                 self.connect(client, returning)
 
     def replace_client(self) -> None:
-        """One client leaves for good and a new one comes."""
+        """Ends one client's connection for good, and connects a new client."""
         index = self.rng.randrange(len(self.clients))
         self.end_connection(self.clients[index], interface.Outcome.OK)
         self.clients[index] = self.new_client()
@@ -210,11 +218,11 @@
 
 
 class Arrivals:
-    """Who comes in each tick of one case."""
+    """Decides which clients connect in each tick of one case."""
 
     def __init__(self, fleet: Fleet, case: Case) -> None:
         self.fleet, self.case, self.started_us = fleet, case, fleet.now
-        self.waiting = fleet.clients.copy()  # of a rush: clients that have not come back yet
+        self.waiting = fleet.clients.copy()  # clients that have not returned yet, in a rush
         fleet.rng.shuffle(self.waiting)
         self.new_due = self.returns_due = 0.0
 
@@ -246,7 +254,7 @@
 
 
 def play(case: Case, gateways: int, servers: int, seed: int) -> list[ColdServer]:
-    """All servers that started anew, when they are nearly warm."""
+    """Returns all servers that restarted, at the end of their warm-up."""
     fleet = Fleet(gateways, servers, seed, round(case.client_ratio * TENANT.quota_connections))
     if case.returns_per_s:
         for client in fleet.clients:
@@ -260,7 +268,7 @@
 
 
 def summarize(case: Case, cold: list[ColdServer]) -> dict[str, str | float]:
-    """What is reported of one case; the figures as in the module's text."""
+    """Returns the figures to report for one case, as the module's docstring explains them."""
     budget = sum(
         server.allowed_calls(server.started_us, server.started_us + SETTINGS.cold_us) for server in cold
     )
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,16 +1,17 @@
-"""Twenty real instances under one supervisor, through all that a day may bring them; judged from outside.
+"""Twenty real instances under one supervisor, through the events of a day, observed from outside.
 
     python -m benchmarks.fleet day|starts [--instances 20] [--seed 1] [--repeats 3] [--out FOLDER]
 
-`day`: start of all in the same second with discovery answering one at a time, a crowd that comes within two
-seconds and a relay killed in its middle, a roll of all by take-over with a reload of all in its middle, the
-supervisor killed in the middle of it and another one going on, a reload with a faulty file, a relay killed in
-the middle of its shutdown, and a new process killed before it was ready. Clients come all the while, at
-moments drawn ahead. Some 75 s.
-`starts`: from a process's start to its being ready, of one and of all at once.
+`day` starts all instances in the same second, while discovery answers one of them at a time. A burst of
+clients follows over two seconds, and a relay is killed during it. All instances are then rolled by takeover.
+During the roll, all instances are reloaded, and the supervisor is killed and another one continues. After
+that come a reload with a faulty file, a relay killed during its shutdown, and a new process killed before it
+was ready. Clients arrive throughout, at times drawn in advance. A run takes about 75 s.
 
-Prints JSON lines; `--out` keeps the result for `glenfold lab report`. Exit status 1 if a rule was broken, or
-a connect was refused or a connection lost in the roll.
+`starts` measures the time from a process's start until it is ready, for one instance and for all at once.
+
+Prints lines of JSON; `--out` keeps the result for `glenfold lab report`. The exit status is 1 if a rule was
+broken, or if a connect was refused or a connection lost during the roll.
 """
 
 import json
@@ -35,20 +36,23 @@
 from glenfold_lab.stand_ins.machine_clock import SECOND_US
 
 LENGTH_S = 62.0
-BURST_AT_S = 2.0  # when the crowd comes
+BURST_AT_S = 2.0  # time of the burst of clients
 ROLL_AT_S = 6.0
 BURST_CLIENTS = 1000
-LIST_RESPONSE_S = 0.05  # that discovery takes for one whole list
-DEADLINE_S = 10.0  # that an old process has to end
-STAND_IN_PROCESSES = 4  # processes
-MAX_SHOWN_VERDICTS = 5  # verdicts
+LIST_RESPONSE_S = 0.05  # time that discovery takes to answer with one whole list
+DEADLINE_S = 10.0  # time limit for the shutdown of an old process
+STAND_IN_PROCESSES = 4
+MAX_SHOWN_VERDICTS = 5
 FLEET_SETTINGS = {"stagger_s": 0.0, "window_s": 1.0, "settle_within_s": 20.0, "backoff_s": 0.5}
 
 Figures = dict[str, Any]
 
 
 def scenario(instances: int, length_s: float, load: float = 0.22) -> spec.Scenario:
-    """Push servers with room for some 3,000 connections; 700 stand, some 25 a second come and go."""
+    """Returns a scenario whose push servers can hold about 3,000 connections.
+
+    About 700 connections stand; about 25 per second start and end.
+    """
     kind = spec.ServerKind(name="large", cores=12, speed=1.0, speed_cv=0.0, per_core=33, message_ms=1.5)
     return spec.Scenario(
         format=1,
@@ -59,23 +63,24 @@
         zones=spec.Zones(names=("one",), same_ms=0.2),
         servers=spec.Servers(count=8, kinds=(kind,), group_cost=0.0),
         relays=spec.Relays(count=instances, sockets=4096),
-        front=spec.Front(reshuffle=0.0),  # else connections end by the front's doing, not by the roll's
+        # A reshuffle by the front would end connections that the roll keeps.
+        front=spec.Front(reshuffle=0.0),
         clients=spec.Clients(load=load, life_s=30.0, groups=False),
     )
 
 
-# ---- the day ----
+# ---- Day ----
 
 
 @dataclass
 class DayCourse:
-    """The course. Spans are microseconds from the history's start."""
+    """The course of a day, and what was observed. Spans are in microseconds from the start of the run."""
 
     most_out: int
     roll: tuple[int, int] = (0, 0)
     command_results: dict[str, tuple[int, str]] = field(default_factory=dict)
     start_times_s: list[float] = field(default_factory=list)
-    downtimes: list[tuple[int, int, int]] = field(default_factory=list)  # killed relays: since, until
+    downtimes: list[tuple[int, int, int]] = field(default_factory=list)  # killed relays: relay, since, until
 
     async def begin(self, daemons: Daemons) -> None:
         daemons.up()
@@ -140,7 +145,7 @@
         self.downtimes.append((relay, since, course.now_us()))
 
     async def _kill_successor(self, course: Course, relay: int) -> None:
-        """The old process goes on serving, and nobody notices."""
+        """Kills a new process before it is ready; the old process has to serve without interruption."""
         daemons = course.daemons
         process = daemons.run(relay)
         while len(daemons.processes().get(relay, ())) < 2 and process.poll() is None:
@@ -159,7 +164,7 @@
 def measure_day(
     day_scenario: spec.Scenario, seed: int, most_out: int, processes: int, take_over: bool = True
 ) -> tuple[Played, Figures]:
-    """`world`: as `scenario` gives it."""
+    """Runs the day in a scenario that `scenario` returned, and returns the run and its figures."""
     day = DayCourse(most_out)
     restart = {"deadline_s": DEADLINE_S, "take_over": take_over}
     played = play_fleet(
@@ -224,8 +229,10 @@
 
 
 def count_unanswered(records: Sequence[Record]) -> int:
-    """Requests taken whose connections ended without an answer, and whose clients did not leave before. The
-    checker excuses those of a relay that died, and no others."""
+    """Counts requests whose connections ended without an answer, though their clients had not left before.
+
+    The checker excuses those of a relay that was killed, and no others.
+    """
     answered = {
         values[1]
         for name, values in records
@@ -238,21 +245,21 @@
     return any(killed == relay and since <= at <= until for killed, since, until in day.downtimes)
 
 
-# ---- starts ----
+# ---- Starts ----
 
 
 READY = re.compile(r'\{"time":"([^"]+)".*"instance":"([^"]+)".*"before":"waiting".*"state":"ready"')
 
 
 def process_started_at(pid: int) -> float:
-    """Unix seconds, to 10 ms: when the kernel began that process."""
+    """Returns when the kernel started that process, in Unix seconds with a resolution of 10 ms."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     age_s = time.clock_gettime(time.CLOCK_BOOTTIME) - int(fields[19]) / os.sysconf("SC_CLK_TCK")
     return time.time() - age_s
 
 
 def ready_times(log: str) -> dict[str, float]:
-    """Unix seconds, by instance: when it last became ready after its start."""
+    """Returns when each instance last became ready after a start, in Unix seconds."""
     return {
         match[2]: datetime.fromisoformat(match[1]).timestamp()
         for line in log.splitlines()
@@ -261,7 +268,7 @@
 
 
 def start_times(daemons: Daemons, log: str) -> list[float]:
-    """Seconds from each process's start to its being ready."""
+    """Returns the seconds from each process's start until it was ready."""
     ready = ready_times(log)
     return [
         ready[f"{NAME}-{relay + 1}"] - process_started_at(processes[-1].pid)
@@ -271,7 +278,10 @@
 
 @dataclass
 class StartsCourse:
-    """So many starts of all instances at once, without a supervisor; the last ones serve for a moment."""
+    """Starts all instances at once, `repeats` times, without a supervisor.
+
+    The processes of the last start also serve for a short time.
+    """
 
     repeats: int
     start_times_s: list[float] = field(default_factory=list)
@@ -289,7 +299,7 @@
         await daemons.all_answer()
 
     async def run_course(self, course: Course) -> None:
-        """Nothing more."""
+        """Does nothing: `begin` has measured the starts."""
 
 
 def measure_starts(instances: int, seed: int, one_s: float, repeats: int) -> Figures:
@@ -318,19 +328,21 @@
 @click.option("--instances", type=click.IntRange(3, 100), default=20, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--most-out", type=click.IntRange(1, 100), default=2, show_default=True)
-@click.option("--repeats", type=click.IntRange(1, 20), default=3, show_default=True, help="Of starts.")
+@click.option(
+    "--repeats", type=click.IntRange(1, 20), default=3, show_default=True, help="Number of repeated starts."
+)
 @click.option(
     "--processes",
     type=click.IntRange(0, 16),
     default=STAND_IN_PROCESSES,
     show_default=True,
-    help="Of stand-ins.",
+    help="Number of stand-in processes.",
 )
 @click.option(
     "--take-over/--no-take-over",
     default=True,
     show_default=True,
-    help="Without, a roll stops an instance before it starts the next: what that costs.",
+    help="Without takeover, a roll stops an instance before it starts its successor, which shows the cost.",
 )
 @click.option("--out", type=click.Path(file_okay=False, path_type=Path))
 def main(
--- a/benchmarks/intervals.py
+++ b/benchmarks/intervals.py
@@ -1,9 +1,10 @@
-"""How often 95 % intervals of a mean cover it: percentiles, BCa and the lab's expanded percentiles.
+"""Coverage of 95 % confidence intervals of a mean: percentile, BCa and the lab's expanded percentile.
 
     python -m benchmarks.intervals [TRIALS]
 
-For each number of pairs and each kind of differences, of TRIALS samples (default 2,000) the share whose
-interval holds the true mean, and the mean width. Seeded: the same figures every time.
+For each number of pairs and each distribution of differences, TRIALS samples (default 2,000) are drawn.
+Prints the share of them whose interval contains the true mean, and the mean width of the intervals. The
+random generator is seeded, so the figures are the same every time.
 """
 
 import math
@@ -25,7 +26,9 @@
 def difference_samples(
     random: np.random.Generator, shape: tuple[int, int]
 ) -> Iterator[tuple[str, Floats, float]]:
-    """Differences as experiments give them: most of them nothing, or a few large ones."""
+    """Yields the name, samples and true mean of each distribution that resembles results of experiments: many
+    differences are zero, or a few are large.
+    """
     yield "normal", random.normal(0, 1, shape), 0.0
     yield "lognormal", random.lognormal(0, 1, shape), math.exp(0.5)
     yield "70 % nothing, else exponential", (random.random(shape) < 0.3) * random.exponential(1, shape), 0.3
@@ -34,7 +37,11 @@
 
 
 def intervals(values: Floats, means: Floats) -> Iterator[tuple[str, Floats, Floats]]:
-    """values: samples by pairs. means: of their resamples, in order."""
+    """Yields the name, lower bounds and upper bounds of each kind of interval.
+
+    `values` has a row for each sample and a column for each pair. `means` are the sorted means of the
+    resamples of each row.
+    """
     samples, count = values.shape
     tail = np.full(samples, 0.025)
     yield "percentile", *_between(means, tail, 1 - tail)
@@ -50,11 +57,12 @@
 
 
 def _bca(values: Floats, means: Floats) -> tuple[Floats, Floats]:
-    """Bias-corrected and accelerated (B. Efron, 1987)."""
+    """Returns the bias-corrected and accelerated quantiles of each row (B. Efron, 1987)."""
     mean = values.mean(axis=1, keepdims=True)
     below = ((means < mean).mean(axis=1) + (means == mean).mean(axis=1) / 2).clip(1e-4, 1 - 1e-4)
     bias = np.array([NORMAL.inv_cdf(fraction) for fraction in below])
-    deviations = (values - mean) / (values.shape[1] - 1)  # the jackknife's, with its sign turned
+    # Deviations of the jackknife, with the sign reversed.
+    deviations = (values - mean) / (values.shape[1] - 1)
     spread = 6 * (deviations**2).sum(axis=1) ** 1.5
     skew = np.divide((deviations**3).sum(axis=1), spread, out=np.zeros(len(values)), where=spread > 0)
     bounds = []
--- a/benchmarks/leave.py
+++ b/benchmarks/leave.py
@@ -1,11 +1,12 @@
-"""SIGTERM to one real relay with thousands of standing connections: how many clients are told to move.
+"""SIGTERM to one real relay with thousands of standing connections, and how many clients receive MOVE.
 
     python benchmarks/leave.py [--tree FOLDER] [--lines-every S] [--through] [SIZE ...]
 
-The relay is `python -m glenfold` of that tree, on loopback; push servers and clients are two processes of
-their own, so that 6,000 connections need 6,000 descriptors in each and 12,000 in the relay. One line of JSON
-for each size: how many were sent MOVE, cut without it, cut within a line, and when, in seconds after SIGTERM.
-SIGKILL comes at 3.7 s. `--through`: where packets pass through, and connections are to stand until the end.
+The relay is `python -m glenfold` of that tree, on loopback. Push servers and clients are two processes of
+their own, so that 6,000 connections need 6,000 descriptors in each of them and 12,000 in the relay. Prints
+one line of JSON for each size: how many connections received MOVE, were cut without it or were cut within a
+line, and when, in seconds after SIGTERM. SIGKILL follows after 3.7 s. `--through` tests pass-through mode, in
+which connections have to stand until the end.
 """
 
 import argparse
@@ -27,10 +28,10 @@
 from typing import Any
 
 SERVER_COUNT = 20
-MAX_OPENING_CLIENTS = 64  # clients that wait for their UP at once
+MAX_OPENING_CLIENTS = 64  # limit of clients that wait for UP at the same time
 KILL_AFTER_S = 3.7
 SETTLE_S = 2.0
-SPARE_DESCRIPTORS = 200  # descriptors beside those of connections
+SPARE_DESCRIPTORS = 200  # descriptors that are needed for other uses than connections
 SETTINGS: dict[str, Any] = {
     "classes": [
         {
@@ -58,7 +59,7 @@
     parser.add_argument("--log", action="store_true")
     parser.add_argument("sizes", nargs="*", type=int)
     options = parser.parse_args()
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # so that the processes below end too
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # The exit also ends the child processes.
     max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
     for size in options.sizes or (1000, 3000, 6000):
@@ -70,6 +71,7 @@
 
 
 def measure(options: argparse.Namespace, size: int) -> dict[str, Any]:
+    """Runs one relay with `size` connections until it exits, and returns the figures to print."""
     with tempfile.TemporaryDirectory() as folder:
         to_servers, servers_end = mp.Pipe()
         servers = mp.Process(target=play_servers, args=(servers_end,), daemon=True)
@@ -113,6 +115,10 @@
 def start_relay(
     options: argparse.Namespace, folder: Path, ports: list[int], size: int
 ) -> tuple[subprocess.Popen[bytes], int]:
+    """Returns the process of a relay that accepts connections, and its port.
+
+    Raises `SystemExit` with the relay's log if it does not accept within 10 s.
+    """
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
@@ -161,7 +167,7 @@
     raise SystemExit((folder / "log").read_text())
 
 
-# ---- push servers: whatever opens is up, and every line comes back ----
+# ---- Push servers, which answer every OPEN with UP and echo every other line ----
 
 
 def play_servers(parent: Connection) -> None:
@@ -192,11 +198,11 @@
         return False
 
 
-# ---- clients ----
+# ---- Clients ----
 
 
 class Clients:
-    """All connections to one relay; `ends`: how each was over, and when."""
+    """All connections to one relay. `endings` holds how and when each of them ended."""
 
     def __init__(self, port: int, size: int, lines_every: float) -> None:
         self.port, self.size, self.line_interval_s = port, size, lines_every
@@ -214,7 +220,7 @@
                 self._open(opened)
                 opened += 1
             self.poll_once()
-            opened -= len(self.endings)  # refused: they come again
+            opened -= len(self.endings)  # Refused clients try again.
             self.endings.clear()
         now = time.monotonic()
         self.lines_due = sorted(
@@ -230,7 +236,7 @@
         self.poll.register(sock, select.EPOLLIN)
 
     def poll_once(self) -> None:
-        """What has come, and the lines that are due."""
+        """Reads what has arrived, and sends the lines that are due."""
         for number, _ in self.poll.poll(0.005):
             self._read(number)
         now = time.monotonic()
@@ -240,7 +246,7 @@
                 try:
                     self.socks[number].send(b"hello\r\n")
                 except OSError:
-                    continue  # its end is read next
+                    continue  # The next poll reads the end of the connection.
                 heapq.heappush(self.lines_due, (at + self.line_interval_s, number))
 
     def _read(self, number: int) -> None:
--- a/benchmarks/left_waiting.py
+++ b/benchmarks/left_waiting.py
@@ -1,14 +1,16 @@
-"""Clients that leave while their request waits, at one real relay: how many are sent on afterwards.
+"""Requests that a real relay still sends on after their clients left.
 
     python benchmarks/left_waiting.py [--tree FOLDER] [--clients N] [--seed S] [--lags] [--ends HOW ...]
 
-The relay is `python -m glenfold` of that tree, on loopback. Of its push servers a third answers nothing, a
-third is full, and a third comes up late (its queue of new connections is full for about a second). Each
-client leaves within 1.5 s of its line: by an end, by a reset, or, in mid flow, by an end behind bytes that it
-sent early (where `--ends` asks for it, behind a flood: more than the kernel takes for who reads none).
-`--lags`: the relay is stopped for 0.5 s of each second, so that its loop is late with everything. One line of
-JSON: clients that left while they waited, how many lines reached a server's machine after that, how many of
-these over 0.1 s after (must be 0), and what the relay counted.
+The relay is `python -m glenfold` of that tree, on loopback. A third of its push servers never answer, a third
+are full, and a third accept late because their queues of new connections are full for about a second. Each
+client leaves within 1.5 s of its OPEN line: by an end of stream, by a reset, or, in mid flow, by an end of
+stream behind bytes that it sent early. `--ends "behind a flood"` sends more early bytes than the kernel
+accepts for a socket that nobody reads.
+
+`--lags` stops the relay for 0.5 s of each second, so that its event loop is late with everything. Prints one
+line of JSON: how many clients left while they waited, how many lines reached a server's machine after that,
+how many of these more than 0.1 s after (must be 0), and the relay's counters.
 """
 
 import argparse
@@ -31,13 +33,13 @@
 LATE_S = 0.1
 MAX_STAY_S = 1.5
 SERVER_COUNT = 9
-CLIENT_INTERVAL_S = 0.02  # between two clients
+CLIENT_INTERVAL_S = 0.02  # interval between the starts of two clients
 ENDS = ("end", "reset", "behind bytes")
-EARLY_LINES = {"behind bytes": 2_000, "behind a flood": 60_000}  # lines sent early
+EARLY_LINES = {"behind bytes": 2_000, "behind a flood": 60_000}  # number of lines sent before the answer
 
 
 class Observations:
-    """What the push servers and the clients saw, by the clients' ids."""
+    """What the push servers and the clients observed, by client id."""
 
     def __init__(self) -> None:
         self.sent_at: dict[bytes, list[float]] = {}
@@ -46,10 +48,12 @@
 
 
 def serve(listener: socket.socket, kind: str, observed: Observations) -> None:
+    """Accepts connections as a push server that is `silent`, `full` or `late`."""
     while True:
         sock, _ = listener.accept()
         threading.Thread(target=serve_connection, args=(sock, kind, observed), daemon=True).start()
-        if kind == "late":  # the kernel queues one more, and drops whoever comes beyond that for a second
+        if kind == "late":
+            # For this second the kernel queues one more connection and drops the others.
             time.sleep(1.0)
 
 
@@ -57,9 +61,8 @@
     try:
         line = sock.recv(4096)
         if line:
-            received_at = (
-                time.monotonic() - kernel_times(sock).since_received_s
-            )  # it may have waited to be read
+            # The line may have waited in the socket's buffer.
+            received_at = time.monotonic() - kernel_times(sock).since_received_s
             observed.sent_at.setdefault(line.split()[1], []).append(received_at)
         if kind == "full" and line:
             sock.sendall(b"BUSY\r\n")
@@ -89,7 +92,8 @@
             observed.answers["reset"] += 1
             return
         if ending == "reset":
-            linger_of_zero = b"\x01\0\0\0\0\0\0\0"  # linger on, for no time
+            # SO_LINGER with a timeout of 0: close() resets the connection.
+            linger_of_zero = b"\x01\0\0\0\0\0\0\0"
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_of_zero)
     observed.departed_at[name] = time.monotonic()
 
@@ -132,7 +136,7 @@
                 client.join()
             if options.lags:
                 lag.join()
-            time.sleep(3.5)  # the longest deadline, and a moment
+            time.sleep(3.5)  # The longest deadline is 3 s.
             relay.send_signal(signal.SIGTERM)
             relay.wait(10)
         finally:
@@ -143,6 +147,7 @@
 
 
 def stop_and_continue(relay: Any, for_s: float) -> None:
+    """Stops the relay for the first half of each second, for `for_s` seconds."""
     until = time.monotonic() + for_s
     while time.monotonic() < until:
         relay.send_signal(signal.SIGSTOP)
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -1,11 +1,12 @@
-"""What the load tool can offer, and what it costs: prints JSON lines, one for each repeat and one for all.
+"""Capacity and cost of the load tool.
 
     python -m benchmarks.load_tool relays|echo [--repeats 3] [--seconds 30] [--rate 500] [--life 10]
 
-`relays`: 20 real relays, each a process, in front of 20 stand-in push servers, each in a process of its own,
-all on loopback on this machine; new connections come at `--rate` together, each says a line every 2 s. The
-load's two workers have a core each, all else shares the other cores. `echo`: the same load on bare stand-ins
-that say UP at once, which shows what the tool itself costs. Seeds are `--seed` (1) and those after it.
+`relays` runs 20 real relay processes in front of 20 stand-in push servers, each in a process of its own, all
+on loopback on this machine. New connections arrive at `--rate` per second over all relays, and each sends a
+line every 2 s. The two load workers have a core each; all other processes share the remaining cores. `echo`
+sends the same load to bare stand-ins that answer UP immediately, which shows the cost of the tool itself.
+Seeds start at `--seed` (1). Prints one line of JSON for each repeat and one for all repeats.
 """
 
 import json
@@ -39,18 +40,18 @@
 from glenfold_lab.stand_ins.script import draw
 from glenfold_lab.stand_ins.seen import Seen
 
-NODE_COUNT = 20  # of relays, and of push servers
+NODE_COUNT = 20  # number of relays, and number of push servers
 WORKER_COUNT = 2
 LATE_THRESHOLD_US = 5_000
-SETTLE_US = 2 * SECOND_US  # from the last relay's being ready to the load's start
-STAND_IN_LINGER_S = 4.0  # that the stand-ins stay after the last start
-RELAY_SOCKETS = 4096  # of a relay
+SETTLE_US = 2 * SECOND_US  # pause after the last relay is ready, before the load starts
+STAND_IN_LINGER_S = 4.0  # time that the stand-ins keep running after the last connection has started
+RELAY_SOCKETS = 4096  # limit of open sockets for each relay
 
 Figures = dict[str, Any]
 
 
 class UnsealedPart(Part):
-    """Push servers that take the lines of any client: those of a load bear no seal of a run."""
+    """Push servers that accept lines from any client, as clients of the load tool don't send a run's seal."""
 
     async def bind(self) -> Places:
         places = await super().bind()
@@ -60,7 +61,7 @@
 
 
 def scenario(seconds: float) -> spec.Scenario:
-    """Push servers large enough for what the load makes stand: about 800 connections each."""
+    """Returns a scenario whose push servers can hold the load's standing connections, about 800 each."""
     kind = spec.ServerKind(name="large", cores=24, speed=1.0, speed_cv=0.0, per_core=33, message_ms=1.5)
     return spec.Scenario(
         format=1,
@@ -77,6 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestedLoad:
+    """The load to offer: new connections per second, duration and life of a connection in seconds."""
+
     rate: float
     seconds: float
     life: float
@@ -96,7 +99,7 @@
 
 @contextmanager
 def keep_off_load_cores() -> Iterator[None]:
-    """What is started inside stays off the cores that the load's workers take after it."""
+    """Keeps processes that start within the block off the cores that the load workers use."""
     process = psutil.Process()
     cores = process.cpu_affinity()
     load_cores = {core for worker_cores in worker_pool.cores_for(WORKER_COUNT) for core in worker_cores}
@@ -107,7 +110,7 @@
         process.cpu_affinity(cores)
 
 
-# ---- the two arrangements ----
+# ---- The two set-ups ----
 
 
 def measure_echo(load: RequestedLoad, seed: int) -> Figures:
@@ -127,7 +130,7 @@
 
 
 class Fleet:
-    """The relays, and the stand-ins that they need."""
+    """The relays, and the stand-ins that they connect to."""
 
     def __init__(self, load: RequestedLoad, seed: int, folder: Path) -> None:
         self._load, self._seed, self._folder = load, seed, folder
@@ -213,7 +216,7 @@
     return [relay.usage.cpu_s for relay in relays]
 
 
-# ---- what is told ----
+# ---- Report ----
 
 
 def spread(values: Sequence[float]) -> Figures:
@@ -249,7 +252,7 @@
 
 
 def summarize_repeats(repeats: Sequence[Figures]) -> Figures:
-    """Of the figures that are measured, what they came to over all repeats."""
+    """Returns the spread of each measured figure over all repeats."""
     return {
         f"{name} {at}": spread([repeat[name][at] for repeat in repeats])
         for name in ("lateness_ms", "set_up_ms", "lines_ms")
--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -1,12 +1,13 @@
-"""What a connection costs in the model, in a world of 100 relays and 1,000 push servers.
+"""Cost of a connection in the model, with 100 relays and 1,000 push servers.
 
     python benchmarks/model_size.py            # 10,000 and 1,000,000 connections
-    python benchmarks/model_size.py 50000 ...  # others, each in a process of its own
+    python benchmarks/model_size.py 50000 ...  # other numbers, each in a process of its own
 
-One line of JSON for each size: seconds and peak memory of that process, and microseconds for each connection,
-with and without building the world (machines, relays and their maps), which is the same at every size.
-Three quarters stand when the history starts, the others come within its 20 s; all change their loads, and
-a third of them end. Limits: 240 s and 2 GB at 1,000,000, and there at most 25 % more than at 10,000.
+Prints one line of JSON for each size: seconds and peak memory of that process, and microseconds for each
+connection, with and without the construction of the world (machines, relays and their maps), which is the
+same at every size. Three quarters of the connections stand when the run starts, the others arrive within its
+20 s. All change their loads, and a third of them end. The limits are 240 s and 2 GB at 1,000,000 connections,
+where a connection may cost at most 25 % more than at 10,000.
 """
 
 import json
--- a/benchmarks/replica/watchers.py
+++ b/benchmarks/replica/watchers.py
@@ -1,10 +1,10 @@
-"""What a change costs a replica a watcher: processor time of the serving process, by the number of watchers.
+"""Processor time of a replica for each watcher, by the number of watchers.
 
     .venv/bin/python -m benchmarks.replica.watchers --watchers 500 1500 3400 --changes 50 --repeats 3
 
-The watchers are plain sockets in a process of their own, which reads what comes and closes nothing; the
-figures are of the serving process alone, in microseconds a watcher. `change` is one server's entry, about 150
-bytes; `renewal` is the empty line; `resume` is a watch from its connection to its response.
+The watchers are plain sockets in a process of their own, which reads all data and closes nothing. The figures
+are those of the serving process alone, in microseconds per watcher: `change` is a change of one server's
+entry, about 150 bytes; `renewal` is an empty line; `resume` is a watch from its connection to its response.
 """
 
 import argparse
@@ -29,8 +29,10 @@
 
 
 def run_watchers(port: int, count: int) -> None:
-    """The watchers: tells on standard output once all have their response, then how many bytes they read a
-    request on standard input."""
+    """Runs `count` watchers.
+
+    Prints the number of bytes read so far for each byte on standard input, until standard input ends.
+    """
     selector = selectors.DefaultSelector()
     for _ in range(count):
         sock = socket.create_connection(("127.0.0.1", port))
@@ -105,6 +107,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
+    """Waits for the condition; raises `trio.TooSlowError` after `WAIT_TIMEOUT_S`."""
     with trio.fail_after(WAIT_TIMEOUT_S):
         while not condition():
             await trio.sleep(0.05)
--- a/benchmarks/result_stores.py
+++ b/benchmarks/result_stores.py
@@ -1,10 +1,10 @@
-"""Ways to keep an experiment's results: what a cell costs, how large they are, and how fast figures are read.
+"""Formats for an experiment's results: cost of a cell, size, and time to read the figures.
 
     python -m benchmarks.result_stores RESULTS [CELLS]
 
-RESULTS: a file of `glenfold lab experiment`, whose results are written CELLS times (default 1,000), each of
-them on the disk before the next. Parquet takes part if pyarrow is installed; as it can't be added to, it
-gets a file for each cell.
+RESULTS is a file of `glenfold lab experiment`, whose results are written CELLS times (default 1,000). Each
+result is on the disk before the next one is written. Parquet takes part if pyarrow is installed; it gets a
+file for each cell, because a Parquet file can't be appended to.
 """
 
 import os
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,15 +1,15 @@
-"""How long relays take to be ready, what that costs, and whether their first attempts are on time.
+"""Time and CPU that relays need until they are ready, and the lateness of their first attempts.
 
     python -m benchmarks.start [--root .] [--relays 1] [--runs 10] [--share 0.25 --period 500 | --together]
 
-Each run starts that many relays at once, each a process of its own, and waits until all answer PING. In the
-second after that 100 clients come, 40 of them at once. One line of JSON a run and one for all: milliseconds
-from exec to PONG and CPU milliseconds by then, and how late the first attempts reached their push server,
-counted from the moment that the client sent its line.
+Each run starts `--relays` relays at once, each as a process of its own, and waits until all answer PING. 100
+clients connect during the next second, the first 40 of them at once. Prints one line of JSON for each run and
+one for all runs: milliseconds from exec to PONG, CPU milliseconds used by then, and the time from each
+client's OPEN line to the arrival of the first attempt at a push server.
 
-`--share`: a part of a core for each relay, as a scheduler with quotas gives it: one that has used its part of
-a `--period` (milliseconds) is stopped until the next. `--together`: all relays on one core. `--root`: the
-checkout whose relays are started, so that two revisions can be compared.
+`--share` is the fraction of a core that each relay may use, as under a scheduler with quotas: a relay that
+has used its share of a `--period` (milliseconds) is stopped until the next period. `--together` runs all
+relays on one core. `--root` is the checkout whose relays are started, so that two revisions can be compared.
 """
 
 import json
@@ -42,7 +42,7 @@
 CLIENT_COUNT = 100
 BURST_CLIENTS = 40
 SET_UP_S = 0.005
-POLL_INTERVAL_S = 0.01  # between two PINGs to a relay that starts
+POLL_INTERVAL_S = 0.01  # interval of the PINGs to a starting relay
 QUOTA_POLL_INTERVAL_S = 0.002
 SETTINGS: dict[str, Any] = {
     "classes": [{"name": "watch", "aim_us": 500_000, "hard_limit_us": 3_000_000, "semantics": "repeatable"}],
@@ -55,7 +55,7 @@
 
 
 class PushServers:
-    """Push servers that say UP after a moment; when each client's line first came."""
+    """Push servers that answer UP after `SET_UP_S`, and record when each client's line first arrived."""
 
     def __init__(self) -> None:
         self.first_line_at: dict[bytes, float] = {}
@@ -85,7 +85,7 @@
 
 
 class RelayProcess:
-    """One relay's process."""
+    """The process of one relay."""
 
     def __init__(
         self,
@@ -124,7 +124,7 @@
         self.ready_s = self.cpu_s = 0.0
 
     def cpu_time_s(self) -> float:
-        """CPU seconds so far."""
+        """Returns the CPU seconds used so far, or 0 if the process has exited."""
         try:
             tasks = Path(f"/proc/{self.process.pid}/task").glob("*/schedstat")
             return sum(int(task.read_text().split()[0]) for task in tasks) / 1e9
@@ -132,9 +132,10 @@
             return 0.0
 
     async def wait_until_ready(self) -> None:
+        """Waits for the first PONG; raises `click.ClickException` if the process exits first."""
         while await ping(self.listen) is not Ping.ANSWERED:
             if self.process.poll() is not None:
-                raise click.ClickException("a relay has ended")
+                raise click.ClickException("a relay exited before it was ready")
             await trio.sleep(POLL_INTERVAL_S)
         self.ready_s, self.cpu_s = time.monotonic() - self.exec_at, self.cpu_time_s()
 
@@ -145,7 +146,7 @@
 
 
 class Quota(threading.Thread):
-    """Stops each relay that has used its part of the period, until the next one begins."""
+    """Thread that stops each relay that has used its quota of CPU time until the next period begins."""
 
     def __init__(self, relays: Sequence[RelayProcess], share: float, period_s: float) -> None:
         super().__init__(daemon=True)
@@ -166,6 +167,7 @@
 
 @contextmanager
 def limit_cpu(relays: Sequence[RelayProcess], share: float, period_s: float) -> Iterator[None]:
+    """Limits each relay to `share` of a core within the block, and kills all relays at its end."""
     quota = Quota(relays, share, period_s)
     if share < 1:
         quota.start()
@@ -229,6 +231,7 @@
 
 
 def summarize(values: Sequence[float]) -> dict[str, float]:
+    """Returns the median, the 99th percentile and the maximum."""
     ordered = sorted(values)
     return {
         "p50": round(percentile(ordered, 50), 1),
@@ -247,9 +250,9 @@
 @click.option("--root", type=click.Path(exists=True, path_type=Path), default=Path("."))
 @click.option("--relays", default=1)
 @click.option("--runs", default=10)
-@click.option("--share", default=1.0, help="of a core, for each relay")
-@click.option("--period", default=500.0, help="milliseconds")
-@click.option("--together", is_flag=True, help="all relays on one core")
+@click.option("--share", default=1.0, help="Share of a core for each relay.")
+@click.option("--period", default=500.0, help="Length of a quota period in milliseconds.")
+@click.option("--together", is_flag=True, help="Run all relays on one core.")
 def main(root: Path, relays: int, runs: int, share: float, period: float, together: bool) -> None:
     results = []
     for _ in range(runs):
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,10 +1,11 @@
-"""Restarts of one instance by take-over, under a stream of clients.
+"""Restarts of one instance by takeover, under a stream of clients.
 
     python -m benchmarks.takeover [RESTARTS] [CLIENTS_A_SECOND]
 
-Real processes on loopback (default ten restarts, 200 clients a second, each standing for 0.3 s): refused and
-reset connects, the lab's checker on every request, how long each restart took, and set-ups from the intended
-moment of the connect, while a restart runs and between restarts. Under a minute.
+Runs real processes on loopback. The default is ten restarts and 200 clients per second, each standing for
+0.3 s. Reports refused and reset connects, the verdicts of the lab's checker on every request, the duration of
+each restart, and the set-up times from the scheduled time of the connect, during and between restarts. A run
+takes less than a minute.
 """
 
 import json
@@ -35,8 +36,9 @@
 SERVER = 1
 UP = b"UP push-1.00\r\n"
 STANDING_S = 0.3
-PAUSE_S = 0.5  # between two restarts
-STEP_TIMEOUT_S = 5.0  # that one restart may take to own its name, and then to end
+PAUSE_S = 0.5  # pause between two restarts
+# Time limit of each step of a restart: until the new process owns the name, then until the old one exits.
+STEP_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.01
 SLACK_US = 50_000
 SETTINGS: dict[str, Any] = {
@@ -50,10 +52,11 @@
 }
 
 
-# ---- the instance ----
+# ---- Instance ----
 
 
 async def serve(folder: Path) -> None:
+    """Runs one relay process that takes the listening sockets over from the previous one, if there is one."""
     config = platform.read_config({"LB_CONFIG": str(folder / "config.json")})
     location = TakeoverLocation(folder, NAME)
     try:
@@ -72,7 +75,7 @@
     await process.run()
 
 
-# ---- what is round it ----
+# ---- Clients, push server and supervision of the instance ----
 
 
 def now_us() -> int:
@@ -81,8 +84,11 @@
 
 @dataclass
 class Load:
-    """Clients, the push server behind, and what was seen of both. set_ups: intended moment and length, in
-    seconds; ended: how connections ended."""
+    """The clients, their push server, and what both observed.
+
+    `set_ups` holds the scheduled time and the duration of each set-up, in seconds. `ended` counts connections
+    by how they ended.
+    """
 
     address: Address
     recorder: Recorder = field(default_factory=Recorder)
@@ -102,7 +108,7 @@
                 pass
 
     async def clients(self, per_s: float) -> None:
-        """Until `arriving` is cancelled; then those that are there are waited for."""
+        """Starts `per_s` clients per second until `arriving` is cancelled, then waits for the others."""
         due = trio.current_time()
         async with trio.open_nursery() as nursery:
             with self.arriving:
@@ -138,6 +144,7 @@
         return {b"": "stood", b"MOVE\r\n": "moved"}.get(received_line, f"told {received_line.decode()!r}")
 
     def verdicts(self) -> int:
+        """Prints the checker's verdicts on the recorded run, and returns how many there are."""
         checker = Checker(Rules(), SLACK_US)
         replay(self.recorder.records, checker)
         checker.finish(now_us() + 10_000_000)
@@ -147,7 +154,7 @@
 
 
 class Instance:
-    """One process after the other of that name."""
+    """The successive processes of the instance `NAME`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -166,12 +173,19 @@
         return (self.folder / "log").read_text().count(event)
 
     async def wait_for_log_event(self, event: str, times: int) -> None:
+        """Waits until the log holds `event` `times` times.
+
+        Raises `trio.TooSlowError` after `STEP_TIMEOUT_S`.
+        """
         with trio.fail_at(trio.current_time() + STEP_TIMEOUT_S):
             while self.count_log_event(event) < times:
                 await trio.sleep(POLL_INTERVAL_S)
 
     async def restart(self, number: int) -> tuple[float, float]:
-        """Seconds from its start to when it owns the name, and to when the old one has ended."""
+        """Starts a new process, which takes over.
+
+        Returns the seconds from its start until it owns the name, and until the old process has exited.
+        """
         old, started_at = self.process, trio.current_time()
         self.process = self._spawn()
         await self.wait_for_log_event("took over", number)
@@ -213,6 +227,7 @@
 
 
 def write_config(folder: Path, address: Address, server: Address) -> None:
+    """Writes the configuration of a relay that listens on `address` and has one push server."""
     entry = {
         "host": "push-1",
         "dial": written(("127.0.0.1", server[1])),
@@ -239,6 +254,7 @@
 
 
 def report(load: Load, restart_times: list[tuple[float, float, float]]) -> bool:
+    """Prints the report, and returns whether no connection was lost and no rule broken."""
     owned_s, ended_s = (np.array([times[column] for times in restart_times]) for column in (1, 2))
     print(f"{len(restart_times)} restarts, {load.request_count} clients")
     print(f"owns its name after {spread(owned_s)} s; the old one has ended after {spread(ended_s)} s")
--- a/benchmarks/vast/count.py
+++ b/benchmarks/vast/count.py
@@ -1,10 +1,10 @@
-"""Counts over a whole fleet, from the logs of all its relays together: what came in and what became of it.
+"""Counts the requests of a whole fleet and their outcomes, from the logs of all its relays.
 
     LB_LOG_LEVELS=decision.traced=debug ...            in the environment of each relay
     python benchmarks/vast/count.py LOGS [--step 1] [--servers] [--cold --rate 40]
 
-LOGS is a folder with one file a relay. A line begins with the seconds of the day, or with the time of day;
-what stands between that and the event's own text does not matter. --cold needs a time of day (UTC) in it.
+LOGS is a folder with one file for each relay. A line begins with the seconds of the day, or with the time of
+day. Any text may stand between that and the text of the event. --cold needs a time of day (UTC) in the line.
 """
 
 import argparse
@@ -54,17 +54,15 @@
 
 @dataclass
 class Tally:
-    """By second of the day, and by server."""
+    """Counts by second of the day, and by server."""
 
     by_time: defaultdict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     by_server: defaultdict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    refused_by_class: Counter[str] = field(default_factory=Counter)  # final answers other than UP, by class
-    started_at: dict[int, float] = field(
-        default_factory=dict
-    )  # servers, and the latest moment of the day (UTC)
-    attempt_times: defaultdict[int, list[float]] = field(
-        default_factory=lambda: defaultdict(list)
-    )  # in such moments
+    refused_by_class: Counter[str] = field(default_factory=Counter)  # final answers other than UP
+    # The time of the latest start of each server, in seconds of the day (UTC).
+    started_at: dict[int, float] = field(default_factory=dict)
+    # The times of the attempts at each server, in seconds of the day (UTC).
+    attempt_times: defaultdict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
 
     def add(self, at: float, column: str, server: int | None = None) -> None:
         self.by_time[int(at)][column] += 1
@@ -74,8 +72,11 @@
 
 @dataclass(frozen=True)
 class ColdBudget:
-    """What the rule lets a server that just started take, by the settings. rate: connections a second that
-    all servers together may be given (the schemes' quotas); each of them counts alike."""
+    """The number of attempts that the rule allows a recently started server.
+
+    `rate_per_s` is the number of connections per second that all servers together may be sent (the sum of the
+    schemes' quotas). Each server gets the same part of it.
+    """
 
     rate_per_s: float
     servers: int
@@ -85,12 +86,15 @@
     window_s: float = 3.0
 
     def budget(self, age_s: float) -> float:
-        """Of the window that begins at this age, at the capacity of its beginning."""
+        """Returns the budget of the window that begins at this age, at the capacity of its start."""
         share = self.share + (1 - self.share) * min(1.0, max(0.0, age_s) / self.cold_s)
         return self.multiple * share * self.rate_per_s / self.servers * self.window_s
 
     def fullest_window(self, started_at: float, attempt_times: list[float]) -> tuple[int, float, float]:
-        """Of all windows that begin with an attempt while it was cold: attempts, budget, and their ratio."""
+        """Returns the attempts, the budget and their ratio of the window with the highest ratio.
+
+        Windows begin with each attempt that came while the server was cold. Without any, all three are 0.
+        """
         cold = sorted(at - started_at for at in attempt_times if 0 <= at - started_at < self.cold_s)
         windows = [
             (sum(age <= other < age + self.window_s for other in cold), self.budget(age)) for age in cold
@@ -100,12 +104,13 @@
 
 
 def parse_seconds(word: str) -> float:
+    """Returns the seconds in a text such as `3.5` or `17:00:03.5`."""
     parts = [float(part) for part in word.split(":")]
     return sum(part * 60**power for power, part in enumerate(reversed(parts)))
 
 
 class RelayLog:
-    """One relay's log; a process that starts anew counts its requests anew."""
+    """The log of one relay. Request numbers start again at each start of its process."""
 
     def __init__(self, tally: Tally) -> None:
         self._tally = tally
@@ -193,13 +198,15 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("logs", type=Path)
-    parser.add_argument("--step", type=int, default=1, help="seconds to a row")
-    parser.add_argument("--servers", action="store_true", help="a row for each server, too")
-    parser.add_argument("--cold", action="store_true", help="what started servers took of their budget")
+    parser.add_argument("--step", type=int, default=1, help="seconds per row")
+    parser.add_argument("--servers", action="store_true", help="print a row for each server as well")
+    parser.add_argument(
+        "--cold", action="store_true", help="compare attempts at started servers with their budget"
+    )
     parser.add_argument("--rate", type=float, help="sum of the schemes' quota_per_s, for --cold")
     options = parser.parse_args()
     if options.cold and not options.rate:
-        parser.error("--cold needs --rate: the sum of quota_per_s in the settings")
+        parser.error("--cold requires --rate: the sum of quota_per_s in the settings")
     tally = count(path.read_text(errors="replace").splitlines() for path in sorted(options.logs.iterdir()))
     by_step: defaultdict[int, Counter[str]] = defaultdict(Counter)
     for at, counts in tally.by_time.items():
@@ -209,7 +216,7 @@
         print(*table("server", sorted(tally.by_server.items(), key=lambda row: -row[1]["try"])), sep="\n")
     print("refused by class:", dict(tally.refused_by_class))
     if options.cold:
-        # As many as were there before any started; long lists stand cut short in a log.
+        # The number of servers that did not restart is used, because a log truncates long lists.
         cold = ColdBudget(options.rate, max(1, len(tally.by_server.keys() - tally.started_at.keys())))
         print("".join(f"{name:>12}" for name in ("cold server", "tries", "in a window", "budget", "of it")))
         rows = [
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,17 +1,17 @@
-"""All push servers end and start again: what the lab's model sends them, against their budget.
-
-A fleet that came back served a fifth of its clients for the rest of the day: 3,700 of 4,350 requests were
-refused, and on sockets most cold servers were sent nothing at all. Three causes, each told by a test of its
-own in tests/test_cold_servers.py:
-
-- a relay took a server that it had not seen at work to be as full as those that it had. The connections
-  that broke at the end of the servers counted as jams, one after the other ("server N jams: it keeps a
-  smaller slice of its keys" for each of the eight), and the guess fell so far that no client's own home was
-  open any more;
-- where no shares tell how long connections last, they were taken to last 300 s, and hardly any key had its
-  turn before its server was warm; with 20 s for all sites the rule broke (four starts over);
-- clients that don't say that they come back were let in as the usual flow of new ones: all at once that
-  sent 8 attempts where 1.6 are the budget, at each of the eight servers (seed 1).
+"""The work that the lab's model sends to push servers that have all restarted, compared with their budget.
+
+Guards against a fleet that serves only a fifth of its clients for the rest of the day after such a restart:
+3,700 of 4,350 requests were refused, and on sockets most cold servers were sent nothing at all. There were
+three causes, each with a test of its own in tests/test_cold_servers.py:
+
+- A relay took a server that it had not seen at work to be as full as the servers that it had seen. The
+  connections that broke at the end of the servers counted as overload, one after the other, for each of the
+  eight servers ("server N jams: it keeps a smaller slice of its keys"). The estimate fell so far that no
+  client's own home was open any more.
+- Where no shares tell how long connections last, they were assumed to last 300 s, and hardly any key had its
+  turn before its server was warm. With 20 s for all sites the rule broke (four starts over the budget).
+- Clients that don't say that they return were admitted as the usual flow of new clients. All at once, they
+  caused 8 attempts at each of the eight servers, where the budget is 1.6 (seed 1).
 """
 
 from itertools import chain
@@ -24,7 +24,7 @@
 from glenfold_lab.stand_ins.run import scaled
 
 SEEDS = (41, 42, 43)
-MIN_MEDIAN_USED = 0.3  # of the budget, in the fullest span of the median start
+MIN_MEDIAN_USED = 0.3  # part of the budget used in the fullest span, as the median of all starts
 
 
 @pytest.mark.parametrize("relays", [2, 20])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,8 +1,8 @@
 """Whole fleets of real processes on loopback under clients, judged by the lab's checker.
 
-The day of `benchmarks.fleet` with its twenty instances is played here with three of them and fewer
-clients. Nothing here waits for a moment: what comes next begins when an instance or the supervisor says that
-it is so far.
+The day of `benchmarks.fleet`, which has twenty instances there, runs here with three instances and fewer
+clients. No test waits for a fixed time: each step begins when an instance or the supervisor reports that the
+previous one is complete.
 """
 
 from pathlib import Path
@@ -97,7 +97,7 @@
         await daemons.in_state(0, "ready")
 
     played = play(run_course)
-    assert {relay for _, relay, _ in played.unreached} <= {0}  # the other one never refused
+    assert {relay for _, relay, _ in played.unreached} <= {0}  # The other relay never refused a connection.
 
 
 @pytest.mark.parametrize("log_text", ["", "takeover.offered"])
@@ -134,7 +134,11 @@
 
 
 def test_a_disk_that_takes_no_snapshot_costs_no_request() -> None:
-    """Where this runs as root nothing is read-only: a file stands where the folder was, as there is news."""
+    """A snapshot that can't be written is reported, and costs no request.
+
+    A file takes the place of the snapshots' folder while the server list changes, because root could write to
+    a read-only folder.
+    """
     scenario = msgspec.structs.replace(
         SMALL_SCENARIO,
         faults=(spec.Fault(kind="start_servers", at_s=1.5, count=1),),
@@ -162,9 +166,9 @@
         played.append(daemons)
         daemons.up()
         await daemons.all_ready()
-        daemons.kill_supervisor()  # the relays are nobody's children now
+        daemons.kill_supervisor()  # The relays have no parent process that would end them.
         assert len(daemons.processes()) == 2
-        raise RuntimeError("it broke off")
+        raise RuntimeError("the run failed")
 
     with pytest.raises(BaseExceptionGroup, match="Trio nursery"):
         play_fleet(SMALL_SCENARIO, 3, begin, start_both, tables=SETTINGS_TABLES)
--- a/tests/test_vast_count.py
+++ b/tests/test_vast_count.py
@@ -1,4 +1,4 @@
-"""The count over a fleet's logs, on a made-up one."""
+"""Tests of the counts over the logs of a whole fleet, with made-up logs."""
 
 import importlib.util
 import sys
@@ -63,9 +63,9 @@
 def test_attempts_at_a_cold_server_over_all_relays_are_compared_with_its_budget_in_the_fullest_window():
     spec = importlib.util.spec_from_file_location("count_cold", SOURCE)
     count = importlib.util.module_from_spec(spec)
-    sys.modules["count_cold"] = count  # its dataclasses look their module up
+    sys.modules["count_cold"] = count  # dataclasses look up the module that defines them
     spec.loader.exec_module(count)
-    started_us = (20_000 * 86_400 + 17 * 3_600) * 1_000_000  # at 17:00:00 of some day
+    started_us = (20_000 * 86_400 + 17 * 3_600) * 1_000_000  # 17:00:00 of an arbitrary day
     listed = (
         f"0.5 17:00:00.000 DEBUG ServerList(version=1, servers=(ListedServer(server=7, "
         f"state=<ServerState.READY: 2>, weight=3.0, started_us={started_us}), ListedServer(server=8, "
@@ -79,7 +79,7 @@
         [listed, *(request.format(at=at, n=n) for n, at in enumerate(times))]
         for times in ((1.0, 2.0, 9.0), (1.5, 3.9, 4.0), (30.0,))
     ]
-    relays[2].append(listed.replace(str(started_us), str(started_us - 9_000_000)))  # an old list, read last
+    relays[2].append(listed.replace(str(started_us), str(started_us - 9_000_000)))  # an older list, read last
     relays[2].append("31 17:00:31.000 DEBUG Timer(token=0) -> Refuse(request=0, retry_after_us=0)")
     tally = count.count(relays)
     cold = count.ColdBudget(rate_per_s=10.0, servers=10, share=0.1, cold_s=20.0, multiple=3.0, window_s=3.0)
@@ -87,6 +87,6 @@
     attempts, budget, ratio = cold.fullest_window(tally.started_at[7], tally.attempt_times[7])
     assert (
         attempts == 4 and ratio == attempts / budget
-    )  # from 1.0 to 3.9, over two relays; 4.0 is out of the window
+    )  # The attempts from 1.0 to 3.9, over two relays, count; 4.0 is outside the window.
     assert abs(budget - 9 * (0.1 + 0.9 * 1.0 / 20)) < 1e-9
     assert cold.fullest_window(0.0, []) == (0, 0.0, 0.0) and tally.refused_by_class == {"1": 1}
