--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -73,7 +73,7 @@
     budgets = BudgetWatcher(scenario.rules)
     started_at = time.perf_counter()
     result = world.play(scenario, 1, watchers=[budgets])
-    used_parts = np.array(list(budgets.used.values()))
+    used_ratios = np.array(list(budgets.used.values()))
     figures = result.figures
     print(
         json.dumps(
@@ -90,8 +90,8 @@
                 "wanted_at_the_end": result.series["wanted"].values[-1],
                 "set_up_ms": {name: us / 1000 for name, us in result.set_up["watch"].quantiles.items()},
                 "budget_used": {
-                    "median": round(float(np.median(used_parts)), 3),
-                    "worst": round(float(used_parts.max()), 3),
+                    "median": round(float(np.median(used_ratios)), 3),
+                    "worst": round(float(used_ratios.max()), 3),
                 },
                 "servers_fallen": figures["servers_fallen"],
                 "rules_broken": figures["rules_broken"],
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -99,8 +99,8 @@
         await self._kill_relay(course, 1, draining=True)
         await self._kill_successor(course, 2)
 
-    async def _run_command(self, course: Course, command: str, *words: str) -> None:
-        result = await course.daemons.say(*words)
+    async def _run_command(self, course: Course, command: str, *arguments: str) -> None:
+        result = await course.daemons.say(*arguments)
         self.command_results[command] = result.status, result.out.strip()[-300:]
         course.note(f"{command}: status {result.status}")
 
@@ -109,14 +109,16 @@
         await self._run_command(
             course, "roll", "fleet", "roll", "--most-out", str(self.most_out), "--no-wait"
         )
-        await daemons.when(daemons.fleet, lambda one: _rolled_count(one) >= len(daemons.relays) // 4)
+        await daemons.when(daemons.fleet, lambda status: _rolled_count(status) >= len(daemons.relays) // 4)
         await self._run_command(course, "fleet reload in the roll", "fleet", "reload")
         await self._run_command(course, "reload of all in the roll", "reload")
-        await daemons.when(daemons.fleet, lambda one: _rolled_count(one) >= len(daemons.relays) // 2)
+        await daemons.when(daemons.fleet, lambda status: _rolled_count(status) >= len(daemons.relays) // 2)
         course.note("supervisor killed")
         daemons.kill_supervisor()
         daemons.up()
-        await daemons.when(daemons.fleet, lambda one: one["roll"] is None or not one["roll"]["running"])
+        await daemons.when(
+            daemons.fleet, lambda status: status["roll"] is None or not status["roll"]["running"]
+        )
         last = await daemons.fleet()
         if last["roll"] is not None:
             self.command_results["roll stopped"] = 1, str(last["roll"]["reason"])
@@ -185,7 +187,7 @@
     for verdict in result.verdicts:
         rules[verdict.rule] = rules.get(verdict.rule, 0) + 1
     started_us, ended_us = (played.start + at for at in day.roll)
-    refused_in_roll = [one for one in played.unreached if started_us <= one[0] <= ended_us]
+    refused_in_roll = [refusal for refusal in played.unreached if started_us <= refusal[0] <= ended_us]
     lost = [
         values
         for name, values in played.records
@@ -197,9 +199,10 @@
         if name == "answered" and values[2] == Final.CLOSED and started_us <= values[0] <= ended_us
     ]
     refused_elsewhere = [
-        one
-        for one in played.unreached
-        if not started_us <= one[0] <= ended_us and not _is_down(day, one[1], one[0] - played.start)
+        refusal
+        for refusal in played.unreached
+        if not started_us <= refusal[0] <= ended_us
+        and not _is_down(day, refusal[1], refusal[0] - played.start)
     ]
     return {
         "requests": result.figures["requests"],
@@ -222,9 +225,9 @@
         "service": round(result.figures["service"], 4),
         "worst_window": round(result.figures["worst_window"], 4),
         "late_p99_ms": result.figures["late_p99_ms"],
-        "peak_mb": spread([one.peak_mb for one in played.usage.values()]),
-        "old_and_new_mb": spread([one.two_mb for one in played.usage.values()]),
-        "cpu_s": spread([one.cpu_s for one in played.usage.values()]),
+        "peak_mb": spread([usage.peak_mb for usage in played.usage.values()]),
+        "old_and_new_mb": spread([usage.two_mb for usage in played.usage.values()]),
+        "cpu_s": spread([usage.cpu_s for usage in played.usage.values()]),
     }
 
 
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -184,11 +184,11 @@
                 self._times_set.set()
                 nursery.start_soon(keeper.run, start)
                 await self._clock.until(start)
-                found = await self._measure_load(places, relays)
+                load_figures = await self._measure_load(places, relays)
             nursery.cancel_scope.cancel()
         late_ms = [percentile(part.report().late_ms, 99) for part in remote_parts]
         errors = [*self._seen.faults, *(fault for part in remote_parts for fault in part.report().faults)]
-        return found | {"stand_ins_late_p99_ms": spread(late_ms), "faults": len(errors)}
+        return load_figures | {"stand_ins_late_p99_ms": spread(late_ms), "faults": len(errors)}
 
     async def _wait_for_times(self) -> Times:
         await self._times_set.wait()
@@ -281,11 +281,11 @@
         "seconds": seconds,
         "life_s": life,
     }
-    found = []
+    repeat_figures = []
     for n in range(repeats):
-        found.append(measure(load, seed + n))
-        click.echo(json.dumps(parameters | found[-1]))
-    click.echo(json.dumps(parameters | {"repeats": repeats} | summarize_repeats(found)))
+        repeat_figures.append(measure(load, seed + n))
+        click.echo(json.dumps(parameters | repeat_figures[-1]))
+    click.echo(json.dumps(parameters | {"repeats": repeats} | summarize_repeats(repeat_figures)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -95,7 +95,7 @@
     set_ups: list[tuple[float, float]] = field(default_factory=list)
     ended: Counter[str] = field(default_factory=Counter)
     request_count: int = 0
-    arriving: trio.CancelScope = field(default_factory=trio.CancelScope)
+    arrivals_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     async def push_server(self, stream: trio.SocketStream) -> None:
         with suppress(trio.BrokenResourceError):
@@ -108,10 +108,10 @@
                 pass
 
     async def clients(self, per_s: float) -> None:
-        """Starts `per_s` clients per second until `arriving` is cancelled, then waits for the others."""
+        """Starts `per_s` clients per second until `arrivals_scope` is cancelled, then waits for all."""
         due = trio.current_time()
         async with trio.open_nursery() as nursery:
-            with self.arriving:
+            with self.arrivals_scope:
                 while True:
                     await trio.sleep_until(due)
                     nursery.start_soon(self._client, due)
@@ -219,7 +219,7 @@
                     started_at = trio.current_time()
                     restart_times.append((started_at, *await instance.restart(number)))
                 await trio.sleep(PAUSE_S)
-                load.arriving.cancel()
+                load.arrivals_scope.cancel()
         finally:
             nursery.cancel_scope.cancel()
             instance.end()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -66,7 +66,7 @@
     ):
         assert figures[figure_name] == 0
     assert figures["answers"]["up"] > 100
-    assert {what: status for what, (status, _) in figures["said"].items()} == {
+    assert {command: status for command, (status, _) in figures["said"].items()} == {
         "roll": 0,
         "fleet reload in the roll": 1,
         "reload of all in the roll": 0,
@@ -89,7 +89,7 @@
             await daemons.in_state(0, "finishing" if step == "moving" else step)
         if step == "moving":
             await daemons.when(
-                lambda: daemons.instance(0), lambda one: 0 < one["connections"]["standing"] < standing
+                lambda: daemons.instance(0), lambda status: 0 < status["connections"]["standing"] < standing
             )
         killed = daemons.kill(0)
         daemons.run(0)
@@ -122,9 +122,9 @@
         daemons.run(1)
         await daemons.all_answer()
         with trio.fail_after(30):
-            while len([one for one in processes if one.poll() is None]) > 1:
+            while len([process for process in processes if process.poll() is None]) > 1:
                 await trio.sleep(0.02)
-        assert {one.poll() for one in processes} <= {None, 0, 3}
+        assert {process.poll() for process in processes} <= {None, 0, 3}
 
     async def run_course(course: Course) -> None:
         assert len(course.daemons.processes()[0]) == 1
@@ -150,11 +150,13 @@
         folder: Path = daemons.folder / "snapshots"
         folder.rename(folder.with_name("aside"))
         folder.touch()
-        status = await daemons.when(lambda: daemons.instance(0), lambda one: bool(one["snapshot"]["fault"]))
+        status = await daemons.when(
+            lambda: daemons.instance(0), lambda current: bool(current["snapshot"]["fault"])
+        )
         assert "not written" in status["snapshot"]["fault"] and status["state"] == "ready"
         folder.unlink()
         folder.with_name("aside").rename(folder)
-        await daemons.when(lambda: daemons.instance(0), lambda one: not one["snapshot"]["fault"])
+        await daemons.when(lambda: daemons.instance(0), lambda current: not current["snapshot"]["fault"])
 
     assert play(run_course, scenario=scenario, snapshot={"every_s": 0.2}).unreached == []
 
