--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -159,6 +159,7 @@
 
 
 def _rolled_count(status: dict[str, Any]) -> int:
+    """Returns how many instances the roll has completed; a very large number when no roll runs."""
     roll = status["roll"]
     return 1 << 30 if roll is None else len(roll["done"])
 
@@ -182,6 +183,7 @@
 
 
 def summarize(played: Played, day: DayCourse) -> Figures:
+    """Returns the figures to print for the day; connects and connections in the roll are counted apart."""
     result = played.result
     rules: dict[str, int] = {}
     for verdict in result.verdicts:
@@ -317,6 +319,7 @@
 
 
 def spread(values: Sequence[float]) -> Figures:
+    """Returns the number of values, their median, their 99th percentile and their maximum."""
     p50, p99, maximum = np.percentile(values, (50, 99, 100))
     return {
         "n": len(values),
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -211,6 +211,7 @@
 
 
 def cpu_s(relays: Sequence[RelayProcess]) -> list[float]:
+    """Returns the CPU seconds that each relay has used so far."""
     for relay in relays:
         relay.sample()
     return [relay.usage.cpu_s for relay in relays]
@@ -220,6 +221,7 @@
 
 
 def spread(values: Sequence[float]) -> Figures:
+    """Returns the minimum, the median and the maximum."""
     return {
         "least": round(min(values), 3),
         "median": round(statistics.median(values), 3),
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -108,7 +108,7 @@
                 pass
 
     async def clients(self, per_s: float) -> None:
-        """Starts `per_s` clients per second until `arrivals_scope` is cancelled, then waits for all."""
+        """Starts `per_s` clients per second until `arrivals_scope` is cancelled, then waits for their end."""
         due = trio.current_time()
         async with trio.open_nursery() as nursery:
             with self.arrivals_scope:
@@ -144,7 +144,10 @@
         return {b"": "stood", b"MOVE\r\n": "moved"}.get(received_line, f"told {received_line.decode()!r}")
 
     def verdicts(self) -> int:
-        """Prints the checker's verdicts on the recorded run, and returns how many there are."""
+        """Prints the checker's verdicts on the recorded run.
+
+        Returns their number, including those that the checker left out.
+        """
         checker = Checker(Rules(), SLACK_US)
         replay(self.recorder.records, checker)
         checker.finish(now_us() + 10_000_000)
