--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -114,7 +114,7 @@
         self.last_arrival = float("-inf")
 
     @property
-    def _room(self) -> ConnectionLimits:
+    def _limits(self) -> ConnectionLimits:
         """The current limits, which SIGHUP may change."""
         return self._relay.config.connection_limits
 
@@ -143,7 +143,7 @@
         Clients that connect in large numbers and send nothing displace only each other: the first line of a
         normal client has arrived by the time the client is accepted.
         """
-        if len(self._waiting) >= self._room.max_awaiting_first_line:
+        if len(self._waiting) >= self._limits.max_awaiting_first_line:
             self._waiting.pop(next(iter(self._waiting))).cancel()
             self._counters.crowded_out += 1
 
@@ -218,7 +218,7 @@
             more = buffer.filled > (end or 0)
             await self._refuse(sock, lines.FAILED, more)
             return None
-        if self._taken >= self._room.max_accepted:
+        if self._taken >= self._limits.max_accepted:
             self._counters.fail_fast += 1
             await self._refuse(sock, self._busy(), False)
             return None
@@ -238,15 +238,15 @@
         the bytes read are limited, so that a client that floods can't hold the connection.
         """
         await self._send_answer(sock, answer)
-        if not more or self._refusing >= self._room.max_refusing:
+        if not more or self._refusing >= self._limits.max_refusing:
             return
         self._refusing += 1
         try:
             send_fin(sock)
-            left = MAX_CLOSING_BYTES
+            remaining = MAX_CLOSING_BYTES
             with trio.move_on_at(trio.current_time() + CLOSING_TIMEOUT_S):
-                while left > 0 and (data := await sock.recv(left)):
-                    left -= len(data)
+                while remaining > 0 and (data := await sock.recv(remaining)):
+                    remaining -= len(data)
         finally:
             self._refusing -= 1
 
@@ -466,9 +466,9 @@
 
         `drained_after` is the time at which the server was ready as far as the decisions knew.
         """
-        if (left := self._departed_client()) is not None:
+        if (departed := self._departed_client()) is not None:
             self._relay.counters.left_unsent += 1
-            return left
+            return departed
         if self._existing_server is not None or self._relay.destinations.is_ready(server):
             return None
         # A draining server refuses new connections. It accepts one in mid-flow during the drain grace, of
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -319,7 +319,7 @@
     make_room, silent = Inbound._make_room, list[socket.socket]()
 
     def line_comes_first(self: Inbound) -> None:
-        if len(self._waiting) >= self._room.waiting:
+        if len(self._waiting) >= self._limits.max_awaiting_first_line:
             silent[0].sendall(OPEN)
         make_room(self)
 
