--- a/glenfold/config/checks.py
+++ b/glenfold/config/checks.py
@@ -67,7 +67,7 @@
 
     def is_given(self, *key: str) -> bool:
         """Returns whether the file itself sets the key."""
-        return key in self.reader.located.lines
+        return key in self.reader.toml_file.lines
 
     @property
     def instance_numbers(self) -> Sequence[int | None]:
--- a/glenfold/config/operators.py
+++ b/glenfold/config/operators.py
@@ -45,9 +45,9 @@
 class OperatorsFile:
     """An operators' file without errors. `terms` are its tables; paths in them are relative to `base`."""
 
-    def __init__(self, located: TomlFile, terms: Terms, base: Path) -> None:
-        self._located, self.terms, self.base = located, terms, base
-        self.path = Path(located.name)
+    def __init__(self, toml_file: TomlFile, terms: Terms, base: Path) -> None:
+        self._toml_file, self.terms, self.base = toml_file, terms, base
+        self.path = Path(toml_file.name)
 
     @property
     def numbers(self) -> tuple[int | None, ...]:
@@ -126,8 +126,8 @@
         elif isinstance(value, tuple) and value and isinstance(value[0], Table):
             for n, item in enumerate(value):
                 yield from self._values(item, (*key, n))
-        elif key in self._located.lines:
-            yield Value(format_key(key), value, f"{self._located.name}:{self._located.lines[key]}")
+        elif key in self._toml_file.lines:
+            yield Value(format_key(key), value, f"{self._toml_file.name}:{self._toml_file.lines[key]}")
         else:
             yield self._implied_value(key, value)
 
@@ -169,7 +169,7 @@
     Checks(terms, reader, base).run()
     if reader.errors:
         raise FileErrors(reader.errors.values())
-    return OperatorsFile(reader.located, terms, base)
+    return OperatorsFile(reader.toml_file, terms, base)
 
 
 class ConfigReload:
--- a/glenfold/config/tables.py
+++ b/glenfold/config/tables.py
@@ -109,13 +109,13 @@
     Raises FileErrors if the file can't be read, is not TOML or has another `format`.
     """
     try:
-        located = scan(read_text(path), str(path))
+        toml_file = scan(read_text(path), str(path))
     except BadFile as error:
         raise FileErrors([error]) from error
-    reader = TableReader(located)
-    terms = reader.read_table(located.data, table_type)
-    if located.data.get("format", 1) != 1:  # Other errors are dropped: keys may differ in another format.
-        raise FileErrors([located.error(("format",), "this glenfold reads format 1 only")])
+    reader = TableReader(toml_file)
+    terms = reader.read_table(toml_file.data, table_type)
+    if toml_file.data.get("format", 1) != 1:  # Other errors are dropped: keys may differ in another format.
+        raise FileErrors([toml_file.error(("format",), "this glenfold reads format 1 only")])
     return reader, terms
 
 
@@ -125,14 +125,14 @@
     An invalid value is replaced by its default, which is None for a required key.
     """
 
-    def __init__(self, located: TomlFile) -> None:
-        self.located = located
+    def __init__(self, toml_file: TomlFile) -> None:
+        self.toml_file = toml_file
         self.errors: dict[Key, BadFile] = {}
         self._invalid_keys: set[Key] = set()
 
     def add_error(self, key: Key, reason: str) -> None:
         """Records an error; only the first error of a key is kept, as the others follow from it."""
-        self.errors.setdefault(key, self.located.error(key, reason))
+        self.errors.setdefault(key, self.toml_file.error(key, reason))
         self._invalid_keys.add(key)
 
     def is_valid(self, *keys: Key) -> bool:
@@ -145,7 +145,7 @@
         for name in data:
             if name not in fields:
                 reason = "unknown key; " + suggest_name(name, list(fields))
-                self.errors[*key, name] = self.located.error((*key, name), reason)
+                self.errors[*key, name] = self.toml_file.error((*key, name), reason)
         return table_type(
             **{name: self._read_field(data, field, (*key, name)) for name, field in fields.items()}
         )
--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -12,7 +12,7 @@
 
 from glenfold import logs
 from glenfold.config import operators
-from glenfold.config.locations import InstanceLocation as InstancePlace
+from glenfold.config.locations import InstanceLocation
 from glenfold.config.tables import FileErrors
 from glenfold.config.terms import Fleet
 from glenfold.daemon.logfiles import LogFiles
@@ -47,7 +47,7 @@
     return file.parent.absolute() / folder / "supervisor"
 
 
-def _fleet_terms(read: operators.OperatorsFile, names: tuple[str, ...]) -> Options:
+def _fleet_options(read: operators.OperatorsFile, names: tuple[str, ...]) -> Options:
     fleet = msgspec.structs.asdict(read.terms.fleet or Fleet(instances=1))
     settings = {name: value for name, value in fleet.items() if name in Options.__struct_fields__}
     return Options(**(settings | {"instances": names, "take_over": read.terms.restart.take_over}))
@@ -64,23 +64,23 @@
     def read(self) -> FleetSettings:
         """Returns the checked settings of the file. Raises FileRefused."""
         text, read = _read_stable(self.file)
-        places = [read.location(number) for number in read.numbers]
+        locations = [read.location(number) for number in read.numbers]
         if supervisor_folder(self.file) != self.paths.folder:
             raise FileRefused(
                 f"{self.file}: instance.folder: is another one than this supervisor's; "
                 "`glenfold fleet down` and `up` change it"
             )
-        controls = {place.name: place.socket for place in places if place.socket is not None}
-        if len(controls) < len(places):
+        controls = {location.name: location.socket for location in locations if location.socket is not None}
+        if len(controls) < len(locations):
             raise FileRefused(f"{self.file}: control.on: must be true for a supervisor, which looks there")
         return FleetSettings(
-            _fleet_terms(read, tuple(controls)), controls, lambda: self._accept(text, read, places)
+            _fleet_options(read, tuple(controls)), controls, lambda: self._accept(text, read, locations)
         )
 
-    def _accept(self, text: bytes, read: operators.OperatorsFile, places: list[InstancePlace]) -> None:
+    def _accept(self, text: bytes, read: operators.OperatorsFile, locations: list[InstanceLocation]) -> None:
         self._accepted.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
         write_atomically(self._accepted, text)
-        self._numbers = {place.name: place.number for place in places}
+        self._numbers = {location.name: location.number for location in locations}
         settings = read.terms.logging
         logs.set_options(
             logs.Options(
--- a/glenfold/daemon/platform.py
+++ b/glenfold/daemon/platform.py
@@ -36,8 +36,8 @@
         if levels := log_levels(os.environ):
             logs.set_options(logs.Options(levels=levels))
         config = read_config(os.environ)
-        for key, fault in config.problems:
-            events.config_default(key=key, fault=fault)
+        for key, problem in config.problems:
+            events.config_default(key=key, fault=problem)
         trio.run(serve, config)
         return 0
     except ConfigError as error:
--- a/glenfold/daemon/process.py
+++ b/glenfold/daemon/process.py
@@ -150,18 +150,18 @@
             for task in self._background_tasks:
                 nursery.start_soon(task, self)
             await self._stop_requested.wait()
-            leaving = ShutdownSchedule(
+            schedule = ShutdownSchedule(
                 self._stop_requested_time(), self.relay.config.settings, self._deadline_s
             )
-            self.relay.limit_answers(leaving.answers_end)
+            self.relay.limit_answers(schedule.answers_end)
             self.life.to(State.DRAINING)
             if self._accepting:
-                await wait_for_last_arrivals(leaving, self.inbound)
-                await self._empty_queues(leaving.moves_end)
+                await wait_for_last_arrivals(schedule, self.inbound)
+                await self._empty_queues(schedule.moves_end)
             self.release(self.listeners)
             self.life.to(State.FINISHING)
             gc.freeze()  # Collections that scan all connections would delay the moves.
-            await finish_requests(leaving, self.relay)
+            await finish_requests(schedule, self.relay)
             self.life.to(State.STOPPED)
             nursery.cancel_scope.cancel()
         events.relay_exit(counters=self.relay.counters.plain())
@@ -326,59 +326,61 @@
     return listener
 
 
-async def wait_for_last_arrivals(leaving: ShutdownSchedule, inbound: Inbound) -> None:
+async def wait_for_last_arrivals(schedule: ShutdownSchedule, inbound: Inbound) -> None:
     """Waits until no more clients are expected to arrive."""
-    while trio.current_time() < (until := leaving.arrivals_end_at(inbound.last_arrival)):
+    while trio.current_time() < (until := schedule.arrivals_end_at(inbound.last_arrival)):
         await trio.sleep_until(until)
-        leaving.record_lateness(trio.current_time(), until)
+        schedule.record_lateness(trio.current_time(), until)
 
 
-async def finish_requests(leaving: ShutdownSchedule, relay: Relay) -> None:
+async def finish_requests(schedule: ShutdownSchedule, relay: Relay) -> None:
     """Answers every accepted request, and tells each standing connection's client to move in time."""
-    with trio.move_on_at(leaving.exit_at):
-        await _wait_until_moves(leaving, relay)
+    with trio.move_on_at(schedule.exit_at):
+        await _wait_until_moves(schedule, relay)
         async with trio.open_nursery() as nursery:
-            await _move_all(leaving, relay, nursery)
+            await _move_all(schedule, relay, nursery)
     _end_standing(relay)
     turns = 0
     # The remaining requests have expired, which they handle within a loop turn or two. A connection may also
     # have come up just now.
-    while relay.unanswered and (turns < MIN_ANSWER_TURNS or trio.current_time() < leaving.last_answers_at):
-        await trio.sleep_until(min(trio.current_time() + ANSWER_POLL_S, leaving.last_answers_at))
+    while relay.unanswered and (turns < MIN_ANSWER_TURNS or trio.current_time() < schedule.last_answers_at):
+        await trio.sleep_until(min(trio.current_time() + ANSWER_POLL_S, schedule.last_answers_at))
         turns += 1
         _end_standing(relay)
 
 
 def _end_standing(relay: Relay) -> None:
-    unsent = [passage for passage in list(relay.standing) if not _send_move(passage, relay, late=True)]
-    for passage in unsent:
-        passage.cut()
-        del relay.standing[passage]
+    unsent = [
+        connection for connection in list(relay.standing) if not _send_move(connection, relay, late=True)
+    ]
+    for connection in unsent:
+        connection.cut()
+        del relay.standing[connection]
     if unsent:
         events.leave_cut(connections=len(unsent))
 
 
-def _send_move(passage: StandingConnection, relay: Relay, late: bool) -> bool:
-    is_sent = passage.move_now()
+def _send_move(connection: StandingConnection, relay: Relay, late: bool) -> bool:
+    is_sent = connection.move_now()
     if is_sent:
-        del relay.standing[passage]
+        del relay.standing[connection]
     if is_sent and late:
-        relay.counters.moved_late += passage.moved
-        passage.send_fin_to_both()
+        relay.counters.moved_late += connection.moved
+        connection.send_fin_to_both()
     return is_sent
 
 
-async def _wait_until_moves(leaving: ShutdownSchedule, relay: Relay) -> None:
+async def _wait_until_moves(schedule: ShutdownSchedule, relay: Relay) -> None:
     started_at, cpu_before_s = trio.current_time(), time.process_time()
     while relay.has_pending_clients and (
-        (now := trio.current_time()) < (begin := leaving.moves_start_at(len(relay.standing)))
+        (now := trio.current_time()) < (begin := schedule.moves_start_at(len(relay.standing)))
     ):
         await trio.sleep_until(check_at := min(begin, now + STANDING_CHECK_INTERVAL_S))
-        leaving.record_lateness(trio.current_time(), check_at)
-        leaving.set_passing_share((time.process_time() - cpu_before_s) / (trio.current_time() - started_at))
+        schedule.record_lateness(trio.current_time(), check_at)
+        schedule.set_passing_share((time.process_time() - cpu_before_s) / (trio.current_time() - started_at))
 
 
-async def _move_all(leaving: ShutdownSchedule, relay: Relay, nursery: trio.Nursery) -> None:
+async def _move_all(schedule: ShutdownSchedule, relay: Relay, nursery: trio.Nursery) -> None:
     """Tells all clients to move.
 
     A connection counts as standing until its client has been told to move, or has disconnected.
@@ -389,32 +391,32 @@
         while queue and queue[0] not in relay.standing:
             queue.popleft()
         remaining = len(relay.standing) - len(awaiting_line_end & relay.standing.keys())
-        short_before = leaving.is_short_of_time
-        step = leaving.step(trio.current_time(), time.process_time(), remaining)
-        if leaving.is_short_of_time and not short_before:
-            events.leave_short(late=step.late, connections=remaining, per_s=round(leaving.moves_per_s))
+        short_before = schedule.is_short_of_time
+        step = schedule.step(trio.current_time(), time.process_time(), remaining)
+        if schedule.is_short_of_time and not short_before:
+            events.leave_short(late=step.late, connections=remaining, per_s=round(schedule.moves_per_s))
             queue.clear()  # The queue is rebuilt in another order.
         if len(queue) < step.moves:
             queue = deque(
-                passage
-                for passage in move_order(relay.standing, leaving.is_short_of_time)
-                if passage not in awaiting_line_end
+                connection
+                for connection in move_order(relay.standing, schedule.is_short_of_time)
+                if connection not in awaiting_line_end
             )
         for _ in range(min(step.moves, len(queue))):
-            passage = queue.popleft()
-            if passage not in relay.standing:
+            connection = queue.popleft()
+            if connection not in relay.standing:
                 continue
-            if not _send_move(passage, relay, step.sweep):
-                awaiting_line_end.add(passage)
-                nursery.start_soon(_move, passage, relay, leaving.exit_at)
+            if not _send_move(connection, relay, step.sweep):
+                awaiting_line_end.add(connection)
+                nursery.start_soon(_move, connection, relay, schedule.exit_at)
         await trio.sleep_until(step.next_at)
 
 
-async def _move(passage: StandingConnection, relay: Relay, until: float) -> None:
+async def _move(connection: StandingConnection, relay: Relay, until: float) -> None:
     """Moves one client until `until`, without the usual time limit, as a loop turn may take that long."""
-    await passage.move(until)
-    if passage.moved:
-        relay.standing.pop(passage, None)
+    await connection.move(until)
+    if connection.moved:
+        relay.standing.pop(connection, None)
 
 
 async def run_by_signals(process: Process) -> None:
--- a/glenfold/daemon/replica.py
+++ b/glenfold/daemon/replica.py
@@ -47,9 +47,9 @@
         self._initial_terms = self._terms = terms
         self._counters = ReplicaCounters()
         self._server = Server(terms.replica.name, terms.limits, self._counters, earlier=self._earlier_changes)
-        replica_terms = terms.replica
-        choice = ParentChoice(terms.followed, replica_terms.zone, replica_terms.region, random.Random())
-        self._follower = Follower(choice, Succession(), self._server, replica_terms.name)
+        replica_settings = terms.replica
+        choice = ParentChoice(terms.followed, replica_settings.zone, replica_settings.region, random.Random())
+        self._follower = Follower(choice, Succession(), self._server, replica_settings.name)
         self._stop_requested = trio.Event()
 
     @property
@@ -95,27 +95,27 @@
             terms = read(self._path)
         except FileErrors as error:
             self._counters.reloads_refused += 1
-            faults = "; ".join(error.message.splitlines())
-            config_refused(error=ConfigError(str(self._path), faults))
+            problems = "; ".join(error.message.splitlines())
+            config_refused(error=ConfigError(str(self._path), problems))
             return
         self._counters.reloads += 1
         if terms.parents != self._terms.parents:
             self._follower.move_to(terms.followed)
         self._terms = terms
-        logs.set_options(log_terms(terms.logging))
+        logs.set_options(log_options(terms.logging))
         events.reloaded(parents=[parent.address for parent in terms.parents])
         if keys := tables_needing_restart(self._initial_terms, terms):
             config_waits(keys=keys)
 
 
-def log_terms(logging: Logging) -> logs.Options:
+def log_options(logging: Logging) -> logs.Options:
     """Returns the log settings of the table `logging`."""
     return logs.Options(logging.form, logging.level, logging.levels, logging.events_per_s, logging.burst)
 
 
 def main(path: Path, terms: Terms) -> Exit:
     """Runs the replica of a checked file until it stops, and returns the exit status."""
-    logs.begin(log_terms(terms.logging), terms.replica.name)
+    logs.begin(log_options(terms.logging), terms.replica.name)
     try:
         _raise_descriptor_limit(descriptors_needed(terms.limits))
         listener = listen(format_address(terms.listen))
--- a/glenfold/daemon/run.py
+++ b/glenfold/daemon/run.py
@@ -47,12 +47,12 @@
     def __init__(self, operators: OperatorsFile, number: int | None) -> None:
         self._operators = operators
         self._number = number
-        self._place: InstanceLocation = operators.location(number)
+        self._location: InstanceLocation = operators.location(number)
         self._again = ConfigReload(operators, number)
 
     def main(self) -> Exit:
         """Runs the instance until it stops and returns the exit status."""
-        logs.begin(self._log_terms(), self._place.name)
+        logs.begin(self._log_options(), self._location.name)
         try:
             return trio.run(self._main)
         except ConfigError as error:
@@ -77,7 +77,7 @@
         name = await self._acquire_name(passed, trio.current_time() + restart.ready_s)
         if name.ongoing_takeover is None:
             found, _ = await takeover.obtain_listeners(
-                None, self._place.listeners, passed, trio.current_time()
+                None, self._location.listeners, passed, trio.current_time()
             )
         else:
             found = name.ongoing_takeover.listeners
@@ -112,35 +112,35 @@
 
         Raises NameHeld and Refused.
         """
-        if self._place.folder is None:
+        if self._location.folder is None:
             return NameOwnership()
         try:
-            return NameOwnership(lock.acquire(self._place.folder, self._place.name))
+            return NameOwnership(lock.acquire(self._location.folder, self._location.name))
         except lock.NameHeld:
             if (location := self._takeover_location()) is None:
                 raise
-            wants = await listeners.resolve(self._place.listeners)
+            wants = await listeners.resolve(self._location.listeners)
             new_takeover = await takeover.ask(location, wants, by, passed)
         if new_takeover is None:  # The holder offers no takeover, or has just exited.
-            return NameOwnership(lock.acquire(self._place.folder, self._place.name))
+            return NameOwnership(lock.acquire(self._location.folder, self._location.name))
         return NameOwnership(new_takeover.lock, new_takeover)
 
     def _takeover_location(self) -> takeover.TakeoverLocation | None:
         restart = self._operators.terms.restart
-        if self._place.folder is None or not restart.take_over:
+        if self._location.folder is None or not restart.take_over:
             return None
-        return takeover.TakeoverLocation(self._place.folder, self._place.name, restart.ready_s)
+        return takeover.TakeoverLocation(self._location.folder, self._location.name, restart.ready_s)
 
     async def _background_tasks(self, process: Process, name: NameOwnership) -> list[BackgroundTask]:
         found: list[BackgroundTask] = []
         snapshots = None
-        if self._place.snapshots is not None:
+        if self._location.snapshots is not None:
             from glenfold.daemon.snapshot import SnapshotOptions, Snapshots
 
             settings = self._operators.terms.snapshot
             snapshots = Snapshots(
                 SnapshotOptions(
-                    self._place.snapshots,
+                    self._location.snapshots,
                     self._operators.terms.instance.name,
                     settings.every_s,
                     settings.most_age_s,
@@ -151,18 +151,18 @@
             found.append(snapshots.run_writer)
         if (location := self._takeover_location()) is not None:
             found.append(takeover.TakeoverServer(location, name.lock, name.ongoing_takeover))
-        if self._place.socket is not None:
+        if self._location.socket is not None:
             from glenfold.daemon.control import Control
 
-            found.append(Control(self._place.socket, None if snapshots is None else snapshots.status))
+            found.append(Control(self._location.socket, None if snapshots is None else snapshots.status))
         return found
 
     def _read_again(self, current: Config) -> tuple[Config, list[str]]:
         result = self._again(current)
-        logs.set_options(self._log_terms())
+        logs.set_options(self._log_options())
         return result
 
-    def _log_terms(self) -> logs.Options:
+    def _log_options(self) -> logs.Options:
         settings = self._again.operators.terms.logging
         return logs.Options(
             settings.form, settings.level, settings.levels, settings.events_per_s, settings.burst
--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -60,7 +60,7 @@
         self.options = options
         self._files = files or Files()
         self._wall_clock = wall_clock
-        self._pace = WriteSchedule(
+        self._write_schedule = WriteSchedule(
             options.every_s, max(options.every_s, options.max_age_s / REFRESHES_PER_MAX_AGE)
         )
         self._history = History()
@@ -122,7 +122,7 @@
             self._on_loaded(snapshot, name)
             if len(readable) < 2 or not readable[0][0].has_same_content(readable[1][0]):
                 # Writes a second copy, so that one damaged file brings back no departed server.
-                self._pace.changed(urgent=False)
+                self._write_schedule.changed(urgent=False)
             return server_list
         return None
 
@@ -146,7 +146,7 @@
         if server_list.kind is interface.ListKind.CACHED:
             return
         self._list_received_at = trio.current_time()
-        self._pace.changed(
+        self._write_schedule.changed(
             urgent=has_departed
             or any(
                 server.state is not interface.ServerState.READY
@@ -158,7 +158,7 @@
 
     def _on_life_change(self, before: Life, now: Life) -> None:
         if now in (Life.DRAINING, Life.STOPPED):
-            self._pace.mark_urgent()
+            self._write_schedule.mark_urgent()
             self._wake.set()
 
     def _departed_starts(self) -> dict[int, int]:
@@ -197,20 +197,20 @@
     async def _wait_until_due(self) -> bool:
         """Waits until the next write is due. Returns False if no further write follows."""
         while not self._ending:
-            now, due = trio.current_time(), self._pace.due_at()
+            now, due = trio.current_time(), self._write_schedule.due_at()
             if due <= now:
-                if self._pace.copies or self._list_confirmed_at() > self._on_disk_confirmed_at:
+                if self._write_schedule.copies or self._list_confirmed_at() > self._on_disk_confirmed_at:
                     return True
-                self._pace.skipped(now)
+                self._write_schedule.skipped(now)
                 continue
             self._wake = trio.Event()
             with trio.move_on_at(due):
                 await self._wake.wait()
-        return self._pace.copies > 0
+        return self._write_schedule.copies > 0
 
     async def _write(self) -> bool:
         started_at = self._write_started_at = trio.current_time()
-        before = self._pace.begin(started_at)
+        before = self._write_schedule.begin(started_at)
         heard_at, starts = self._list_confirmed_at(), self._departed_starts()
         state, history = self._process.relay.destinations.state(), self._history.section()
         error: Exception | None = None
@@ -227,7 +227,7 @@
         if error is not None:
             self._failed(error, before)
             return False
-        self._pace.ended(trio.current_time())
+        self._write_schedule.ended(trio.current_time())
         self._process.relay.counters.snapshots += 1
         self._departed_on_disk, self._on_disk_confirmed_at = starts, heard_at
         if self._problem:
@@ -236,7 +236,7 @@
         return True
 
     def _failed(self, error: Exception, before: WriteSchedule) -> None:
-        self._pace.failed(trio.current_time(), before)
+        self._write_schedule.failed(trio.current_time(), before)
         if not isinstance(error, LockedElsewhere):
             self._process.relay.counters.snapshots_failed += 1
         self._report(f"not written: {error}")
@@ -246,11 +246,11 @@
         self._process.relay.counters.snapshots_slow += 1
         self._report("the disk lets it wait")
 
-    def _report(self, fault: str) -> None:
+    def _report(self, problem: str) -> None:
         """Logs a problem once, until another problem occurs or a snapshot is written."""
-        if fault != self._problem:
-            events.snapshot_waits(fault=fault)
-        self._problem = fault
+        if problem != self._problem:
+            events.snapshot_waits(fault=problem)
+        self._problem = problem
 
     def status(self) -> dict[str, Any]:
         """Returns the part of the instance's status about snapshots.
@@ -266,7 +266,7 @@
             "age_s": self._wall_clock() - self._on_disk_confirmed_at
             if self._on_disk_confirmed_at > -math.inf
             else None,
-            "waits": self._pace.copies > 0,
+            "waits": self._write_schedule.copies > 0,
             "writing_s": now - self._write_started_at if self._write_started_at < math.inf else None,
             "fault": self._problem or None,
             "taken": self.loaded.generation if self.loaded else None,
--- a/glenfold/net/outbound.py
+++ b/glenfold/net/outbound.py
@@ -87,8 +87,8 @@
             if (failure := self._check_before_send()) is not None:
                 return failure
             with trio.fail_at(self.deadline):
-                left = self.deadline - trio.current_time()
-                await send_pieces(sock, self.first.with_wait(math.ceil(left * 1000)))
+                remaining_s = self.deadline - trio.current_time()
+                await send_pieces(sock, self.first.with_wait(math.ceil(remaining_s * 1000)))
             self._written_at = trio.current_time()
         except (OSError, trio.TooSlowError):
             # A server runs a request only after the last byte of its line, so this one has not run.
--- a/glenfold/net/sockets.py
+++ b/glenfold/net/sockets.py
@@ -27,9 +27,9 @@
 
 async def send_pieces(sock: SocketType, pieces: Sequence[memoryview]) -> None:
     """Sends all of `pieces` with gathered writes."""
-    left = list(pieces)
-    while left:
-        left = remaining_pieces(left, await sock.sendmsg(left))
+    remaining = list(pieces)
+    while remaining:
+        remaining = remaining_pieces(remaining, await sock.sendmsg(remaining))
 
 
 async def send(sock: SocketType, data: bytes) -> None:
@@ -51,13 +51,13 @@
         return 0
 
 
-def receive_now(sock: SocketType, room: memoryview) -> int:
-    """Reads the bytes that have arrived into `room` and returns their number; 0 also at end of stream."""
+def receive_now(sock: SocketType, buffer: memoryview) -> int:
+    """Reads the bytes that have arrived into `buffer` and returns their number; 0 also at end of stream."""
     try:
-        data = os.read(sock.fileno(), len(room))
+        data = os.read(sock.fileno(), len(buffer))
     except OSError:  # nothing yet, or a reset, which the next write reports
         return 0
-    room[: len(data)] = data
+    buffer[: len(data)] = data
     return len(data)
 
 
--- a/glenfold/replica/follower.py
+++ b/glenfold/replica/follower.py
@@ -114,7 +114,7 @@
                 last_watch, self.watch = self.watch, None
                 self._calls.close_all()
                 await trio.sleep(
-                    self._choice.leave_delay_s(0 if last_watch is None else last_watch.call.greeting.children)
+                    self._choice.leave_delay_s(0 if last_watch is None else last_watch.call.header.children)
                 )
 
     # ---- following one parent at a time ----
@@ -136,10 +136,10 @@
 
     async def _hold_watch(self, watch: Watch) -> Watch | None:
         """Reads the watch until it ends or a better one is found. Returns the better one, or None."""
-        self._publisher.via(watch.call.greeting.via)
+        self._publisher.via(watch.call.header.via)
         if watch.parent != self._last_parent:  # a silent source that is called again is not logged again
             events.parent_followed(
-                address=format_address(watch.parent.address), age_s=watch.call.greeting.age_s
+                address=format_address(watch.parent.address), age_s=watch.call.header.age_s
             )
         self._last_parent = watch.parent
         self._follow_count += 1
@@ -151,7 +151,7 @@
             nursery.cancel_scope.cancel()
         self._calls.close_all(but=None if self._next_watch is None else self._next_watch.call)
         if self._next_watch is None:
-            await trio.sleep(self._choice.leave_delay_s(watch.call.greeting.children))
+            await trio.sleep(self._choice.leave_delay_s(watch.call.header.children))
         return self._next_watch
 
     async def _catch_up(self, watch: Watch) -> None:
@@ -185,7 +185,7 @@
         watch.after = body.revision
         now_s = trio.current_time()
         renewed = now_s - watch.renewed_at_s <= FRESH_AGE_S and now_s > watch.call.started_at_s + CATCH_UP_S
-        if watch.call.greeting.is_source or renewed:
+        if watch.call.header.is_source or renewed:
             self._renew(watch, now_s)
 
     def _renew(self, watch: Watch, renewed_at_s: float) -> None:
@@ -224,7 +224,7 @@
         The current parent comes last: it may have lost only this connection.
         """
         if watch.replace_at_s == float("inf"):
-            watch.replace_at_s = now_s + self._choice.leave_delay_s(watch.call.greeting.children)
+            watch.replace_at_s = now_s + self._choice.leave_delay_s(watch.call.header.children)
         if now_s < watch.replace_at_s:
             return []
         watch.replace_at_s = now_s + self._choice.fresher_check_delay_s()
@@ -269,7 +269,7 @@
             nursery.start_soon(self._calls.ask_all, parents, send)
             async for answer in answers:
                 call = answer.call
-                if call is not None and call.greeting.age_s <= FRESH_AGE_S:
+                if call is not None and call.header.age_s <= FRESH_AGE_S:
                     watch = await self._adopt_fresh(call, held)
                 elif call is not None:
                     self._calls.refuse(call.parent, Refused(Refusal.STALE))
@@ -319,5 +319,5 @@
         adopted = await self._calls.adopt(call)
         if adopted is None or adopted.revision is None:
             return None
-        renewed_at_s = float("-inf") if adopted.greeting.is_source else adopted.renewed_at_s
+        renewed_at_s = float("-inf") if adopted.header.is_source else adopted.renewed_at_s
         return Watch(adopted, adopted.revision, trio.current_time(), renewed_at_s)
--- a/glenfold/replica/parent_calls.py
+++ b/glenfold/replica/parent_calls.py
@@ -118,9 +118,9 @@
         A source sends no age. A local agent that is cut off from discovery still answers a watch but sends no
         line afterwards, so the first line of a trial watch is awaited.
         """
-        if fresh.greeting.age_s > FRESH_AGE_S:
+        if fresh.header.age_s > FRESH_AGE_S:
             return False
-        if not fresh.greeting.is_source:
+        if not fresh.header.is_source:
             return True
         trial_call = None
         try:
@@ -178,10 +178,10 @@
         """
         try:
             if call.status == 503:
-                raise Refused(Refusal.BUSY, call.greeting.retry_after_s)
+                raise Refused(Refusal.BUSY, call.header.retry_after_s)
             if call.status not in (200, GONE):
                 raise Refused(Refusal.FAULTY)
-            if self._name is not None and self._name in call.greeting.via:
+            if self._name is not None and self._name in call.header.via:
                 raise Refused(Refusal.LOOP)
             if self._lists.succession.is_behind(call.origin, gone or call.status == GONE):
                 raise Refused(Refusal.BEHIND)
@@ -207,4 +207,4 @@
                 raise Refused(Refusal.BEHIND)
         finally:
             self.close(call)
-        self._lists.renew(trio.current_time() if call.greeting.is_source else call.renewed_at_s)
+        self._lists.renew(trio.current_time() if call.header.is_source else call.renewed_at_s)
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -69,8 +69,8 @@
         self.revision = revision  # of the watch; None if the whole list was requested
         self.within_object = False  # whether a JSON object of the watch is incomplete
         self.status = response.status_code
-        self.greeting: ParentHeader = read_parent_header(response.headers)
-        self.origin = Origin(parent.address, self.greeting.incarnation)
+        self.header: ParentHeader = read_parent_header(response.headers)
+        self.origin = Origin(parent.address, self.header.incarnation)
         self.started_at_s = trio.current_time()
         self._stream = stream
         self._exchange = exchange
@@ -78,7 +78,7 @@
     @property
     def renewed_at_s(self) -> float:
         """When the source last renewed the list, by the age in the response head: 0 for the source itself."""
-        return self.started_at_s - self.greeting.age_s
+        return self.started_at_s - self.header.age_s
 
     async def read_list(self) -> Body:
         """Reads the body of a response that is one list. Raises BadList."""
