--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -76,7 +76,7 @@
 
 
 def test_time_of_a_reply_in_the_kernel_during_a_stall_is_no_set_up_time():
-    async def look() -> KernelTimes:
+    async def read_kernel_times() -> KernelTimes:
         return kernel_times(trio.socket.from_stdlib_socket(client_end))
 
     with (
@@ -86,7 +86,7 @@
     ):
         server_end.sendall(b"UP x\r\n")
         time.sleep(0.2)
-        kernel = trio.run(look)
+        kernel = trio.run(read_kernel_times)
     assert kernel.since_received_s == pytest.approx(0.2, abs=0.1) and kernel.round_trip_s < 0.1
     assert compute_stall_s(0.0, kernel) == kernel.since_received_s
     # A stall before the line was written counts too, except for a late connection or a very short stall.
--- a/tests/rules/test_snapshot_form.py
+++ b/tests/rules/test_snapshot_form.py
@@ -76,8 +76,8 @@
     data = snapshot_file(known_destinations)
     assert {refusal_reason(data[:length]) for length in range(len(data))} == {"torn"}
     whole_file = int.from_bytes(data, "big")
-    for place in range(8 * len(data)):
-        assert refusal_reason((whole_file ^ 1 << place).to_bytes(len(data), "big")) is not None
+    for bit in range(8 * len(data)):
+        assert refusal_reason((whole_file ^ 1 << bit).to_bytes(len(data), "big")) is not None
 
 
 def test_a_snapshot_of_another_relay_or_format_is_refused_with_its_reason(
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -24,7 +24,7 @@
 from glenfold_lab.stand_ins.run import scaled
 
 SEEDS = (41, 42, 43)
-LEAST_USED = 0.3  # of the budget, in the fullest span of the median start
+MIN_USED_SHARE = 0.3  # Share of the budget, in the fullest span of the median start.
 
 
 @pytest.mark.parametrize("relays", [2, 20])
@@ -44,4 +44,4 @@
     assert len(spans) == 8 * len(SEEDS)
     assert not any(span.over for span in spans)
     assert all(result.figures["rules_broken"] == 0 for result, _ in plays)
-    assert np.median([span.used for span in spans]) >= LEAST_USED
+    assert np.median([span.used for span in spans]) >= MIN_USED_SHARE
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -18,7 +18,7 @@
     return next(key for key in range(after + 1, after + 10_000) if home_of(gateway, key) == server)
 
 
-def place(gateway: Gateway, key: int) -> int:
+def attempted_server(gateway: Gateway, key: int) -> int:
     return attempts_in(gateway.request(key)[1])[0].server
 
 
@@ -48,7 +48,7 @@
     gateway.answer(number, Outcome.TIMEOUT)
     key = key_for(gateway, 102, after=500)
     assert attempts_in(gateway.request(key, mid_flow=True)[1])[0].server == 102
-    assert place(gateway, key) != 102
+    assert attempted_server(gateway, key) != 102
 
 
 def test_an_unresponsive_server_is_ejected_and_tested_by_one_attempt_at_a_time():
@@ -56,12 +56,12 @@
     number, _ = gateway.request(key_for(gateway, 102))
     assert attempts_in(gateway.answer(number, Outcome.TIMEOUT))[0].server != 102
     keys = [key_for(gateway, 102, after) for after in (1_010, 2_000, 3_000)]
-    assert place(gateway, keys[0]) != 102
+    assert attempted_server(gateway, keys[0]) != 102
     gateway.now += 1_100_000
     testing_request, actions = gateway.request(keys[1])
-    assert attempts_in(actions)[0].server == 102 and place(gateway, keys[2]) != 102
+    assert attempts_in(actions)[0].server == 102 and attempted_server(gateway, keys[2]) != 102
     gateway.establish(testing_request)
-    assert place(gateway, keys[2]) == 102
+    assert attempted_server(gateway, keys[2]) == 102
 
 
 def test_when_most_servers_are_suspect_the_map_decides():
@@ -69,7 +69,7 @@
     for server in (100, 101):
         number, _ = gateway.request(key_for(gateway, server))
         gateway.answer(number, Outcome.CONNECT_FAILED)
-    assert place(gateway, key_for(gateway, 100, after=900)) == 100
+    assert attempted_server(gateway, key_for(gateway, 100, after=900)) == 100
 
 
 def test_servers_that_failed_twice_are_not_used_even_as_a_last_resort():
@@ -104,9 +104,9 @@
     gateway = Gateway()
     number, _ = gateway.request(key_for(gateway, 102))
     assert attempts_in(gateway.answer(number, Outcome.FULL))[0].server != 102
-    assert place(gateway, key_for(gateway, 102, after=900)) != 102
+    assert attempted_server(gateway, key_for(gateway, 102, after=900)) != 102
     gateway.now += SECOND
-    assert place(gateway, key_for(gateway, 102, after=900)) == 102
+    assert attempted_server(gateway, key_for(gateway, 102, after=900)) == 102
 
 
 def overload(gateway: Gateway, server: int, seconds: int = 1) -> list[int]:
@@ -130,7 +130,7 @@
     at_server = [number for number in opened if gateway.server_of[number] == 102]
     moved = overload(gateway, 102)
     assert 0 < len(moved) < len(at_server) and set(moved) <= set(at_server)
-    assert place(gateway, key_for(gateway, 102, after=61_000)) != 102
+    assert attempted_server(gateway, key_for(gateway, 102, after=61_000)) != 102
 
 
 def test_an_overloaded_server_gives_up_whole_groups():
@@ -171,7 +171,7 @@
     assert bool(moved & at_server) != tells_delay
     # The delay is inferred, so that a few clients leave at a time, not all at once.
     assert len(moved) <= len(at_server) / 8 + 2
-    assert (place(gateway, key_for(gateway, 102, after=90_000)) == 102) == tells_delay
+    assert (attempted_server(gateway, key_for(gateway, 102, after=90_000)) == 102) == tells_delay
 
 
 def test_slow_set_ups_in_a_burst_of_clients_do_not_count_as_delay():
@@ -230,7 +230,7 @@
     at_server = [number for number in opened if gateway.server_of[number] == 102]
     for number in at_server[:5]:
         gateway.answer(number, Outcome.RESET, done=True)
-    again = [place(gateway, 50_000 + number - 1) for number in at_server[:5]]
+    again = [attempted_server(gateway, 50_000 + number - 1) for number in at_server[:5]]
     assert 102 not in again
 
 
@@ -242,7 +242,7 @@
         gateway.answer(number, Outcome.RESET, done=True)
         gateway.now += SECOND
     gateway.now += 600 * SECOND
-    assert place(gateway, key_for(gateway, 102, after=60_000)) == 102
+    assert attempted_server(gateway, key_for(gateway, 102, after=60_000)) == 102
 
 
 def test_overflowing_connections_of_a_group_go_to_the_same_server():
@@ -270,7 +270,7 @@
     number, _ = gateway.request(key_for(gateway, 100))
     gateway.answer(number, Outcome.FULL)
     # A key whose further seeds all lead to the full server as well has no other server.
-    assert sum(place(gateway, 1_000 + n) == 101 for n in range(30)) >= 24
+    assert sum(attempted_server(gateway, 1_000 + n) == 101 for n in range(30)) >= 24
 
 
 def test_the_decision_module_has_short_lines_and_names_its_interface():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -49,7 +49,7 @@
 def test_a_day_of_a_fleet_costs_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(day, "CROWD", 40)
     monkeypatch.setattr(day, "DEADLINE_S", 4.0)
-    played, told = day.measure_day(day.scenario(3, 18.0, load=0.03), seed=1, most_out=1, processes=0)
+    played, figures = day.measure_day(day.scenario(3, 18.0, load=0.03), seed=1, most_out=1, processes=0)
     assert played.result.verdicts == ()
     for none in (
         "refused_connects_in_roll",
@@ -57,9 +57,9 @@
         "lost_in_roll",
         "refused_connects_else",
     ):
-        assert told[none] == 0
-    assert told["answers"]["up"] > 100
-    assert {what: status for what, (status, _) in told["said"].items()} == {
+        assert figures[none] == 0
+    assert figures["answers"]["up"] > 100
+    assert {what: status for what, (status, _) in figures["said"].items()} == {
         "roll": 0,
         "fleet reload in the roll": 1,
         "reload of all in the roll": 0,
@@ -68,7 +68,7 @@
         "drain": 0,
         "old process after that": 0,
     }
-    assert told["said"]["old process after that"][1] == "ready"
+    assert figures["said"]["old process after that"][1] == "ready"
 
 
 @pytest.mark.parametrize("step", ["ready", "draining", "finishing", "moving"])
@@ -93,13 +93,13 @@
     assert {relay for _, relay, _ in played.unreached} <= {0}  # the other one never refused
 
 
-@pytest.mark.parametrize("said", ["", "takeover.offered"])
-def test_a_new_process_that_dies_before_it_is_ready_leaves_the_old_one_serving(said: str) -> None:
+@pytest.mark.parametrize("log_event", ["", "takeover.offered"])
+def test_a_new_process_that_dies_before_it_is_ready_leaves_the_old_one_serving(log_event: str) -> None:
     async def goes(course: Course) -> None:
         daemons = course.daemons
         [old] = daemons.processes()[0]
         process = daemons.run(0)
-        while len(daemons.processes()[0]) < 2 or said not in (daemons.file.parent / "log").read_text():
+        while len(daemons.processes()[0]) < 2 or log_event not in (daemons.file.parent / "log").read_text():
             assert process.poll() is None
             await trio.lowlevel.checkpoint()
         process.kill()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -31,15 +31,15 @@
 
 
 def simulated_moves(
-    leaving: ShutdownSchedule, standing: int, cost: float, begin: float = 0.0, turn_s: float = 0.0
+    schedule: ShutdownSchedule, standing: int, cost: float, begin: float = 0.0, turn_s: float = 0.0
 ) -> tuple[list[float], int]:
     """Returns the time of each move, and how many the final sweep makes.
 
     Each move takes `cost` seconds of processor time, each turn of the event loop at least `turn_s`.
     """
-    now, worked_s, move_times, sweep_size = max(begin, leaving.moves_start_at(standing)), 0.0, [], 0
+    now, worked_s, move_times, sweep_size = max(begin, schedule.moves_start_at(standing)), 0.0, [], 0
     while len(move_times) < standing:
-        step = leaving.step(now, worked_s, standing - len(move_times))
+        step = schedule.step(now, worked_s, standing - len(move_times))
         assert 0 < step.moves <= standing - len(move_times)
         sweep_size = step.moves if step.sweep else 0
         move_times += [now] * step.moves
@@ -62,11 +62,11 @@
 def test_no_move_comes_after_the_end_however_many_and_expensive_they_are(
     standing: int, cost: float, pass_through: bool, deadline_s: float
 ) -> None:
-    leaving = ShutdownSchedule(0.0, replace(PASS_THROUGH, pass_through=pass_through), deadline_s)
-    move_times, sweep_size = simulated_moves(leaving, standing, cost)
+    schedule = ShutdownSchedule(0.0, replace(PASS_THROUGH, pass_through=pass_through), deadline_s)
+    move_times, sweep_size = simulated_moves(schedule, standing, cost)
     # One turn may begin just before the sweep, and the cost of the first two turns is not known in advance.
-    assert move_times[-1] <= max(leaving.exit_at + 64 * cost, move_times[0] + 2 * 250 * cost) + 1e-6
-    assert not sweep_size or leaving.is_short_of_time
+    assert move_times[-1] <= max(schedule.exit_at + 64 * cost, move_times[0] + 2 * 250 * cost) + 1e-6
+    assert not sweep_size or schedule.is_short_of_time
 
 
 @given(st.floats(0.05, 60.0), st.floats(0.0, 60.0), st.booleans())
@@ -78,33 +78,33 @@
         pass_through=pass_through,
         classes=tuple(interface.RequestClass(deadline_us=int(s * 1e6)) for s in (0.05, longest_s)),
     )
-    leaving = ShutdownSchedule(0.0, settings)
+    schedule = ShutdownSchedule(0.0, settings)
     phase_times = [
-        leaving.arrivals_end_at(last_arrival),
-        leaving.moves_end,
-        leaving.answers_end,
-        leaving.exit_at,
-        leaving.last_answers_at,
+        schedule.arrivals_end_at(last_arrival),
+        schedule.moves_end,
+        schedule.answers_end,
+        schedule.exit_at,
+        schedule.last_answers_at,
         max(3.0, int(longest_s * 1e6) / 1e6) + 0.7,
     ]
     assert phase_times[0] > 0.4 and phase_times == sorted(phase_times)
-    assert leaving.answers_end >= longest_s and all(b - a > 0.1 for a, b in pairwise(phase_times))
-    assert leaving.moves_start_at(100) == pytest.approx(leaving.moves_end - 1.5 if pass_through else 0.0)
+    assert schedule.answers_end >= longest_s and all(b - a > 0.1 for a, b in pairwise(phase_times))
+    assert schedule.moves_start_at(100) == pytest.approx(schedule.moves_end - 1.5 if pass_through else 0.0)
 
 
 @given(st.integers(2_000, 6_000), st.floats(0.0001, 0.0004))
 def test_thousands_of_moves_start_early_enough_to_finish(standing: int, cost: float) -> None:
-    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
-    move_times, sweep_size = simulated_moves(leaving, standing, cost, begin=0.45)
-    assert move_times[-1] <= leaving.moves_end + 0.05 and not sweep_size and not leaving.is_short_of_time
-    assert move_times[0] <= max(0.45, leaving.moves_end - standing * cost) + 1e-6
+    schedule = ShutdownSchedule(0.0, PASS_THROUGH)
+    move_times, sweep_size = simulated_moves(schedule, standing, cost, begin=0.45)
+    assert move_times[-1] <= schedule.moves_end + 0.05 and not sweep_size and not schedule.is_short_of_time
+    assert move_times[0] <= max(0.45, schedule.moves_end - standing * cost) + 1e-6
 
 
 def test_a_shortage_of_time_is_detected_early() -> None:
-    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
+    schedule = ShutdownSchedule(0.0, PASS_THROUGH)
     now, worked_s, remaining = 0.45, 0.0, 6000
-    while not leaving.is_short_of_time:
-        step = leaving.step(now, worked_s, remaining)
+    while not schedule.is_short_of_time:
+        step = schedule.step(now, worked_s, remaining)
         worked_s, remaining, now = (
             worked_s + step.moves * 0.001,
             remaining - step.moves,
@@ -114,19 +114,19 @@
 
 
 def test_a_loop_with_turns_of_a_second_moves_all_clients_in_time() -> None:
-    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
-    leaving.record_lateness(0.9, 0.1)
-    leaving.record_lateness(1.2, 0.45)
-    move_times, sweep_size = simulated_moves(leaving, 6000, 0.0, begin=1.2, turn_s=1.0)
-    assert sweep_size and move_times[-1] < leaving.exit_at - 1.0
+    schedule = ShutdownSchedule(0.0, PASS_THROUGH)
+    schedule.record_lateness(0.9, 0.1)
+    schedule.record_lateness(1.2, 0.45)
+    move_times, sweep_size = simulated_moves(schedule, 6000, 0.0, begin=1.2, turn_s=1.0)
+    assert sweep_size and move_times[-1] < schedule.exit_at - 1.0
 
 
 def test_moves_start_earlier_on_a_busy_core() -> None:
-    leaving = ShutdownSchedule(0.0, PASS_THROUGH)
-    assert leaving.moves_start_at(3000) == pytest.approx(1.6)
-    leaving.set_passing_share(0.6)
-    assert leaving.moves_start_at(3000) == pytest.approx(0.1)
-    assert leaving.moves_start_at(900) == pytest.approx(1.6)
+    schedule = ShutdownSchedule(0.0, PASS_THROUGH)
+    assert schedule.moves_start_at(3000) == pytest.approx(1.6)
+    schedule.set_passing_share(0.6)
+    assert schedule.moves_start_at(3000) == pytest.approx(0.1)
+    assert schedule.moves_start_at(900) == pytest.approx(1.6)
 
 
 def test_moves_go_by_age_and_by_worth_when_time_is_short() -> None:
@@ -168,7 +168,7 @@
     return set_up
 
 
-def leaving_in(seconds: float) -> ShutdownSchedule:
+def schedule_ending_in(seconds: float) -> ShutdownSchedule:
     return ShutdownSchedule(trio.current_time(), PASS_THROUGH, deadline_s=seconds + 0.3)
 
 
@@ -176,17 +176,17 @@
 async def test_all_clients_are_moved_in_time_on_a_slow_machine(
     context: Standing, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    leaving, counters = leaving_in(1.0), context[0].counters
-    real = leaving.step
+    schedule, counters = schedule_ending_in(1.0), context[0].counters
+    real = schedule.step
     # Simulates a machine on which each turn of the event loop takes 0.4 s.
     monkeypatch.setattr(
-        leaving,
+        schedule,
         "step",
         lambda now, worked_s, remaining: replace(step, next_at=step.next_at + 0.4)
         if (step := real(now, worked_s, remaining))
         else step,
     )
-    await finish_requests(leaving, context[0])
+    await finish_requests(schedule, context[0])
     for stream in context[1]:
         assert await read_line(stream) == MOVE and not await stream.receive_some()
     assert counters.moved == 300 and 0 < counters.moved_late < 300 and not counters.not_moved
@@ -194,7 +194,7 @@
 
 @relaying.async_test(standing(2, partial(accept_and_echo, following_data=b"half a li")))
 async def test_a_client_with_part_of_a_line_gets_a_reset_and_is_counted(context: Standing) -> None:
-    await finish_requests(leaving_in(0.1), context[0])
+    await finish_requests(schedule_ending_in(0.1), context[0])
     for stream in context[1]:
         assert await stream.receive_some() == b"half a li"
         with pytest.raises(trio.BrokenResourceError):
@@ -211,6 +211,6 @@
     assert not next(iter(shared.standing)).move_now()
     await stream.send_all(b"hello\r\n")
     await trio.testing.wait_all_tasks_blocked(0.05)
-    await finish_requests(leaving_in(1.0), shared)
+    await finish_requests(schedule_ending_in(1.0), shared)
     assert await read_line(stream) == MOVE and not await stream.receive_some()
     assert shared.counters.moved == 1
