--- a/glenfold/config/operators.py
+++ b/glenfold/config/operators.py
@@ -213,5 +213,5 @@
             and getattr(self._started_with.terms, name) != getattr(new.terms, name)
         ]
         location_changed = self._started_with.location(self._number) != new.location(self._number)
-        # Of `fleet`, an instance needs a restart only for its own location and settings.
+        # Changes of `fleet` require a restart only if they alter the location or settings of the instance.
         return names or ["fleet"] * (location_changed or settings_changed)
--- a/glenfold/daemon/control.py
+++ b/glenfold/daemon/control.py
@@ -31,7 +31,8 @@
 
     async def __call__(self, process: Process) -> None:
         process.life.watches.append(self._on_life_change)
-        await process.accepts.wait()  # Until then, another process of the same name answers there.
+        # Until this process accepts clients, another process of the same name may own the control socket.
+        await process.accepts.wait()
         try:
             listener = open_private(self._path)
         except OSError as error:
--- a/glenfold/daemon/fleet_events.py
+++ b/glenfold/daemon/fleet_events.py
@@ -22,7 +22,7 @@
 
 @event("fleet.ended", "warning", "{name} ended: {how}; started again in {again_in_s} s")
 def ended(*, name: str, how: str, again_in_s: float) -> None:
-    """An instance exited without having been told to stop."""
+    """An instance exited without a request to stop."""
 
 
 @event("fleet.held", "error", "{name} is held: {ends} ends within {within_s} s, the last one: {how}")
@@ -71,7 +71,7 @@
 
 @event("fleet.roll_step", "info", "roll: {name} is next; {done} done, {left} left")
 def roll_step(*, name: str, done: int, left: int) -> None:
-    """An instance is told to stop, or a successor is started to take over from it."""
+    """An instance is requested to stop, or a successor is started to take over from it."""
 
 
 @event("fleet.replaced", "info", "{name}: process {process} has taken over from {before}")
--- a/glenfold/daemon/lock.py
+++ b/glenfold/daemon/lock.py
@@ -1,7 +1,7 @@
 """A lock file per instance name, so that at most one process runs under the name.
 
 The kernel releases the lock when the process exits. The file stays empty: a process id in it could belong to
-an unrelated process by the time that it is read. The kernel tells the id of the holder at its control socket.
+an unrelated process by the time that it is read. The kernel gives the id of the holder at its control socket.
 """
 
 import fcntl
--- a/glenfold/daemon/notify.py
+++ b/glenfold/daemon/notify.py
@@ -62,7 +62,8 @@
         async with trio.open_nursery() as nursery:
             if self._watchdog_s is not None:
                 nursery.start_soon(self._feed_watchdog, self._watchdog_s / 2)
-            # Until then another process of the same name serves, and continues to if this one fails.
+            # Until this process accepts clients, another one of the same name serves, and goes on if this one
+            # fails.
             await process.accepts.wait()
             self._on_life_change(process, process.life.state)
 
--- a/glenfold/destinations.py
+++ b/glenfold/destinations.py
@@ -94,7 +94,7 @@
         self._lists_received = 0
         self._max_list_servers = 0  # length of the longest list so far
         self.version = 0
-        self.problems: list[str] = []  # in the list that was read last
+        self.problems: list[str] = []  # problems in the list that was read last
         # Called with each list that was read.
         self.list_callbacks: list[Callable[[interface.ServerList], None]] = []
 
--- a/glenfold/logs.py
+++ b/glenfold/logs.py
@@ -135,7 +135,7 @@
         self._descriptor = descriptor
         self._lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
         self._queued_total = 0  # bytes queued since the start; changed by `put` alone
-        self._written_total = 0  # bytes of these that are written or lost; changed by the thread alone
+        self._written_total = 0  # queued bytes that are written or lost; changed by the thread alone
         self._finished = threading.Event()
         threading.Thread(target=self._run, name="log", daemon=True).start()
 
--- a/glenfold/replica/parent_watch.py
+++ b/glenfold/replica/parent_watch.py
@@ -66,7 +66,7 @@
         response: h11.Response,
     ) -> None:
         self.parent = parent
-        self.revision = revision  # of the watch; None if the whole list was requested
+        self.revision = revision  # start of the watch; None if the whole list was requested
         self.within_object = False  # whether a JSON object of the watch is incomplete
         self.status = response.status_code
         self.header: ParentHeader = read_parent_header(response.headers)
--- a/glenfold/replica/server.py
+++ b/glenfold/replica/server.py
@@ -42,12 +42,12 @@
 # How many revisions before the first list are requested from a parent, each next count if the parent does not
 # have the one before.
 HISTORY_REVISIONS = (256, 16, 4)
-HISTORY_TIMEOUT_S = 2.0  # limit for reading these revisions
+HISTORY_TIMEOUT_S = 2.0  # Time limit for reading these earlier revisions from a parent.
 # Spreads the retries of children that ask during shutdown. Short, as a successor may already be running.
 SHUTDOWN_RETRY_SPREAD_S = 1.0
 FULL_RETRY_SPREAD_S = 10.0  # spreads the retries of children refused at the limit
 CLOSING_TIMEOUT_S = 0.3  # limit for a child to read a refusal before the connection is closed
-MAX_CLOSING_BYTES = 64 * 1024  # limit on the input discarded during that time
+MAX_CLOSING_BYTES = 64 * 1024  # limit on the input that is discarded while a connection closes
 MAX_CLOSING_CONNECTIONS = 32  # above this number of closing connections, others are closed at once
 ACCEPT_RETRY_S = 0.1  # delay before the next accept when no file descriptor is free
 
@@ -88,7 +88,7 @@
         self._is_shutting_down = False
         self._read_earlier = earlier
         self._history_started = trio.Event()
-        self._is_reading_history = False  # children that resume wait for it to avoid a whole list
+        self._is_reading_history = False  # while set, children that resume wait, to avoid a whole list
 
     # ---- the Publisher interface, called by the follower ----
 
--- a/glenfold/rules/parent_choice.py
+++ b/glenfold/rules/parent_choice.py
@@ -13,7 +13,7 @@
 from glenfold.config.platform import Address, Parent
 
 LEAVE_S_PER_CHILD = 0.008  # The children of one parent leave it over a span of this length for each child.
-MIN_ASSUMED_CHILDREN = 64  # A child that connected early was told of too few other children.
+MIN_ASSUMED_CHILDREN = 64  # A child that connected early was sent too low a number of children.
 MAX_LEAVE_SPREAD_S = 2.0  # A change must be in force within 4 s, including the time to open a connection.
 MIN_SOUND_S = 10.0  # A child returns to a nearer parent once that has answered correctly for this long.
 NEARER_CHECK_INTERVAL_S = 10.0  # Nearer parents are checked at least this often.
--- a/glenfold/rules/replication_admission.py
+++ b/glenfold/rules/replication_admission.py
@@ -41,7 +41,7 @@
         return True
 
     def finished(self) -> None:
-        """Releases the place of an admitted response that has ended."""
+        """Releases the slot of an admitted response that has ended."""
         self.in_progress -= 1
 
     def retry_after_s(self, now_s: float, size: int) -> int:
--- a/glenfold/rules/replication_http.py
+++ b/glenfold/rules/replication_http.py
@@ -20,7 +20,7 @@
 PATH = "/v1/servers"
 MAX_REQUEST_BYTES = 8 * 1024  # The limit holds for the request line with all header fields.
 MAX_REVISION = 2**63 - 1
-RENEWAL_CHUNK = b"1\r\n\n\r\n"  # An empty line tells that the source confirmed the list without changes.
+RENEWAL_CHUNK = b"1\r\n\n\r\n"  # An empty line means that the source confirmed the list without changes.
 LAST_CHUNK = b"0\r\n\r\n"
 
 
--- a/glenfold/shutdown.py
+++ b/glenfold/shutdown.py
@@ -19,7 +19,7 @@
 KILL_DELAY_S = 0.7
 EXIT_DELAY_S = 0.4
 
-MAX_MOVE_S = 0.3  # time that one move may take
+MAX_MOVE_S = 0.3  # maximum duration of one move
 
 # The sweep moves all remaining clients at once. It starts this long before the exit, plus a time for each
 # client.
@@ -101,7 +101,7 @@
         self.is_short_of_time = False  # not all connections can be moved one by one in time
         # Seconds that moves took, and the number of these moves.
         self._cost = PACE_WINDOW_MOVES / INITIAL_MOVES_PER_S, float(PACE_WINDOW_MOVES)
-        self._lateness_s = 0.0, 0.0  # of the last two turns
+        self._lateness_s = 0.0, 0.0  # lateness of the last two turns
         self._late_since = notified_at
         self._max_remaining = 0
         self._moved = 0
--- a/glenfold/toml_file.py
+++ b/glenfold/toml_file.py
@@ -1,7 +1,7 @@
 """TOML files with the line number of every key, whose values are converted to a Struct.
 
 Each error is reported in one line with the file, the line and the key. tomllib reads the values and refuses
-invalid TOML. No library tells the line of a key: tomlkit keeps the text, but joins the parts of an array of
+invalid TOML. No library reports the line of a key: tomlkit keeps the text, but joins the parts of an array of
 tables that other tables interrupt, so that lines can't be counted in what it holds. A small scanner therefore
 finds the lines in texts that tomllib has accepted.
 """
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,17 +1,17 @@
-"""All push servers end and start again: what the lab's model sends them, against their budget.
-
-A fleet that came back served a fifth of its clients for the rest of the day: 3,700 of 4,350 requests were
-refused, and on sockets most cold servers were sent nothing at all. Three causes, each told by a test of its
-own in tests/test_cold_servers.py:
-
-- a relay took a server that it had not seen at work to be as full as those that it had. The connections
-  that broke at the end of the servers counted as jams, one after the other ("server N jams: it keeps a
-  smaller slice of its keys" for each of the eight), and the guess fell so far that no client's own home was
-  open any more;
-- where no shares tell how long connections last, they were taken to last 300 s, and hardly any key had its
-  turn before its server was warm; with 20 s for all sites the rule broke (four starts over);
-- clients that don't say that they come back were let in as the usual flow of new ones: all at once that
-  sent 8 attempts where 1.6 are the budget, at each of the eight servers (seed 1).
+"""Restarts all push servers in the lab's model and compares what they are sent with their budget.
+
+Guards against a fleet that serves only a fifth of its clients after such a restart: 3,700 of 4,350 requests
+were refused, and on sockets most cold servers were sent nothing at all. There were three causes, each with a
+test of its own in tests/test_cold_servers.py:
+
+- A relay assumed that a server without traffic was as full as the servers that it had used. Each connection
+  that broke when a server ended counted as overload of that server (logged as "server N jams: it keeps a
+  smaller slice of its keys" for each of the eight). This reduced the assumed slice so far that no client's
+  home server admitted it any more.
+- Where the settings don't give the life of connections, a life of 300 s was assumed, and hardly any key had
+  its turn before its server was warm. Assuming 20 s for all sites broke the rule (four starts over).
+- Returning clients that are not marked as such were admitted as the usual flow of new clients. When all came
+  at once, each of the eight servers was sent 8 attempts with a budget of 1.6 (seed 1).
 """
 
 from itertools import chain
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -156,7 +156,7 @@
 def test_a_client_that_leaves_during_its_first_attempt_gets_no_second(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """No second call even connects, although the loop has not seen the end or can't, behind unread data."""
+    """No second call connects, even if the event loop can't see the end of the client behind unread data."""
     calls, clients = [], list[socket.socket]()
     if how != "behind a flood":  # the flood has to be noticed even with the regular check running
         monkeypatch.setattr(Exchange, "_watch_client", lambda self: trio.sleep_forever())
@@ -263,7 +263,7 @@
 def test_a_client_that_closes_before_its_receipt_is_read_leaves_no_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The opposite order: the client's end arrives before the receipt."""
+    """The end of the client arrives before the receipt, the opposite of the order above."""
     clients = list[socket.socket]()
     kernel_times = outbound.kernel_times
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,8 +1,8 @@
 """Whole fleets of real processes on loopback under clients, judged by the lab's checker.
 
-The day of `benchmarks.fleet` with its twenty instances is played here with three of them and fewer
-clients. Nothing here waits for a moment: what comes next begins when an instance or the supervisor says that
-it is so far.
+The scenario of `benchmarks.fleet`, which has twenty instances, runs here with three instances and fewer
+clients. No step waits for a fixed time: each begins once an instance or the supervisor reports the state that
+the step needs.
 """
 
 from pathlib import Path
@@ -90,7 +90,7 @@
         await daemons.in_state(0, "ready")
 
     played = play(goes)
-    assert {relay for _, relay, _ in played.unreached} <= {0}  # the other one never refused
+    assert {relay for _, relay, _ in played.unreached} <= {0}  # The other relay never refused a connection.
 
 
 @pytest.mark.parametrize("log_event", ["", "takeover.offered"])
@@ -127,7 +127,7 @@
 
 
 def test_a_disk_that_takes_no_snapshot_costs_no_request() -> None:
-    """Where this runs as root nothing is read-only: a file stands where the folder was, as there is news."""
+    """Replaces the folder by a file while the list changes, as root can write to a read-only folder."""
     news = msgspec.structs.replace(
         SMALL,
         faults=(spec.Fault(kind="start_servers", at_s=1.5, count=1),),
@@ -155,7 +155,7 @@
         played.append(daemons)
         daemons.up()
         await daemons.all_ready()
-        daemons.kill_supervisor()  # the relays are nobody's children now
+        daemons.kill_supervisor()  # The relays have no parent process any more.
         assert len(daemons.processes()) == 2
         raise RuntimeError("it broke off")
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""The schedule of moves at the end of a relay, in virtual time, and ends with too little time for all moves.
+"""The schedule of moves during a shutdown, in virtual time, and shutdowns with too little time for all moves.
 
 `benchmarks/leave.py` runs the full size, 6,000 connections to a real process.
 """
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("fault", [refuses, stays_silent])
 def test_a_relay_with_a_stored_list_does_not_wait_for_discovery(tmp_path: Path, fault: Answer) -> None:
-    """Nor does it wait until its share of a core covers the cost of the start, if that takes too long."""
+    """A relay does not wait too long for its share of a core to cover the cost of the start."""
     known = whole(*(entry(f"s-{n}") for n in range(SERVERS)))
 
     async def script(nursery: trio.Nursery) -> None:
--- a/tests/test_site_names.py
+++ b/tests/test_site_names.py
@@ -36,7 +36,7 @@
 def names_in(value: Any, is_named: bool = False) -> Iterator[str]:
     """Yields the names in all tables and lists under KEYS, as each format nests them differently.
 
-    `is_named` tells that `value` is under such a key.
+    `is_named` is True if `value` is under such a key.
     """
     if isinstance(value, dict):
         if is_named and isinstance(value.get("name"), str):
--- a/tests/test_vast_count.py
+++ b/tests/test_vast_count.py
@@ -1,4 +1,4 @@
-"""The count over a fleet's logs, on a made-up one."""
+"""The counts over the logs of a fleet, checked on generated logs."""
 
 import importlib.util
 import sys
