--- a/glenfold/daemon/ask.py
+++ b/glenfold/daemon/ask.py
@@ -54,7 +54,9 @@
         chunk = await stream.receive_some(1 << 16)
         if not chunk or len(data) + len(chunk) > max_bytes:
             raise msgspec.DecodeError(
-                f"a line is longer than {max_bytes} bytes" if chunk else "no whole line"
+                f"a line is longer than {max_bytes} bytes"
+                if chunk
+                else "the connection ended before a complete line"
             )
         data += chunk
     return bytes(data)
--- a/glenfold/daemon/fleet_file.py
+++ b/glenfold/daemon/fleet_file.py
@@ -67,12 +67,15 @@
         locations = [read.location(number) for number in read.numbers]
         if supervisor_folder(self.file) != self.paths.folder:
             raise FileRefused(
-                f"{self.file}: instance.folder: is another one than this supervisor's; "
+                f"{self.file}: instance.folder: differs from that of this supervisor; "
                 "`glenfold fleet down` and `up` change it"
             )
         controls = {location.name: location.socket for location in locations if location.socket is not None}
         if len(controls) < len(locations):
-            raise FileRefused(f"{self.file}: control.on: must be true for a supervisor, which looks there")
+            raise FileRefused(
+                f"{self.file}: control.on: must be true for a supervisor, "
+                "which reaches its instances at their control sockets"
+            )
         return FleetSettings(
             _fleet_options(read, tuple(controls)), controls, lambda: self._accept(text, read, locations)
         )
--- a/glenfold/daemon/handshake.py
+++ b/glenfold/daemon/handshake.py
@@ -226,7 +226,7 @@
             case _, ChannelFailed(reason):
                 return self._end(reason)
             case _, Disconnected():
-                return self._end("it has gone", send_abort=False)
+                return self._end("the new process disconnected", send_abort=False)
             case _, DeadlineReached():
                 return self._end("it is late")
             case PredecessorState.OFFER_SENT, Ready():
--- a/glenfold/daemon/snapshot.py
+++ b/glenfold/daemon/snapshot.py
@@ -244,7 +244,7 @@
     async def _report_if_slow(self, at: float) -> None:
         await trio.sleep_until(at)
         self._process.relay.counters.snapshots_slow += 1
-        self._report("the disk lets it wait")
+        self._report("the disk is slow; the write has not finished yet")
 
     def _report(self, problem: str) -> None:
         """Logs a problem once, until another problem occurs or a snapshot is written."""
--- a/linnetspread/interface.py
+++ b/linnetspread/interface.py
@@ -258,7 +258,7 @@
 
     @property
     def unmarked(self) -> bool:
-        """Whether no mark says that the client was connected before."""
+        """Whether the client is not marked as one that was connected before."""
         return not (self.client_retry or self.mid_flow or self.returning)
 
 
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -62,7 +62,7 @@
             process.relay.destinations.read(whole(entry("s-1")))
             await process.relay.ready.wait()
 
-    # By this clock the process starts in the future.
+    # With this clock the process appears to start in the future.
     monkeypatch.setattr(time, "clock_gettime", lambda clock: -1.0)
     monkeypatch.setattr("glenfold.daemon.process.Readiness", Seen)
     trio.run(main)
--- a/tests/replica/test_follower.py
+++ b/tests/replica/test_follower.py
@@ -370,7 +370,7 @@
 
 
 def test_missed_changes_come_before_the_renewal_of_a_new_parent() -> None:
-    """Otherwise a child would pass on an old list as one that the source has just renewed."""
+    """Guards against a child that passes on an old list as one that the source has just renewed."""
 
     async def script(nursery: trio.Nursery) -> None:
         first, second = replica("r-1", 41, zone="cardiff"), replica("r-2", 41)
@@ -598,7 +598,7 @@
 
 
 def test_a_source_that_answers_but_stays_silent_is_not_followed() -> None:
-    """A local agent that is cut off from discovery behaves like this."""
+    """The parent behaves like a local agent that is cut off from discovery."""
 
     async def script(nursery: trio.Nursery) -> None:
         agent, other = StandInParent(zone="cardiff"), replica("r-2")
