--- a/tests/rules/test_fleet_rules.py
+++ b/tests/rules/test_fleet_rules.py
@@ -122,6 +122,8 @@
         if self.answering[name] == process:
             del self.answering[name]
             self.answering.update((of, other) for other, of in self.running.items() if of == name)
+        elif self.answering[name] in self.ready:
+            self.taken_out.discard(name)  # A successor ended, and the ready process before it serves on.
         self.on(Exited(name, process, how))
 
     def become_ready(self, process: str) -> None:
@@ -268,6 +270,16 @@
     return machine
 
 
+def test_an_instance_whose_replacement_was_given_up_does_not_count_as_out_of_service() -> None:
+    """Guards against a count of instances out of service that includes one whose old process serves on."""
+    machine = rolling_machine(most_out=2, take_over=True)
+    machine.advance_time(80.0)
+    assert machine.phases() == {Phase.READY} and machine.stopped()
+    machine.on(CallOffRoll())
+    machine.on(BeginRoll(1))
+    assert len(machine.taken_out) == 1
+
+
 def test_a_crash_looping_instance_is_held_and_logged_and_restarted_only_when_released() -> None:
     machine = ready_machine(loop_ends=3)
     for _ in range(3):
