--- a/glenfold/logs.py
+++ b/glenfold/logs.py
@@ -181,9 +181,7 @@
         while True:
             try:
                 return os.write(self._descriptor, data)
-            except (
-                BlockingIOError
-            ):  # another process that shares the descriptor may have made it non-blocking
+            except BlockingIOError:  # a process that shares the descriptor may have set it non-blocking
                 poll = select.poll()
                 poll.register(self._descriptor, select.POLLOUT)
                 poll.poll()
--- a/glenfold/toml_file.py
+++ b/glenfold/toml_file.py
@@ -153,23 +153,23 @@
 
     def __init__(self, text: str) -> None:
         self.lines: dict[Key, int] = {}
-        self._last: dict[Key, int] = {}  # index of the last element of each array of tables
-        self._tokens = list(self._split(text))
-        self._at = 0
+        self._last_index: dict[Key, int] = {}  # index of the last element of each array of tables
+        self._tokens = list(self._tokenize(text))
+        self._position = 0
         table: Key = ()
-        while self._at < len(self._tokens):
-            if self._take("\n"):
+        while self._position < len(self._tokens):
+            if self._consume("\n"):
                 continue
             line = self._line
-            if not self._take("["):
-                self._entry(table)
+            if not self._consume("["):
+                self._read_entry(table)
                 continue
-            is_array = self._take("[")
-            table = self._header(self._key(), is_array, line)
-            self._at += 1 + is_array
+            is_array = self._consume("[")
+            table = self._read_header(self._read_key(), is_array, line)
+            self._position += 1 + is_array
 
     @staticmethod
-    def _split(text: str) -> Iterator[tuple[str, int]]:
+    def _tokenize(text: str) -> Iterator[tuple[str, int]]:
         line = 1
         for match in TOKEN.finditer(text):
             if match.lastgroup != "skip":
@@ -178,59 +178,64 @@
 
     @property
     def _line(self) -> int:
-        return self._tokens[self._at][1]
+        return self._tokens[self._position][1]
 
-    def _take(self, mark: str) -> bool:
-        taken = self._at < len(self._tokens) and self._tokens[self._at][0] == mark
-        self._at += taken
+    def _consume(self, mark: str) -> bool:
+        taken = self._position < len(self._tokens) and self._tokens[self._position][0] == mark
+        self._position += taken
         return taken
 
-    def _key(self) -> list[str]:
-        parts = [self._part()]
-        while self._take("."):
-            parts.append(self._part())
+    def _read_key(self) -> list[str]:
+        parts = [self._read_part()]
+        while self._consume("."):
+            parts.append(self._read_part())
         return parts
 
-    def _part(self) -> str:
-        text = self._tokens[self._at][0]
-        self._at += 1
+    def _read_part(self) -> str:
+        text = self._tokens[self._position][0]
+        self._position += 1
         return str(tomllib.loads(f"part = {text}")["part"]) if text[0] in "\"'" else text
 
-    def _header(self, parts: list[str], is_array: bool, line: int) -> Key:
+    def _read_header(self, parts: list[str], is_array: bool, line: int) -> Key:
         key: Key = ()
         for number, part in enumerate(parts):
             key = (*key, part)
             self.lines.setdefault(key, line)
             if is_array and number == len(parts) - 1:
-                self._last[key] = self._last.get(key, -1) + 1
-            if key in self._last:
-                key = (*key, self._last[key])
+                self._last_index[key] = self._last_index.get(key, -1) + 1
+            if key in self._last_index:
+                key = (*key, self._last_index[key])
         self.lines[key] = line
         return key
 
-    def _entry(self, table: Key) -> None:
+    def _read_entry(self, table: Key) -> None:
         line = self._line
-        for part in self._key():
+        for part in self._read_key():
             table = (*table, part)
             self.lines.setdefault(table, line)
-        self._take("=")
-        self._value(table)
+        self._consume("=")
+        self._read_value(table)
 
-    def _value(self, key: Key) -> None:
-        if self._take("["):
+    def _read_value(self, key: Key) -> None:
+        if self._consume("["):
             number = 0
-            while not self._take("]"):
-                if not (self._take("\n") or self._take(",")):
+            while not self._consume("]"):
+                if not (self._consume("\n") or self._consume(",")):
                     self.lines[(*key, number)] = self._line
-                    self._value((*key, number))
+                    self._read_value((*key, number))
                     number += 1
-        elif self._take("{"):
-            while not self._take("}"):
-                if not self._take(","):
-                    self._entry(key)
+        elif self._consume("{"):
+            while not self._consume("}"):
+                if not self._consume(","):
+                    self._read_entry(key)
         else:
-            while self._at < len(self._tokens) and self._tokens[self._at][0] not in (",", "]", "}", "\n"):
-                self._at += 1
+            while self._position < len(self._tokens) and self._tokens[self._position][0] not in (
+                ",",
+                "]",
+                "}",
+                "\n",
+            ):
+                self._position += 1
 
 
 # ---- values against a Struct -------------------------------------------------------------------
