--- a/glenfold/__main__.py
+++ b/glenfold/__main__.py
@@ -11,15 +11,11 @@
 
     Each of the two imports only the modules that it needs. Returns the exit status.
     """
-    if sys.argv[1:2] in (
-        [],
-        ["run"],
-        ["replica"],
-    ):  # SIGHUP and SIGUSR1 would end a process that has no handlers for them yet
+    # SIGHUP and SIGUSR1 would end a process that has no handlers for them yet.
+    if sys.argv[1:2] in ([], ["run"], ["replica"]):
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGUSR1))
-    if (
-        len(sys.argv) > 1 or "_GLENFOLD_COMPLETE" in os.environ
-    ):  # a shell asks for completions without arguments
+    # A shell asks for completions without arguments.
+    if len(sys.argv) > 1 or "_GLENFOLD_COMPLETE" in os.environ:
         try:
             from glenfold.cli.main import main as command_line
         except ModuleNotFoundError as error:
--- a/glenfold/destinations.py
+++ b/glenfold/destinations.py
@@ -89,16 +89,14 @@
     def __init__(self, names: Names) -> None:
         self._names = names
         self._destinations: dict[int, Destination] = {}
-        self._departed: dict[
-            int, tuple[int, int]
-        ] = {}  # version in which each left, and the time of its last start
+        # Version in which each left, and the time of its last start.
+        self._departed: dict[int, tuple[int, int]] = {}
         self._lists_received = 0
         self._max_list_servers = 0  # length of the longest list so far
         self.version = 0
         self.problems: list[str] = []  # in the list that was read last
-        self.list_callbacks: list[
-            Callable[[interface.ServerList], None]
-        ] = []  # called with each list that was read
+        # Called with each list that was read.
+        self.list_callbacks: list[Callable[[interface.ServerList], None]] = []
 
     @property
     def has_list(self) -> bool:
--- a/glenfold/net/inbound.py
+++ b/glenfold/net/inbound.py
@@ -360,7 +360,7 @@
             nursery.start_soon(self._watch_client)
             if server is not None:
                 await self._carry_out(self._state.resume(server, self._relay.clock.now_us()), nursery)
-            while self._state.phase in (r.Phase.TAKEN, r.Phase.CALLING):
+            while self._state.phase in (r.Phase.DECIDING, r.Phase.CALLING):
                 incident: r.Input = r.DeadlinePassed()
                 with self._relay.patience(self._relay.clock.to_trio(self._deadline_us)):
                     incident = await self._receive.receive()
--- a/glenfold/request.py
+++ b/glenfold/request.py
@@ -15,7 +15,7 @@
 class Phase(Enum):
     """The phases of a request."""
 
-    TAKEN = auto()  # waiting for the decisions
+    DECIDING = auto()  # waiting for the decisions
     CALLING = auto()  # an outbound call is under way
     STANDING = auto()  # answered UP, and the connection stays open
     FINISHED = auto()
@@ -144,7 +144,7 @@
     def __init__(self, number: int, deadline_us: int) -> None:
         self.number = number
         self.deadline_us = deadline_us
-        self.phase = Phase.TAKEN
+        self.phase = Phase.DECIDING
         self._attempt = -1
         self.server = 0
         self._sent_us = 0
@@ -163,7 +163,7 @@
         """Handles one input and returns the effects to carry out, in order."""
         match event_input:
             case interface.Attempt(_, server, timeout_us):
-                if self.phase is Phase.TAKEN:
+                if self.phase is Phase.DECIDING:
                     return self._start(server, min(self.deadline_us, now_us + timeout_us), now_us)
                 # There is never a second call beside one that is under way, and none after the final answer.
                 self._attempt += 1
@@ -180,7 +180,7 @@
             case interface.Cancel():
                 if self.phase is not Phase.CALLING:
                     return []
-                self.phase = Phase.TAKEN
+                self.phase = Phase.DECIDING
                 return [DropCall(), self._ended(interface.Outcome.CANCELLED, now_us, False)]
             case interface.Move():
                 return [MoveClient()] if self.phase is Phase.STANDING else []
@@ -211,10 +211,8 @@
 
     def _give_up(self, answer: AnswerRefused | AnswerFailed, now_us: int) -> list[Effect]:
         before, calling = self.phase, self.phase is Phase.CALLING
-        if before in (
-            Phase.STANDING,
-            Phase.FINISHED,
-        ):  # the call came up, or the client disconnected, just before
+        # The call came up, or the client disconnected, just before.
+        if before in (Phase.STANDING, Phase.FINISHED):
             return []
         self.phase = Phase.FINISHED
         # The answer goes first, as it is due at once; closing the call can wait.
@@ -225,9 +223,8 @@
         )
 
     def _call_up(self, receipt: bytes, received_us: int) -> list[Effect]:
-        if (
-            self.phase is not Phase.CALLING
-        ):  # the final answer came first, so UP must not become a second answer
+        # The final answer came first, so UP must not become a second answer.
+        if self.phase is not Phase.CALLING:
             return [DropCall()]
         self.phase = Phase.STANDING
         elapsed = max(0, received_us - self._sent_us)
@@ -237,7 +234,7 @@
     def _call_ended(self, outcome: interface.Outcome, now_us: int) -> list[Effect]:
         if self.phase is not Phase.CALLING:
             return []
-        self.phase = Phase.FINISHED if self._is_bound else Phase.TAKEN
+        self.phase = Phase.FINISHED if self._is_bound else Phase.DECIDING
         ended = self._ended(outcome, now_us, self._is_bound)
         return [AnswerFailed(), ended] if self._is_bound else [ended]
 
--- a/glenfold/shutdown.py
+++ b/glenfold/shutdown.py
@@ -95,15 +95,12 @@
         self.exit_at = notified_at + max(0.0, deadline_s - (KILL_DELAY_S - EXIT_DELAY_S))
         self.moves_end = max(notified_at, self.exit_at - MAX_MOVE_S)
         self.answers_end = max(notified_at, self.exit_at - ANSWER_LEAD_S)
-        self.last_answers_at = (
-            self.exit_at + ANSWER_LEAD_S
-        )  # time limit for the answers where the event loop is late
+        # Time limit for the answers where the event loop is late.
+        self.last_answers_at = self.exit_at + ANSWER_LEAD_S
         self.moves_individually = settings.pass_through
         self.is_short_of_time = False  # not all connections can be moved one by one in time
-        self._cost = (
-            PACE_WINDOW_MOVES / INITIAL_MOVES_PER_S,
-            float(PACE_WINDOW_MOVES),
-        )  # seconds that moves took, and the number of these moves
+        # Seconds that moves took, and the number of these moves.
+        self._cost = PACE_WINDOW_MOVES / INITIAL_MOVES_PER_S, float(PACE_WINDOW_MOVES)
         self._lateness_s = 0.0, 0.0  # of the last two turns
         self._late_since = notified_at
         self._max_remaining = 0
@@ -192,9 +189,8 @@
             return
         took_s = max(worked_s - worked_before, now - max(at, step.next_at) - SLEEP_OVERRUN_S)
         seconds, moves = self._cost
-        kept = PACE_WINDOW_MOVES / (
-            moves + step.moves
-        )  # weight of the measurements so far: only the last few hundred moves count
+        # Weight of the measurements so far: only the last few hundred moves count.
+        kept = PACE_WINDOW_MOVES / (moves + step.moves)
         self._cost = (seconds + took_s) * kept, (moves + step.moves) * kept
 
 
--- a/glenfold_lab/model/relays.py
+++ b/glenfold_lab/model/relays.py
@@ -432,7 +432,7 @@
         return (
             phase is r.Phase.CALLING
             and (call is None or call is exchange.call)
-            or (phase is r.Phase.TAKEN and call is None)
+            or (phase is r.Phase.DECIDING and call is None)
         )
 
     def _too_late(self, exchange: Exchange, call: Call | None) -> None:
